--- a/crates/swiftcart-core/examples/claim_cost.rs
+++ b/crates/swiftcart-core/examples/claim_cost.rs
@@ -39,14 +39,14 @@
 }
 
 /// Folds claims, and answers with bodies of `body` bytes, into one ledger.
-fn memory(body: Option<usize>) -> (Vec<Entry>, Ledger) {
+fn memory(body: Option<usize>) -> (Vec<Entry>, ClaimLedger) {
     let settings = ClaimSettings::new(RETENTION).with_memory(1 << 20, 4 << 30);
     let keys = match body {
         Some(size) if size > 1024 => KEYS / 10,
         _ => KEYS,
     };
     let entries = entries(keys, body);
-    let mut ledger = Ledger::new(&settings);
+    let mut ledger = ClaimLedger::new(&settings);
     let before = resident();
     let start = std::time::Instant::now();
     for entry in &entries {
@@ -178,7 +178,7 @@
             now,
             entries: &[],
         };
-        claimant.followed(Instant::default(), &page);
+        claimant.apply_page(Instant::default(), &page);
         Self {
             rng: SmallRng::seed_from_u64(7),
             claimant,
@@ -199,8 +199,8 @@
             self.landed(now, body);
         }
         for ticket in self.running.remove(&now).into_iter().flatten() {
-            let finish = Finish::Whole(answer(256));
-            self.claimant.finished(t, ticket, finish);
+            let finish = ExecutionResult::Whole(answer(256));
+            self.claimant.record_result(t, ticket, finish);
         }
         if self.rng.random_bool(chance) {
             self.offer(now);
@@ -218,7 +218,8 @@
             body,
         };
         self.next += 1;
-        self.claimant.appended(t, Appended::Done(entry.offset));
+        self.claimant
+            .finish_append(t, AppendResult::Done(entry.offset));
         let (first, next) = (Offset(0), Offset(self.next));
         let page = ClaimPage {
             first,
@@ -226,7 +227,7 @@
             now: PlatformTime(now),
             entries: &[entry],
         };
-        self.claimant.followed(t, &page);
+        self.claimant.apply_page(t, &page);
     }
 
     fn offer(&mut self, now: u64) {
@@ -252,7 +253,7 @@
             ClaimAction::Run(ticket) => {
                 if self
                     .claimant
-                    .may_start(ticket, Instant::from_millis(now))
+                    .try_start(ticket, Instant::from_millis(now))
                     .is_ok()
                 {
                     let offered = self.offered.remove(&ticket).unwrap_or(now);
--- a/crates/swiftcart-core/src/claim.rs
+++ b/crates/swiftcart-core/src/claim.rs
@@ -6,14 +6,14 @@
 //! is replayed whatever it was. The paper rests on a unique index; here the lowest
 //! offset in a stream of the platform's log takes its place.
 //!
-//! 1. [`Claimant::offer`] answers from the [`Ledger`] or queues a claim.
+//! 1. [`Claimant::offer`] answers from the [`ClaimLedger`] or queues a claim.
 //! 2. The claim is appended, in a batch. An append whose answer is lost is repeated:
 //!    the same attempt twice is harmless.
 //! 3. The claimant follows the stream past its own claim. Only when no record blocked the
 //!    key at the claim's offset does it return [`ClaimAction::Run`].
-//! 4. Right before the hand-over [`Claimant::may_start`] compares the claim's age with
+//! 4. Right before the hand-over [`Claimant::try_start`] compares the claim's age with
 //!    window - margin on the monotonic clock, counted from before the claim was sent.
-//! 5. [`Claimant::finished`] appends the answer, for replay.
+//! 5. [`Claimant::record_result`] appends the answer, for replay.
 //!
 //! # Time
 //!
@@ -40,13 +40,13 @@
 //!   a second attempt while a paused first one still believes that it holds it, and the
 //!   backend server has no fencing token to compare. A claim without an answer
 //!   therefore never lapses within the window.
-//! * Losing claims are abandoned as well; see [`Ledger`] for why they block at all.
+//! * Losing claims are abandoned as well; see [`ClaimLedger`] for why they block at all.
 //!
 //! # What following costs
 //!
 //! A follower reads each record of a partition once and keeps one long poll open. If every
 //! one of 970 nodes followed the 8 partitions of one service, the platform would hold
-//! 7760 long polls and send each record 970 times. With [`prefer`] requests for a partition
+//! 7760 long polls and send each record 970 times. With [`rank_guards`] requests for a partition
 //! go to the same few guards: with 2 followers for each partition it is 16 long polls and
 //! each record is sent twice, however many nodes there are. The number of partitions is
 //! the same on all nodes of a service; another number would part claims of one key.
--- a/crates/swiftcart-core/src/claim/claimant.rs
+++ b/crates/swiftcart-core/src/claim/claimant.rs
@@ -5,9 +5,10 @@
 
 use super::outbox::{Item, Outbox};
 use crate::{
-    AbandonRecord, Answer, AnswerRecord, Appended, Claim, ClaimAction, ClaimBatch, ClaimKey,
-    ClaimPage, ClaimRecord, ClaimRecordError, ClaimSettings, ClaimTicket, Decision, Finish,
-    Instant, Known, Ledger, Offset, Outcome, RECORD_BYTES, Reason, Refusal, Reply, Standing, Start,
+    AbandonRecord, Answer, AnswerRecord, AppendResult, Claim, ClaimAction, ClaimBatch, ClaimKey,
+    ClaimLedger, ClaimPage, ClaimRecord, ClaimRecordError, ClaimSettings, ClaimTicket,
+    ClaimVerdict, Decision, ExecutionResult, Instant, KeyState, Offset, Outcome, RECORD_BYTES,
+    Reason, Refusal, Reply, StartPermit,
 };
 
 /// The least time after which asking again can help.
@@ -49,7 +50,7 @@
 #[derive(Debug, Clone)]
 pub struct Claimant {
     settings: ClaimSettings,
-    ledger: Ledger,
+    ledger: ClaimLedger,
     outbox: Outbox,
     tickets: BTreeMap<ClaimTicket, Held>,
     keys: HashMap<ClaimKey, ClaimTicket>,
@@ -66,7 +67,7 @@
     #[must_use]
     pub fn new(settings: ClaimSettings, seed: u64) -> Self {
         Self {
-            ledger: Ledger::new(&settings),
+            ledger: ClaimLedger::new(&settings),
             outbox: Outbox::new(&settings, seed),
             settings,
             tickets: BTreeMap::new(),
@@ -80,7 +81,7 @@
 
     /// Returns the fold over the partition's records.
     #[must_use]
-    pub const fn ledger(&self) -> &Ledger {
+    pub const fn ledger(&self) -> &ClaimLedger {
         &self.ledger
     }
 
@@ -98,7 +99,7 @@
 
     /// Returns when [`poll`](Self::poll) has something to do without further input.
     #[must_use]
-    pub fn wake(&self) -> Option<Instant> {
+    pub fn next_wakeup(&self) -> Option<Instant> {
         let open = self.tickets.values().filter(|h| h.phase != Phase::Started);
         let deadline = open.map(|h| h.claim.deadline).min();
         deadline.into_iter().chain(self.outbox.due()).min()
@@ -109,15 +110,15 @@
         let known = self.ledger.known(claim.key, claim.hash);
         match (self.stalled, known) {
             (true, _) => Decision::Refuse(Reason::ClaimRule.into()),
-            (false, Known::Answered(answer)) => Decision::Replay(answer),
+            (false, KeyState::Answered(answer)) => Decision::Replay(answer),
             _ if !self.caught => Decision::Refuse(CATCHING_UP),
-            (false, Known::Free) => self.accept(now, claim),
+            (false, KeyState::Free) => self.accept(now, claim),
             (false, known) => decision(known),
         }
     }
 
-    /// Takes records of the partition, read from [`Ledger::next`].
-    pub fn followed(&mut self, now: Instant, page: &ClaimPage<'_>) {
+    /// Takes records of the partition, read from [`ClaimLedger::next`].
+    pub fn apply_page(&mut self, now: Instant, page: &ClaimPage<'_>) {
         if page.first > self.ledger.next() {
             self.caught = false;
         }
@@ -139,12 +140,12 @@
 
     /// Takes the result of the append in flight.
     ///
-    /// The edge reports [`Appended::Unknown`] when its own timeout for the append ends.
-    pub fn appended(&mut self, now: Instant, result: Appended) {
+    /// The edge reports [`AppendResult::Unknown`] when its own timeout for the append ends.
+    pub fn finish_append(&mut self, now: Instant, result: AppendResult) {
         match result {
-            Appended::Done(at) => self.located(now, at),
-            Appended::Failed { retry_after } => self.unsent(now, retry_after),
-            Appended::Unknown => self.lost(now),
+            AppendResult::Done(at) => self.located(now, at),
+            AppendResult::Failed { retry_after } => self.unsent(now, retry_after),
+            AppendResult::Unknown => self.lost(now),
         }
         self.judge(now);
     }
@@ -165,7 +166,7 @@
     ///
     /// Returns a refusal when the ticket must not be handed over; it has then ended and
     /// the caller can be told `not-run`.
-    pub fn may_start(&mut self, ticket: ClaimTicket, now: Instant) -> Result<Start, Refusal> {
+    pub fn try_start(&mut self, ticket: ClaimTicket, now: Instant) -> Result<StartPermit, Refusal> {
         let Some(held) = self.tickets.get_mut(&ticket) else {
             return Err(Reason::ClaimLapsed.into());
         };
@@ -178,7 +179,7 @@
             deadline if now >= deadline => Reason::DeadlinePassed.into(),
             deadline => {
                 held.phase = Phase::Started;
-                return Ok(Start {
+                return Ok(StartPermit {
                     until: until.min(deadline),
                 });
             }
@@ -189,25 +190,27 @@
 
     /// Ends a ticket that was handed over.
     ///
-    /// Tickets that were not handed over are left as they are; see [`give_up`](Self::give_up).
-    pub fn finished(&mut self, now: Instant, ticket: ClaimTicket, finish: Finish) {
+    /// Tickets that were not handed over are left as they are; see [`cancel_claim`](Self::cancel_claim).
+    pub fn record_result(&mut self, now: Instant, ticket: ClaimTicket, finish: ExecutionResult) {
         let Some(held) = self.tickets.get(&ticket) else {
             return;
         };
         let claim = held.claim;
         match finish {
             _ if held.phase != Phase::Started => {}
-            Finish::NotRun => self.abandon(now, ticket),
-            Finish::Whole(answer) => self.answer(now, ticket, &claim, Reply::Whole(answer)),
-            Finish::Broken => self.answer(now, ticket, &claim, Reply::Broken),
+            ExecutionResult::NotRun => self.abandon(now, ticket),
+            ExecutionResult::Whole(answer) => {
+                self.answer(now, ticket, &claim, Reply::Whole(answer))
+            }
+            ExecutionResult::Broken => self.answer(now, ticket, &claim, Reply::Broken),
         }
     }
 
     /// Ends a ticket whose caller has gone, and returns what the caller can be told.
     ///
-    /// A ticket that was handed over stays until [`finished`](Self::finished). Of a ticket
+    /// A ticket that was handed over stays until [`record_result`](Self::record_result). Of a ticket
     /// that has ended nothing more can be said than was said then.
-    pub fn give_up(&mut self, now: Instant, ticket: ClaimTicket) -> Outcome {
+    pub fn cancel_claim(&mut self, now: Instant, ticket: ClaimTicket) -> Outcome {
         match self.tickets.get(&ticket).map(|h| h.phase) {
             Some(Phase::Started) => Outcome::Unknown,
             Some(_) => {
@@ -250,7 +253,7 @@
             true => Reason::LedgerFull,
             false => Reason::CatchingUp,
         };
-        Refusal::new(reason).with_retry(self.ledger.relief())
+        Refusal::new(reason).with_retry(self.ledger.retry_after())
     }
 
     fn enqueue(&mut self, now: Instant, claim: Claim) -> ClaimTicket {
@@ -298,7 +301,7 @@
                 offset.get_or_insert(at);
             }
         }
-        self.outbox.appended(now);
+        self.outbox.finish_append(now);
     }
 
     fn unsent(&mut self, now: Instant, retry_after: Option<Duration>) {
@@ -344,9 +347,9 @@
         for (ticket, claim, sent, offset) in waiting.collect::<Vec<_>>() {
             let passed = offset.is_some_and(|o| o < self.ledger.next());
             match self.ledger.standing(claim.key, claim.attempt) {
-                Some(Standing::Won) => self.win(ticket, sent),
-                Some(Standing::Lost) => self.lose(now, ticket, &claim),
-                Some(Standing::Undecided) => self.refuse(now, ticket),
+                Some(ClaimVerdict::Won) => self.win(ticket, sent),
+                Some(ClaimVerdict::Lost) => self.lose(now, ticket, &claim),
+                Some(ClaimVerdict::Undecided) => self.refuse(now, ticket),
                 None if passed => self.refuse(now, ticket),
                 None => {}
             }
@@ -432,12 +435,12 @@
     }
 }
 
-fn decision(known: Known) -> Decision {
+fn decision(known: KeyState) -> Decision {
     match known {
-        Known::Answered(answer) => Decision::Replay(answer),
-        Known::Conflict => Decision::Conflict,
-        Known::Unknown(reason) => Decision::Unknown(reason),
+        KeyState::Answered(answer) => Decision::Replay(answer),
+        KeyState::Conflict => Decision::Conflict,
+        KeyState::Unknown(reason) => Decision::Unknown(reason),
         // The key of a claim that just lost may be free again; a retry will tell.
-        Known::Pending | Known::Free => Decision::InProgress { retry_after: RETRY },
+        KeyState::Pending | KeyState::Free => Decision::InProgress { retry_after: RETRY },
     }
 }
--- a/crates/swiftcart-core/src/claim/decision.rs
+++ b/crates/swiftcart-core/src/claim/decision.rs
@@ -47,9 +47,9 @@
 /// Tells the edge what to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Append this record, and report with [`Claimant::appended`](crate::Claimant::appended).
+    /// Append this record, and report with [`Claimant::finish_append`](crate::Claimant::finish_append).
     Append(String),
-    /// Ask [`Claimant::may_start`](crate::Claimant::may_start), then hand the request over.
+    /// Ask [`Claimant::try_start`](crate::Claimant::try_start), then hand the request over.
     Run(ClaimTicket),
     /// The ticket has ended without a hand-over; the decision is never `Wait`.
     Settle(ClaimTicket, Decision),
@@ -57,7 +57,7 @@
 
 /// Tells how an append ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Appended {
+pub enum AppendResult {
     /// The record stands at this offset.
     Done(Offset),
     /// The record surely is not and never will be in the log.
@@ -71,7 +71,7 @@
 
 /// Allows one hand-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Start {
+pub struct StartPermit {
     /// The last moment at which the backend server may begin.
     ///
     /// It goes to the backend server as an absolute deadline, because this process may
@@ -81,7 +81,7 @@
 
 /// Tells how a hand-over ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Finish {
+pub enum ExecutionResult {
     /// The backend server gave a whole answer.
     Whole(Answer),
     /// The request was handed over and no whole answer came back.
--- a/crates/swiftcart-core/src/claim/ledger.rs
+++ b/crates/swiftcart-core/src/claim/ledger.rs
@@ -10,7 +10,7 @@
 //!
 //! What a ledger cannot know, it does not decide: it keeps the time up to which
 //! records may be missing (`blind`), and a claim within window + margin after it is
-//! [`Standing::Undecided`].
+//! [`ClaimVerdict::Undecided`].
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -20,12 +20,13 @@
 use super::outbox::{Item, pop_front_if};
 use crate::{
     AbandonRecord, Answer, AnswerRecord, AttemptId, ClaimBatch, ClaimKey, ClaimRecord,
-    ClaimRecordError, ClaimSettings, Entry, Offset, PlatformTime, Reason, RequestHash, Standing,
+    ClaimRecordError, ClaimSettings, ClaimVerdict, Entry, Offset, PlatformTime, Reason,
+    RequestHash,
 };
 
 /// Tells what the ledger knows of a key that an attempt asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Known {
+pub enum KeyState {
     /// No record blocks the key.
     Free,
     /// The backend server's answer to the same request.
@@ -59,7 +60,7 @@
 /// use std::time::Duration;
 /// use swiftcart_core::*;
 ///
-/// let mut ledger = Ledger::new(&ClaimSettings::new(Duration::from_secs(3600)));
+/// let mut ledger = ClaimLedger::new(&ClaimSettings::new(Duration::from_secs(3600)));
 /// ledger.begin(Offset(0), PlatformTime(0));
 /// let claim = |attempt| ClaimRecord {
 ///     key: ClaimKey(1),
@@ -68,12 +69,12 @@
 /// };
 /// let batch = ClaimBatch { claims: vec![claim(7), claim(8)], ..Default::default() };
 /// ledger.fold(&Entry { offset: Offset(0), at_ms: 5, body: batch.encode()? })?;
-/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(7)), Some(Standing::Won));
-/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(8)), Some(Standing::Lost));
+/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(7)), Some(ClaimVerdict::Won));
+/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(8)), Some(ClaimVerdict::Lost));
 /// # Ok::<(), ClaimRecordError>(())
 /// ```
 #[derive(Debug, Clone)]
-pub struct Ledger {
+pub struct ClaimLedger {
     blocked: Duration,
     patience: Duration,
     retention: Duration,
@@ -90,7 +91,7 @@
     counts: LedgerCounts,
 }
 
-impl Ledger {
+impl ClaimLedger {
     /// Creates a ledger that has read nothing.
     #[must_use]
     pub fn new(settings: &ClaimSettings) -> Self {
@@ -156,7 +157,7 @@
 
     /// Returns how long claims are refused for want of memory or history.
     #[must_use]
-    pub fn relief(&self) -> Duration {
+    pub fn retry_after(&self) -> Duration {
         let oldest = self
             .expiry
             .front()
@@ -180,7 +181,7 @@
 
     /// Returns what a claim is worth, once its record is folded.
     #[must_use]
-    pub fn standing(&self, key: ClaimKey, attempt: AttemptId) -> Option<Standing> {
+    pub fn standing(&self, key: ClaimKey, attempt: AttemptId) -> Option<ClaimVerdict> {
         self.keys.get(&key)?.standing(attempt)
     }
 
@@ -189,18 +190,18 @@
     /// The request's hash is compared before any replay, as the paper asks, and the
     /// stored status is replayed whatever it is.
     #[must_use]
-    pub fn known(&self, key: ClaimKey, hash: RequestHash) -> Known {
+    pub fn known(&self, key: ClaimKey, hash: RequestHash) -> KeyState {
         let Some(entry) = self.keys.get(&key).filter(|e| e.blocks()) else {
-            return Known::Free;
+            return KeyState::Free;
         };
         match (entry.answer(), entry.winner()) {
-            (Some((other, _)), _) | (None, Some((_, other))) if other != hash => Known::Conflict,
-            (Some((_, Kept::Whole(answer))), _) => Known::Answered(Arc::clone(answer)),
-            (Some((_, Kept::TooLarge)), _) => Known::Unknown(Reason::AnswerTooLarge),
-            (Some((_, Kept::Broken)), _) => Known::Unknown(Reason::AnswerBroken),
-            (Some((_, Kept::Dropped)), _) => Known::Unknown(Reason::AnswerDropped),
-            (None, _) if self.overdue(entry) => Known::Unknown(Reason::KeyUnknown),
-            (None, _) => Known::Pending,
+            (Some((other, _)), _) | (None, Some((_, other))) if other != hash => KeyState::Conflict,
+            (Some((_, Kept::Whole(answer))), _) => KeyState::Answered(Arc::clone(answer)),
+            (Some((_, Kept::TooLarge)), _) => KeyState::Unknown(Reason::AnswerTooLarge),
+            (Some((_, Kept::Broken)), _) => KeyState::Unknown(Reason::AnswerBroken),
+            (Some((_, Kept::Dropped)), _) => KeyState::Unknown(Reason::AnswerDropped),
+            (None, _) if self.overdue(entry) => KeyState::Unknown(Reason::KeyUnknown),
+            (None, _) => KeyState::Pending,
         }
     }
 
@@ -269,9 +270,9 @@
         let entry = self.keys.get(&record.key);
         let standing = match entry {
             Some(entry) if entry.knows(record.attempt) => return,
-            Some(entry) if entry.blocks() => Standing::Lost,
-            _ if blind => Standing::Undecided,
-            _ => Standing::Won,
+            Some(entry) if entry.blocks() => ClaimVerdict::Lost,
+            _ if blind => ClaimVerdict::Undecided,
+            _ => ClaimVerdict::Won,
         };
         let kind = Kind::Claim(record.hash, standing);
         if !self.remember(at, record.key, record.attempt, kind) {
@@ -294,8 +295,8 @@
         let entry = self.keys.get(&record.key);
         let counts = match entry.map(|e| (e.standing(record.attempt), e.answered())) {
             Some((_, true)) => return,
-            Some((Some(Standing::Won | Standing::Undecided), _)) => true,
-            Some((Some(Standing::Lost), _)) => false,
+            Some((Some(ClaimVerdict::Won | ClaimVerdict::Undecided), _)) => true,
+            Some((Some(ClaimVerdict::Lost), _)) => false,
             Some((None, _)) | None => self.blind(at),
         };
         if !counts {
--- a/crates/swiftcart-core/src/claim/marks.rs
+++ b/crates/swiftcart-core/src/claim/marks.rs
@@ -6,7 +6,7 @@
 
 /// Tells what a claim is worth, as of its own offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum ClaimVerdict {
     /// No record blocked the key: the attempt may run.
     Won,
     /// Another record blocked the key: the attempt never runs.
@@ -36,7 +36,7 @@
 /// Tells what a mark says.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Kind {
-    Claim(RequestHash, Standing),
+    Claim(RequestHash, ClaimVerdict),
     Answer(RequestHash, Kept),
     Abandoned,
 }
@@ -102,7 +102,7 @@
         self.0.iter().any(|m| matches!(m.kind, Kind::Answer(..)))
     }
 
-    pub(super) fn standing(&self, attempt: AttemptId) -> Option<Standing> {
+    pub(super) fn standing(&self, attempt: AttemptId) -> Option<ClaimVerdict> {
         self.0.iter().find_map(|m| match m.kind {
             Kind::Claim(_, standing) if m.attempt == attempt => Some(standing),
             _ => None,
@@ -112,7 +112,7 @@
     /// Returns the claim that won, if it is still remembered.
     pub(super) fn winner(&self) -> Option<(&Mark, RequestHash)> {
         self.0.iter().find_map(|m| match m.kind {
-            Kind::Claim(hash, Standing::Won) => Some((m, hash)),
+            Kind::Claim(hash, ClaimVerdict::Won) => Some((m, hash)),
             _ => None,
         })
     }
--- a/crates/swiftcart-core/src/claim/outbox.rs
+++ b/crates/swiftcart-core/src/claim/outbox.rs
@@ -189,7 +189,7 @@
     }
 
     /// Ends the append in flight: its items are in the log.
-    pub(super) fn appended(&mut self, now: Instant) {
+    pub(super) fn finish_append(&mut self, now: Instant) {
         self.flight.clear();
         self.flying = false;
         self.failures = 0;
--- a/crates/swiftcart-core/src/claim/place.rs
+++ b/crates/swiftcart-core/src/claim/place.rs
@@ -33,14 +33,14 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{NodeId, ServiceName, prefer};
+/// use swiftcart_core::{NodeId, ServiceName, rank_guards};
 ///
 /// let guards = [1, 2, 3].map(|p| NodeId(([127, 0, 0, 1], p).into()));
-/// let order = prefer(&ServiceName::new("booking"), 0, &guards);
+/// let order = rank_guards(&ServiceName::new("booking"), 0, &guards);
 /// let others: Vec<_> = guards.into_iter().filter(|g| *g != order[0]).collect();
-/// assert_eq!(prefer(&ServiceName::new("booking"), 0, &others), order[1..]);
+/// assert_eq!(rank_guards(&ServiceName::new("booking"), 0, &others), order[1..]);
 /// ```
 #[must_use]
-pub fn prefer(service: &ServiceName, partition: u16, guards: &[NodeId]) -> Vec<NodeId> {
+pub fn rank_guards(service: &ServiceName, partition: u16, guards: &[NodeId]) -> Vec<NodeId> {
     rank(guards, &claim_stream(service, partition))
 }
--- a/crates/swiftcart-core/tests/claim.rs
+++ b/crates/swiftcart-core/tests/claim.rs
@@ -38,7 +38,7 @@
 
     fn follow(&self, claimant: &mut Claimant, now: u64) {
         let from = claimant.ledger().next();
-        claimant.followed(t(now), &self.page(from, now));
+        claimant.apply_page(t(now), &self.page(from, now));
     }
 }
 
@@ -89,7 +89,7 @@
 ) -> (ClaimTicket, Vec<ClaimAction>) {
     let ticket = wait(&claimant.offer(t(now), c));
     let offset = log.append(now, &sent(claimant, now));
-    claimant.appended(t(now), Appended::Done(offset));
+    claimant.finish_append(t(now), AppendResult::Done(offset));
     log.follow(claimant, now);
     (ticket, claimant.poll(t(now)))
 }
@@ -106,21 +106,25 @@
 #[rstest]
 #[case::same_request_is_replayed_with_its_status(
     b"a",
-    Finish::Whole(answer(b"no")),
+    ExecutionResult::Whole(answer(b"no")),
     Decision::Replay(Arc::new(answer(b"no")))
 )]
 #[case::other_request_conflicts_before_any_replay(
     b"b",
-    Finish::Whole(answer(b"no")),
+    ExecutionResult::Whole(answer(b"no")),
     Decision::Conflict
 )]
-#[case::large_answer_is_unknown(b"a", Finish::Whole(answer(&[0; 70_000])),
+#[case::large_answer_is_unknown(b"a", ExecutionResult::Whole(answer(&[0; 70_000])),
     Decision::Unknown(Reason::AnswerTooLarge))]
-#[case::broken_answer_is_unknown(b"a", Finish::Broken, Decision::Unknown(Reason::AnswerBroken))]
-#[case::not_run_frees_the_key(b"b", Finish::NotRun, Decision::Wait(ClaimTicket(1)))]
+#[case::broken_answer_is_unknown(
+    b"a",
+    ExecutionResult::Broken,
+    Decision::Unknown(Reason::AnswerBroken)
+)]
+#[case::not_run_frees_the_key(b"b", ExecutionResult::NotRun, Decision::Wait(ClaimTicket(1)))]
 fn later_attempt_after_the_end(
     #[case] body: &[u8],
-    #[case] finish: Finish,
+    #[case] finish: ExecutionResult,
     #[case] expected: Decision,
 ) {
     let mut log = Log::default();
@@ -128,14 +132,14 @@
     let (ticket, actions) = run(&mut log, &mut a, 10, claim(1, b"a"));
     assert_eq!(actions, [ClaimAction::Run(ticket)]);
     let until = t(10_000);
-    assert_eq!(a.may_start(ticket, t(20)), Ok(Start { until }));
-    assert!(a.may_start(ticket, t(20)).is_err(), "handed over once");
+    assert_eq!(a.try_start(ticket, t(20)), Ok(StartPermit { until }));
+    assert!(a.try_start(ticket, t(20)).is_err(), "handed over once");
     log.follow(&mut b, 20);
     let held = Decision::InProgress {
         retry_after: Duration::from_secs(1),
     };
     assert_eq!(b.offer(t(20), claim(2, b"a")), held);
-    a.finished(t(30), ticket, finish);
+    a.record_result(t(30), ticket, finish);
     log.append(30, &sent(&mut a, 30));
     log.follow(&mut b, 30);
     assert_eq!(b.offer(t(40), claim(3, body)), expected);
@@ -160,26 +164,26 @@
 }
 
 #[rstest]
-#[case::fate_unknown_owes_a_record(Appended::Unknown, 1)]
-#[case::surely_not_in_the_log_owes_nothing(Appended::Failed { retry_after: None }, 0)]
-fn claim_given_up_never_runs_and_frees_its_key(#[case] result: Appended, #[case] owed: usize) {
+#[case::fate_unknown_owes_a_record(AppendResult::Unknown, 1)]
+#[case::surely_not_in_the_log_owes_nothing(AppendResult::Failed { retry_after: None }, 0)]
+fn claim_given_up_never_runs_and_frees_its_key(#[case] result: AppendResult, #[case] owed: usize) {
     let mut log = Log::default();
     let mut a = claimant(&log);
     let ticket = wait(&a.offer(t(0), claim(1, b"a")));
     let late = sent(&mut a, 0);
-    a.appended(t(1), result);
+    a.finish_append(t(1), result);
     let mut actions = a.poll(t(10_000));
     let down = Refusal::new(Reason::PlatformDown).with_retry(Duration::from_secs(1));
     let told = ClaimAction::Settle(ticket, Decision::Refuse(down));
     assert_eq!(actions.remove(0), told);
-    assert!(a.may_start(ticket, t(10_000)).is_err());
+    assert!(a.try_start(ticket, t(10_000)).is_err());
     assert_eq!(a.unwritten(), owed);
     if let [ClaimAction::Append(freeing)] = actions.as_slice() {
         // The claim lands before and after the record that frees the key.
         log.append(10_000, &late);
         let offset = log.append(10_000, freeing);
         log.append(10_000, &late);
-        a.appended(t(10_000), Appended::Done(offset));
+        a.finish_append(t(10_000), AppendResult::Done(offset));
     }
     log.follow(&mut a, 10_000);
     assert_eq!(a.poll(t(10_000)), []);
@@ -198,10 +202,10 @@
 
 #[rstest]
 #[case::paused_past_the_window(1_620_000, Err(Reason::ClaimLapsed.into()))]
-#[case::just_in_time(1_619_999, Ok(Start { until: t(1_620_000) }))]
+#[case::just_in_time(1_619_999, Ok(StartPermit { until: t(1_620_000) }))]
 fn start_is_checked_against_the_age_of_the_claim(
     #[case] now: u64,
-    #[case] expected: Result<Start, Refusal>,
+    #[case] expected: Result<StartPermit, Refusal>,
 ) {
     let mut log = Log::default();
     let mut a = claimant(&log);
@@ -215,7 +219,7 @@
             ..claim(1, b"a")
         },
     );
-    assert_eq!(a.may_start(ticket, t(now)), expected);
+    assert_eq!(a.try_start(ticket, t(now)), expected);
     assert_eq!(
         a.unwritten(),
         usize::from(expected.is_err()),
@@ -264,6 +268,6 @@
     let batch = ClaimBatch::parse(&sent(&mut a, 0)).map(|b| b.claims.len());
     assert_eq!(batch, Ok(256));
     assert_eq!(a.poll(t(1)), [], "one append in flight");
-    a.appended(t(1), Appended::Done(Offset(0)));
+    a.finish_append(t(1), AppendResult::Done(Offset(0)));
     assert!(sent(&mut a, 1).len() <= RECORD_BYTES);
 }
--- a/crates/swiftcart-core/tests/claim_properties.rs
+++ b/crates/swiftcart-core/tests/claim_properties.rs
@@ -35,11 +35,11 @@
     rate: u64,
     shown: u64,
     paused: u64,
-    inbox: VecDeque<Appended>,
+    inbox: VecDeque<AppendResult>,
     page: Option<(Offset, Offset, u64, Vec<Entry>)>,
     actions: VecDeque<ClaimAction>,
     /// Allowed to start, not handed over yet.
-    starts: Vec<(ClaimTicket, Start)>,
+    starts: Vec<(ClaimTicket, StartPermit)>,
     running: Vec<ClaimTicket>,
     claims: BTreeMap<ClaimTicket, Claim>,
 }
@@ -155,7 +155,7 @@
             8..200 => self.read(i),
             200..400 => self.deliver(i),
             400..500 => self.offer(i),
-            500..520 => self.give_up(i),
+            500..520 => self.cancel_claim(i),
             520..700 => self.act(i),
             700..800 => self.hand_over(i),
             800..850 => self.finish(i),
@@ -184,7 +184,7 @@
             });
             match flight.sender {
                 Some((i, life)) if self.nodes[i].life == life => {
-                    self.nodes[i].inbox.push_back(Appended::Done(offset));
+                    self.nodes[i].inbox.push_back(AppendResult::Done(offset));
                 }
                 _ => {}
             }
@@ -198,14 +198,14 @@
         let soon = self.now + self.rng.random_range(1..20);
         let late = self.now + self.rng.random_range(1..3 * WINDOW);
         let sender = Some((i, self.nodes[i].life));
-        let failed = Appended::Failed { retry_after: None };
+        let failed = AppendResult::Failed { retry_after: None };
         let (lands, sender, result): (&[u64], _, _) = match self.rng.random_range(0..100) {
             0..60 => (&[soon], sender, None),
             60..70 => (&[], None, Some(failed)),
-            70..78 => (&[], None, Some(Appended::Unknown)),
-            78..90 => (&[soon], None, Some(Appended::Unknown)),
-            90..96 => (&[late], None, Some(Appended::Unknown)),
-            _ => (&[soon, late], None, Some(Appended::Unknown)),
+            70..78 => (&[], None, Some(AppendResult::Unknown)),
+            78..90 => (&[soon], None, Some(AppendResult::Unknown)),
+            90..96 => (&[late], None, Some(AppendResult::Unknown)),
+            _ => (&[soon, late], None, Some(AppendResult::Unknown)),
         };
         for lands in lands.iter().copied() {
             let body = body.to_owned();
@@ -238,13 +238,13 @@
             now: now_,
             entries,
         };
-        node.claimant.followed(now, &page);
+        node.claimant.apply_page(now, &page);
     }
 
     fn deliver(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
         if let Some(result) = self.nodes[i].inbox.pop_front() {
-            self.nodes[i].claimant.appended(now, result);
+            self.nodes[i].claimant.finish_append(now, result);
         }
     }
 
@@ -299,7 +299,7 @@
         let now = self.nodes[i].clock(self.now);
         match self.nodes[i].actions.pop_front() {
             Some(ClaimAction::Append(body)) => self.append(i, &body),
-            Some(ClaimAction::Run(ticket)) => match self.nodes[i].claimant.may_start(ticket, now) {
+            Some(ClaimAction::Run(ticket)) => match self.nodes[i].claimant.try_start(ticket, now) {
                 Ok(start) => self.nodes[i].starts.push((ticket, start)),
                 Err(_) => self.ended(i, ticket),
             },
@@ -311,13 +311,13 @@
         }
     }
 
-    fn give_up(&mut self, i: usize) {
+    fn cancel_claim(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
         let tickets: Vec<_> = self.nodes[i].claims.keys().copied().collect();
         let Some(ticket) = tickets.choose(&mut self.rng).copied() else {
             return;
         };
-        match self.nodes[i].claimant.give_up(now, ticket) {
+        match self.nodes[i].claimant.cancel_claim(now, ticket) {
             Outcome::NotRun => self.ended(i, ticket),
             Outcome::Done | Outcome::Unknown => {}
         }
@@ -338,7 +338,9 @@
             key, hash, attempt, ..
         } = self.nodes[i].claims[&ticket];
         if now >= start.until {
-            self.nodes[i].claimant.finished(now, ticket, Finish::NotRun);
+            self.nodes[i]
+                .claimant
+                .record_result(now, ticket, ExecutionResult::NotRun);
             return self.ended(i, ticket);
         }
         let at = self.now;
@@ -356,14 +358,14 @@
         };
         let body = body(self.nodes[i].claims[&ticket].hash);
         let finish = match self.rng.random_bool(0.8) {
-            true => Finish::Whole(Answer {
+            true => ExecutionResult::Whole(Answer {
                 status: 201,
                 headers: vec![],
                 body,
             }),
-            false => Finish::Broken,
+            false => ExecutionResult::Broken,
         };
-        self.nodes[i].claimant.finished(now, ticket, finish);
+        self.nodes[i].claimant.record_result(now, ticket, finish);
     }
 
     fn check(&mut self) {
--- a/crates/swiftcart-node/src/calls/keyed.rs
+++ b/crates/swiftcart-node/src/calls/keyed.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use http::{HeaderValue, Request, Response};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
-use swiftcart_core::{ClaimKey, ClaimSettings, NodeId, Reason, Refusal, ServiceName, prefer};
+use swiftcart_core::{ClaimKey, ClaimSettings, NodeId, Reason, Refusal, ServiceName, rank_guards};
 use swiftcart_platform::Platform;
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
@@ -78,7 +78,7 @@
     /// Starts to follow the partitions of `service` that its `guards` prefer this node for.
     pub fn prepare(&self, service: &ServiceName, guards: &[NodeId]) {
         for partition in 0..PARTITIONS {
-            let order = prefer(service, partition, guards);
+            let order = rank_guards(service, partition, guards);
             if order.iter().take(FOLLOWERS).any(|id| *id == self.shared.id) {
                 self.partition(service, partition);
             }
@@ -174,5 +174,5 @@
 #[must_use]
 pub fn preference(service: &ServiceName, key: &HeaderValue, guards: &[NodeId]) -> Vec<NodeId> {
     let key = ClaimKey::new(service, None, key.to_str().unwrap_or_default());
-    prefer(service, key.partition(PARTITIONS), guards)
+    rank_guards(service, key.partition(PARTITIONS), guards)
 }
--- a/crates/swiftcart-node/src/calls/keyed/partition.rs
+++ b/crates/swiftcart-node/src/calls/keyed/partition.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    Appended, Claim, ClaimAction, ClaimPage, ClaimSettings, ClaimTicket, Claimant, Decision,
-    Finish, Outcome, PlatformTime, Refusal, ServiceName, Start, claim_stream,
+    AppendResult, Claim, ClaimAction, ClaimPage, ClaimSettings, ClaimTicket, Claimant, Decision,
+    ExecutionResult, Outcome, PlatformTime, Refusal, ServiceName, StartPermit, claim_stream,
 };
 use swiftcart_platform::{Backoff, Fate, PageLimit, Platform, PlatformError};
 use tokio::sync::{Notify, oneshot, watch};
@@ -31,7 +31,7 @@
 /// Tells a waiting claim how it ended.
 #[derive(Debug)]
 pub enum Verdict {
-    /// The request may be handed over, after [`Partition::may_start`].
+    /// The request may be handed over, after [`Partition::try_start`].
     Won,
     /// The request is not handed over.
     Settled(Decision),
@@ -64,7 +64,7 @@
     waiting: HashMap<ClaimTicket, oneshot::Sender<Verdict>>,
 }
 
-type Appending = Pin<Box<dyn Future<Output = Appended> + Send>>;
+type Appending = Pin<Box<dyn Future<Output = AppendResult> + Send>>;
 
 impl Partition {
     /// Creates a partition that has read nothing; [`follow`](Self::follow) and
@@ -121,26 +121,26 @@
     /// # Errors
     ///
     /// Returns why the request must not be handed over any more.
-    pub fn may_start(&self, ticket: ClaimTicket) -> Result<Start, Refusal> {
+    pub fn try_start(&self, ticket: ClaimTicket) -> Result<StartPermit, Refusal> {
         let now = self.clock.now();
-        let start = self.lock().claimant.may_start(ticket, now);
+        let start = self.lock().claimant.try_start(ticket, now);
         self.changed.notify_one();
         start
     }
 
     /// Notes how a hand-over ended.
-    pub fn finished(&self, ticket: ClaimTicket, finish: Finish) {
+    pub fn record_result(&self, ticket: ClaimTicket, finish: ExecutionResult) {
         let now = self.clock.now();
-        self.lock().claimant.finished(now, ticket, finish);
+        self.lock().claimant.record_result(now, ticket, finish);
         self.changed.notify_one();
     }
 
     /// Gives up a claim that is not handed over, and returns what its caller can be told.
-    pub fn give_up(&self, ticket: ClaimTicket) -> Outcome {
+    pub fn cancel_claim(&self, ticket: ClaimTicket) -> Outcome {
         let now = self.clock.now();
         let mut state = self.lock();
         state.waiting.remove(&ticket);
-        let outcome = state.claimant.give_up(now, ticket);
+        let outcome = state.claimant.cancel_claim(now, ticket);
         drop(state);
         self.changed.notify_one();
         outcome
@@ -186,7 +186,7 @@
                     };
                     let now = self.clock.now();
                     let mut state = self.lock();
-                    state.claimant.followed(now, &page);
+                    state.claimant.apply_page(now, &page);
                     self.caught.send_replace(state.claimant.caught_up());
                     drop(state);
                     self.changed.notify_one();
@@ -204,9 +204,9 @@
         let mut append: Option<Appending> = None;
         loop {
             let now = self.clock.now();
-            let (actions, wake) = {
+            let (actions, next_wakeup) = {
                 let mut state = self.lock();
-                (state.claimant.poll(now), state.claimant.wake())
+                (state.claimant.poll(now), state.claimant.next_wakeup())
             };
             for action in actions {
                 match action {
@@ -215,15 +215,15 @@
                     ClaimAction::Settle(ticket, d) => self.tell(ticket, Verdict::Settled(d)),
                 }
             }
-            let wake = wake.unwrap_or(now + IDLE);
+            let next_wakeup = next_wakeup.unwrap_or(now + IDLE);
             let result = tokio::select! {
                 result = next(&mut append) => result,
                 () = self.changed.notified() => continue,
-                () = sleep_until(self.clock.tokio(wake)) => continue,
+                () = sleep_until(self.clock.tokio(next_wakeup)) => continue,
             };
             append = None;
             let now = self.clock.now();
-            self.lock().claimant.appended(now, result);
+            self.lock().claimant.finish_append(now, result);
         }
     }
 
@@ -239,11 +239,11 @@
             let counters = &shared.counters;
             counters.count("swiftcart_claim_appends_total", "result", name);
             match result {
-                Ok(done) => Appended::Done(done.offset),
-                Err(err) if err.fate() == Fate::NotTaken => Appended::Failed {
+                Ok(done) => AppendResult::Done(done.offset),
+                Err(err) if err.fate() == Fate::NotTaken => AppendResult::Failed {
                     retry_after: err.retry_after(),
                 },
-                Err(_) => Appended::Unknown,
+                Err(_) => AppendResult::Unknown,
             }
         })
     }
@@ -253,7 +253,7 @@
         let told = waiter.map(|waiter| waiter.send(verdict));
         if !matches!(told, Some(Ok(()))) {
             // Its caller has gone; what was won and not started frees the key.
-            self.give_up(ticket);
+            self.cancel_claim(ticket);
         }
     }
 
@@ -267,7 +267,7 @@
 }
 
 /// Waits for the append in flight, for ever when there is none.
-async fn next(append: &mut Option<Appending>) -> Appended {
+async fn next(append: &mut Option<Appending>) -> AppendResult {
     match append {
         Some(append) => append.await,
         None => std::future::pending().await,
--- a/crates/swiftcart-node/src/calls/keyed/work.rs
+++ b/crates/swiftcart-node/src/calls/keyed/work.rs
@@ -8,8 +8,8 @@
 use http::{Request, Response};
 use http_body_util::{BodyExt, Limited};
 use swiftcart_core::{
-    AttemptId, CallResult, Claim, ClaimKey, ClaimTicket, Decision, Finish, Outcome, Reason,
-    Refusal, RequestHash, Start,
+    AttemptId, CallResult, Claim, ClaimKey, ClaimTicket, Decision, ExecutionResult, Outcome,
+    Reason, Refusal, RequestHash, StartPermit,
 };
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
@@ -61,7 +61,7 @@
         };
         let verdict = tokio::select! {
             verdict = verdict => verdict,
-            () = caller.closed() => return Err(self.give_up(ticket, Reason::CallerGone.into())),
+            () = caller.closed() => return Err(self.cancel_claim(ticket, Reason::CallerGone.into())),
         };
         match verdict {
             Ok(Verdict::Won) => {}
@@ -74,34 +74,35 @@
         };
         match entered {
             Ok(slot) => self.hand_over(ticket, slot).await,
-            Err(refusal) => Err(self.give_up(ticket, refusal)),
+            Err(refusal) => Err(self.cancel_claim(ticket, refusal)),
         }
     }
 
     async fn hand_over(&self, ticket: ClaimTicket, slot: Slot) -> Reply {
-        let start = self.partition.may_start(ticket)?;
+        let start = self.partition.try_start(ticket)?;
         self.count("run");
         match self.exchange(start).await {
             Ok((head, body)) => {
                 slot.finish(CallResult::Success);
                 let answer = store(&head, &body);
-                self.partition.finished(ticket, Finish::Whole(answer));
+                self.partition
+                    .record_result(ticket, ExecutionResult::Whole(answer));
                 Ok(Response::from_parts(head, Answer::text(body)))
             }
             Err(reason) => {
                 slot.finish(CallResult::Failure);
                 let finish = match reason.outcome() {
-                    Outcome::NotRun => Finish::NotRun,
-                    Outcome::Unknown | Outcome::Done => Finish::Broken,
+                    Outcome::NotRun => ExecutionResult::NotRun,
+                    Outcome::Unknown | Outcome::Done => ExecutionResult::Broken,
                 };
-                self.partition.finished(ticket, finish);
+                self.partition.record_result(ticket, finish);
                 Err(reason.into())
             }
         }
     }
 
     /// Hands the request over and reads the whole answer.
-    async fn exchange(&self, start: Start) -> Result<(http::response::Parts, Bytes), Reason> {
+    async fn exchange(&self, start: StartPermit) -> Result<(http::response::Parts, Bytes), Reason> {
         let mut request = Request::new(Outgoing::Whole(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
@@ -158,9 +159,9 @@
     }
 
     /// Ends a claim that was not handed over and returns what its caller is told.
-    fn give_up(&self, ticket: ClaimTicket, refusal: Refusal) -> Refusal {
+    fn cancel_claim(&self, ticket: ClaimTicket, refusal: Refusal) -> Refusal {
         self.count("given-up");
-        match self.partition.give_up(ticket) {
+        match self.partition.cancel_claim(ticket) {
             Outcome::NotRun => refusal,
             Outcome::Unknown | Outcome::Done => Reason::KeyUnknown.into(),
         }
