--- a/crates/swiftcart-core/examples/claim_cost.rs
+++ b/crates/swiftcart-core/examples/claim_cost.rs
@@ -1,8 +1,8 @@
-//! Measures what claims cost, and prints one JSON object a line.
+//! Measures the memory, time and appends that claims cost, and prints one JSON object per line.
 //!
-//! Run with `cargo run --release -p swiftcart-core --example claim_cost`. Memory is the
-//! growth of the resident set, time is the wall clock; appends are counted in virtual
-//! time, with a platform that takes 5 ms for an append.
+//! Run with `cargo run --release -p swiftcart-core --example claim_cost`. Memory is the growth of
+//! the resident set, and time is wall-clock time. Appends are counted in virtual time, with a
+//! platform that takes 5 ms for each append.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -16,30 +16,30 @@
 const RETENTION: Duration = Duration::from_secs(86_400);
 const KEYS: u128 = 200_000;
 const BATCH: usize = 64;
-/// How long one run of the claimant lasts, in milliseconds of virtual time.
-const RUN_MS: u64 = 60_000;
-/// How long the platform takes for an append, in milliseconds.
-const APPEND_MS: u64 = 5;
-/// How long the backend server takes for a request, in milliseconds.
-const WORK_MS: u64 = 20;
-/// How long a caller waits, in milliseconds.
-const PATIENCE_MS: u64 = 5_000;
+/// Duration of a simulation in milliseconds of virtual time.
+const SIMULATED_MS: u64 = 60_000;
+/// Latency of an append in milliseconds.
+const APPEND_LATENCY_MS: u64 = 5;
+/// Service time of the backend server in milliseconds.
+const SERVICE_TIME_MS: u64 = 20;
+/// Timeout of a caller in milliseconds.
+const CALLER_TIMEOUT_MS: u64 = 5_000;
 
 fn main() {
-    // Kept to the end, so that no case reuses what another one has freed.
-    let kept = [None, Some(0), Some(256), Some(4096)].map(memory);
-    drop(kept);
+    // All ledgers stay alive until the end, so that no case reuses memory freed by another case.
+    let ledgers = [None, Some(0), Some(256), Some(4096)].map(measure_ledger);
+    drop(ledgers);
     for rate in [1.0, 10.0, 100.0, 500.0] {
         for share in [10.0, 50.0] {
             for linger in [1, 5, 50] {
-                appends(rate, share, linger);
+                measure_appends(rate, share, linger);
             }
         }
     }
 }
 
-/// Folds claims, and answers with bodies of `body` bytes, into one ledger.
-fn memory(body: Option<usize>) -> (Vec<Entry>, ClaimLedger) {
+/// Measures a ledger of claims, with answers whose bodies have `body` bytes if it is set.
+fn measure_ledger(body: Option<usize>) -> (Vec<Entry>, ClaimLedger) {
     let settings = ClaimSettings::new(RETENTION).with_memory(1 << 20, 4 << 30);
     let keys = match body {
         Some(size) if size > 1024 => KEYS / 10,
@@ -47,21 +47,21 @@
     };
     let entries = entries(keys, body);
     let mut ledger = ClaimLedger::new(&settings);
-    let before = resident();
+    let before = resident_bytes();
     let start = std::time::Instant::now();
     for entry in &entries {
-        if let Err(e) = ledger.fold(entry) {
-            eprintln!("claim_cost: {e}");
+        if let Err(e) = ledger.apply(entry) {
+            eprintln!("claim_cost: cannot apply record: {e}");
         }
     }
     let took = start.elapsed();
-    let grown = resident().saturating_sub(before);
+    let growth = resident_bytes().saturating_sub(before);
     let items = keys * if body.is_some() { 2 } else { 1 };
     let line = json!({
         "measure": "ledger",
         "keys": ledger.keys(),
         "answer_bytes": body,
-        "bytes_per_key": grown as u128 / keys,
+        "bytes_per_key": growth as u128 / keys,
         "ns_per_item": took.as_nanos() / items,
     });
     println!("{line}");
@@ -69,15 +69,15 @@
 }
 
 fn entries(keys: u128, body: Option<usize>) -> Vec<Entry> {
-    let name = |n: u128| ClaimKey::new(&ServiceName::new("booking"), None, &n.to_string());
+    let key_of = |n: u128| ClaimKey::new(&ServiceName::new("booking"), None, &n.to_string());
     let hash = RequestHash(1);
     let all: Vec<u128> = (0..keys).collect();
     let batches = all.chunks(BATCH).map(|chunk| {
         let mut batch = ClaimBatch::default();
         for n in chunk.iter().copied() {
-            let (key, attempt) = (name(n), AttemptId(n));
+            let (key, attempt) = (key_of(n), AttemptId(n));
             batch.claims.push(ClaimRecord { key, hash, attempt });
-            let body = body.filter(|size| size * BATCH < RECORD_BYTES / 2);
+            let body = body.filter(|size| size * BATCH < MAX_RECORD_BYTES / 2);
             if let Some(size) = body {
                 batch.answers.push(answer_record(key, attempt, size));
             }
@@ -85,10 +85,10 @@
         batch
     });
     let mut bodies: Vec<String> = batches.flat_map(|b| b.encode()).collect();
-    if let Some(size) = body.filter(|size| size * BATCH >= RECORD_BYTES / 2) {
+    if let Some(size) = body.filter(|size| size * BATCH >= MAX_RECORD_BYTES / 2) {
         let answers = all
             .iter()
-            .map(|n| answer_record(name(*n), AttemptId(*n), size));
+            .map(|n| answer_record(key_of(*n), AttemptId(*n), size));
         let single = answers.map(|a| ClaimBatch {
             answers: vec![a],
             ..Default::default()
@@ -124,41 +124,46 @@
     }
 }
 
-/// Returns the resident set in bytes, or zero where the system does not tell.
-fn resident() -> u64 {
+/// Returns the resident set size in bytes, or zero if the system does not report it.
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kib = line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<u64>().ok());
     kib.unwrap_or_default() * 1024
 }
 
-/// Runs one claimant at `rate` keyed calls a second.
-fn appends(rate: f64, share: f64, linger: u64) {
+/// Simulates a claimant at `rate` calls with a key per second.
+fn measure_appends(rate: f64, share: f64, linger: u64) {
     let settings = ClaimSettings::new(RETENTION).with_rate(share, Duration::from_millis(linger));
-    let mut run = Run::new(settings);
-    (0..RUN_MS).for_each(|now| run.step(now, rate / 1000.0));
-    run.waits.sort_unstable();
-    let at = |q: usize| run.waits.get(run.waits.len() * q / 100).copied();
+    let mut simulation = Simulation::new(settings);
+    (0..SIMULATED_MS).for_each(|now| simulation.step(now, rate / 1000.0));
+    simulation.waits.sort_unstable();
+    let at = |q: usize| {
+        simulation
+            .waits
+            .get(simulation.waits.len() * q / 100)
+            .copied()
+    };
     let line = json!({
         "measure": "appends",
         "calls_per_s": rate,
         "share_per_s": share,
         "linger_ms": linger,
-        "calls": run.calls,
-        "refused": run.refused,
-        "appends": run.appends,
-        "appends_per_call": run.appends as f64 / run.calls.max(1) as f64,
+        "calls": simulation.calls,
+        "refused": simulation.refused,
+        "appends": simulation.appends,
+        "appends_per_call": simulation.appends as f64 / simulation.calls.max(1) as f64,
         "wait_ms_p50": at(50),
         "wait_ms_p99": at(99),
     });
     println!("{line}");
 }
 
-/// One claimant, its stream and its backend server, in virtual time.
-struct Run {
+/// Simulation of one claimant with its stream and backend server, in virtual time.
+struct Simulation {
     rng: SmallRng,
     claimant: Claimant,
-    flight: Option<(u64, String)>,
+    append_in_flight: Option<(u64, String)>,
     next: u64,
     offered: BTreeMap<ClaimTicket, u64>,
     running: BTreeMap<u64, Vec<ClaimTicket>>,
@@ -168,7 +173,7 @@
     waits: Vec<u64>,
 }
 
-impl Run {
+impl Simulation {
     fn new(settings: ClaimSettings) -> Self {
         let mut claimant = Claimant::new(settings, 1);
         let (first, next, now) = (Offset(0), Offset(0), PlatformTime(0));
@@ -182,7 +187,7 @@
         Self {
             rng: SmallRng::seed_from_u64(7),
             claimant,
-            flight: None,
+            append_in_flight: None,
             next: 0,
             offered: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -195,8 +200,11 @@
 
     fn step(&mut self, now: u64, chance: f64) {
         let t = Instant::from_millis(now);
-        if let Some((_, body)) = self.flight.take_if(|(lands, _)| *lands <= now) {
-            self.landed(now, body);
+        if let Some((_, body)) = self
+            .append_in_flight
+            .take_if(|(done_at, _)| *done_at <= now)
+        {
+            self.finish_append_at(now, body);
         }
         for ticket in self.running.remove(&now).into_iter().flatten() {
             let finish = ExecutionResult::Whole(answer(256));
@@ -206,11 +214,11 @@
             self.offer(now);
         }
         for action in self.claimant.poll(t) {
-            self.act(now, action);
+            self.take_action(now, action);
         }
     }
 
-    fn landed(&mut self, now: u64, body: String) {
+    fn finish_append_at(&mut self, now: u64, body: String) {
         let t = Instant::from_millis(now);
         let entry = Entry {
             offset: Offset(self.next),
@@ -236,7 +244,7 @@
             key: ClaimKey(self.rng.random()),
             hash: RequestHash(1),
             attempt: AttemptId(self.rng.random()),
-            deadline: Instant::from_millis(now + PATIENCE_MS),
+            deadline: Instant::from_millis(now + CALLER_TIMEOUT_MS),
         };
         match self.claimant.offer(Instant::from_millis(now), claim) {
             Decision::Wait(ticket) => drop(self.offered.insert(ticket, now)),
@@ -244,11 +252,11 @@
         }
     }
 
-    fn act(&mut self, now: u64, action: ClaimAction) {
+    fn take_action(&mut self, now: u64, action: ClaimAction) {
         match action {
             ClaimAction::Append(body) => {
                 self.appends += 1;
-                self.flight = Some((now + APPEND_MS, body));
+                self.append_in_flight = Some((now + APPEND_LATENCY_MS, body));
             }
             ClaimAction::Run(ticket) => {
                 if self
@@ -258,7 +266,10 @@
                 {
                     let offered = self.offered.remove(&ticket).unwrap_or(now);
                     self.waits.push(now - offered);
-                    self.running.entry(now + WORK_MS).or_default().push(ticket);
+                    self.running
+                        .entry(now + SERVICE_TIME_MS)
+                        .or_default()
+                        .push(ticket);
                 }
             }
             ClaimAction::Settle(..) => self.refused += 1,
--- a/crates/swiftcart-core/src/claim.rs
+++ b/crates/swiftcart-core/src/claim.rs
@@ -1,73 +1,78 @@
-//! At most once: claims in the platform's log decide which attempt may run.
+//! At-most-once execution of requests with an idempotency key.
 //!
-//! The model is that of idempotency keys (Forge ORM, *Idempotency keys*): the caller picks
-//! a key for each piece of work, the request's hash is compared before a replay (422 on
-//! a difference), a retry that meets a running attempt gets 409, and the stored status
-//! is replayed whatever it was. The paper rests on a unique index; here the lowest
-//! offset in a stream of the platform's log takes its place.
+//! Attempts compete for a key by appending claims to a stream of the platform's log. The claim
+//! with the lowest offset wins, and only its attempt may run.
+//!
+//! The protocol follows the common model of idempotency keys (Forge ORM, *Idempotency keys*). The
+//! caller picks a key for each piece of work. The request's hash is compared before a replay, and
+//! a difference gives 422. A retry that meets a running attempt gives 409. The stored status is
+//! replayed whatever it is. That paper relies on a unique index in a database; here the lowest
+//! offset in the stream takes the place of the index.
 //!
 //! 1. [`Claimant::offer`] answers from the [`ClaimLedger`] or queues a claim.
-//! 2. The claim is appended, in a batch. An append whose answer is lost is repeated:
-//!    the same attempt twice is harmless.
-//! 3. The claimant follows the stream past its own claim. Only when no record blocked the
-//!    key at the claim's offset does it return [`ClaimAction::Run`].
-//! 4. Right before the hand-over [`Claimant::try_start`] compares the claim's age with
-//!    window - margin on the monotonic clock, counted from before the claim was sent.
+//! 2. The claim is appended as part of a batch. An append without an answer is repeated: readers
+//!    ignore a second record of the same attempt.
+//! 3. The claimant reads the stream past its own claim. It returns [`ClaimAction::Run`] only if no
+//!    record blocked the key at the claim's offset.
+//! 4. Immediately before the request is dispatched, [`Claimant::try_start`] compares the claim's
+//!    age with window - margin. The age is counted on the monotonic clock from before the claim
+//!    was sent.
 //! 5. [`Claimant::record_result`] appends the answer, for replay.
 //!
 //! # Time
 //!
-//! A claim blocks its key until a record is more than window + margin younger by the
-//! platform's time. Its holder starts within window - margin of a moment before the
-//! platform took the claim. Two starts of one key are thus at least two margins apart,
-//! less what the clocks differ over one window; and after that long the key counts as
-//! new work, as the paper's expiry has it. Callers must not retry for longer than the window.
+//! A claim blocks its key until a record is more than window + margin younger by the platform's
+//! clock. The winning attempt starts within window - margin of a moment before the platform
+//! accepted the claim. Two starts of one key are therefore at least two margins apart, less the
+//! clock drift over one window. After that period the key counts as new work, like an expired key
+//! in the paper. Callers must not retry for longer than the window.
+//!
+//! # Abandoned claims
 //!
-//! # Claims that are given up
+//! A caller can be answered `not-run` while the result of its claim's append is unknown. Its ticket
+//! is removed, so this process can no longer dispatch the request. The claim can still be in the
+//! log, or reach it later, and would block the key for a whole window. The claimant therefore
+//! appends an [`AbandonRecord`], which frees the key.
 //!
-//! A caller may be told `not-run` while the fate of its claim's append is unknown: the
-//! ticket is gone, so that this process cannot hand the request over any more. But the
-//! claim may stand in the log, or come to stand there later, and would block the key for
-//! a whole window. Its holder therefore appends an [`AbandonRecord`], which frees the key.
+//! * Only the claimant that never dispatched the ticket writes the record. No other process can
+//!   tell a paused claimant from a crashed one.
+//! * The record takes effect in either order of the two records, because it names the attempt: a
+//!   late repeat of the claim neither wins nor blocks.
+//! * Until the record is in the log, later attempts get 409 with `Retry-After`. If the claimant
+//!   crashes before that, the key stays blocked, and is `unknown` after
+//!   [`ClaimSettings::pending_timeout`].
+//! * A lease that expires would also free the keys of crashed claimants. But a paused claimant
+//!   could still believe that it holds the lease while a second attempt runs, and the backend
+//!   server has no fencing token to compare. A claim without an answer therefore never expires
+//!   within the window.
+//! * Losing claims are abandoned as well; [`ClaimLedger`] explains why they block the key.
 //!
-//! * Only the claimant whose ticket was never handed over writes it. Nobody else can know:
-//!   a paused holder looks just like a dead one.
-//! * It counts whichever of the two records comes first, and it names the attempt: a late
-//!   repeat of the claim neither wins nor blocks.
-//! * Until it is in the log, later attempts get 409 with `Retry-After`. A holder that dies
-//!   before leaves the key blocked: `unknown` after [`ClaimSettings::patience`].
-//! * *Weighed:* a lease that lapses frees the key also for a dead holder, but hands it to
-//!   a second attempt while a paused first one still believes that it holds it, and the
-//!   backend server has no fencing token to compare. A claim without an answer
-//!   therefore never lapses within the window.
-//! * Losing claims are abandoned as well; see [`ClaimLedger`] for why they block at all.
+//! # Cost of reading the stream
 //!
-//! # What following costs
+//! A reader reads each record of a partition once and keeps one long poll open. If each of 970
+//! nodes read the 8 partitions of one service, the platform would hold 7760 long polls and send
+//! each record 970 times. [`rank_guards`] sends the requests of a partition to the same few guards.
+//! With 2 readers for each partition the platform holds 16 long polls and sends each record twice,
+//! regardless of the number of nodes. The number of partitions must be the same on all nodes of a
+//! service; otherwise claims of one key would go to different streams.
 //!
-//! A follower reads each record of a partition once and keeps one long poll open. If every
-//! one of 970 nodes followed the 8 partitions of one service, the platform would hold
-//! 7760 long polls and send each record 970 times. With [`rank_guards`] requests for a partition
-//! go to the same few guards: with 2 followers for each partition it is 16 long polls and
-//! each record is sent twice, however many nodes there are. The number of partitions is
-//! the same on all nodes of a service; another number would part claims of one key.
-//! The example `claim_cost` measured 192 bytes of memory for each key that is claimed and
-//! 640 for each that is answered, without the answer's own bytes. The default bounds of
-//! 65 536 marks and 8 MiB of answers thus come to about 30 MB for each partition that a
-//! node follows.
+//! The example `claim_cost` measures 192 bytes of memory for each claimed key and 640 bytes for
+//! each answered key, without the answer itself. The default limits of 65 536 events and 8 MiB of
+//! answers therefore take about 30 MB for each partition that a node reads.
 
+mod append_queue;
 mod claimant;
 mod decision;
+mod key_history;
 mod ledger;
-mod marks;
-mod outbox;
-mod place;
+mod partition;
 mod record;
 mod settings;
 
 pub use claimant::*;
 pub use decision::*;
+pub use key_history::*;
 pub use ledger::*;
-pub use marks::*;
-pub use place::*;
+pub use partition::*;
 pub use record::*;
 pub use settings::*;
--- a/crates/swiftcart-core/src/claim/claimant.rs
+++ b/crates/swiftcart-core/src/claim/claimant.rs
@@ -1,130 +1,134 @@
-//! The claimant of one partition: from an offer to at most one hand-over.
+//! Claimant of one partition, which leads each offered claim to at most one execution.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use super::outbox::{Item, Outbox};
+use super::append_queue::{AppendQueue, Item};
 use crate::{
     AbandonRecord, Answer, AnswerRecord, AppendResult, Claim, ClaimAction, ClaimBatch, ClaimKey,
     ClaimLedger, ClaimPage, ClaimRecord, ClaimRecordError, ClaimSettings, ClaimTicket,
-    ClaimVerdict, Decision, ExecutionResult, Instant, KeyState, Offset, Outcome, RECORD_BYTES,
+    ClaimVerdict, Decision, ExecutionResult, Instant, KeyState, MAX_RECORD_BYTES, Offset, Outcome,
     Reason, Refusal, Reply, StartPermit,
 };
 
-/// The least time after which asking again can help.
-const RETRY: Duration = Duration::from_secs(1);
-/// Says that the partition's window is still being read.
-const CATCHING_UP: Refusal = Refusal::new(Reason::CatchingUp).with_retry(RETRY);
-/// After this many failed appends in a row, claims are refused until one succeeds.
-const DOWN_FAILURES: u32 = 2;
+/// Shortest `Retry-After` of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Refusal while the partition's records are still being read.
+const CATCHING_UP: Refusal = Refusal::new(Reason::CatchingUp).with_retry(MIN_RETRY_AFTER);
+/// Number of consecutive failed appends after which claims are refused until one succeeds.
+const PLATFORM_DOWN_FAILURES: u32 = 2;
 
-/// Holds one accepted claim.
+/// Accepted claim and its progress.
 #[derive(Debug, Clone)]
-struct Held {
+struct TrackedClaim {
     claim: Claim,
     phase: Phase,
 }
 
-/// Tells how far a claim has come.
+/// Progress of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Queued; not in the log for certain.
+    /// Queued and certainly not in the log.
     Queued,
-    /// An append may have put it into the log, first sent at `sent`.
+    /// Sent in at least one append, so that it may be in the log.
     Sent {
-        sent: Instant,
-        /// Where the log has it, once the platform has said so.
+        /// Time of the first append.
+        sent_at: Instant,
+        /// Offset in the log, once the platform has confirmed the append.
         offset: Option<Offset>,
-        /// Whether the fate of an earlier append is unknown.
-        lost: bool,
+        /// `true` if the result of an earlier append is unknown.
+        uncertain: bool,
     },
-    /// First for its key; not handed over.
-    Won { sent: Instant },
-    /// Handed over.
+    /// Won the key, not dispatched yet.
+    Won { sent_at: Instant },
+    /// Dispatched to the backend server.
     Started,
 }
 
-/// Decides who may run for one partition of one service's keys.
+/// State machine that decides which attempts run in one partition of a service's keys.
 ///
-/// Every input is followed by [`poll`](Self::poll), which returns what to do.
+/// Call [`poll`](Self::poll) after every input; it returns the actions to take.
 #[derive(Debug, Clone)]
 pub struct Claimant {
     settings: ClaimSettings,
     ledger: ClaimLedger,
-    outbox: Outbox,
-    tickets: BTreeMap<ClaimTicket, Held>,
+    append_queue: AppendQueue,
+    tickets: BTreeMap<ClaimTicket, TrackedClaim>,
     keys: HashMap<ClaimKey, ClaimTicket>,
-    last: u64,
-    caught: bool,
+    last_ticket: u64,
+    caught_up: bool,
+    /// `true` while the next record follows a newer claim rule.
     stalled: bool,
     actions: Vec<ClaimAction>,
 }
 
 impl Claimant {
-    /// Creates a claimant that has read nothing and refuses with `catching-up`.
+    /// Creates a claimant that has read no records and refuses claims with `catching-up`.
     ///
-    /// `seed` spreads the retries of many nodes.
+    /// `seed` seeds the jitter that spreads the retries of different nodes.
     #[must_use]
     pub fn new(settings: ClaimSettings, seed: u64) -> Self {
         Self {
             ledger: ClaimLedger::new(&settings),
-            outbox: Outbox::new(&settings, seed),
+            append_queue: AppendQueue::new(&settings, seed),
             settings,
             tickets: BTreeMap::new(),
             keys: HashMap::new(),
-            last: 0,
-            caught: false,
+            last_ticket: 0,
+            caught_up: false,
             stalled: false,
             actions: Vec::new(),
         }
     }
 
-    /// Returns the fold over the partition's records.
+    /// Returns the ledger of the partition.
     #[must_use]
     pub const fn ledger(&self) -> &ClaimLedger {
         &self.ledger
     }
 
-    /// Returns whether the partition has been read to its end.
+    /// Returns `true` if the partition has been read to its end.
     #[must_use]
     pub const fn caught_up(&self) -> bool {
-        self.caught
+        self.caught_up
     }
 
-    /// Returns the items that are not surely in the log; zero before a planned stop ends.
+    /// Returns the number of items that are not confirmed to be in the log.
+    ///
+    /// A planned stop waits until this number is zero.
     #[must_use]
     pub fn unwritten(&self) -> usize {
-        self.outbox.len()
+        self.append_queue.len()
     }
 
-    /// Returns when [`poll`](Self::poll) has something to do without further input.
+    /// Returns the time at which [`poll`](Self::poll) must be called without further input.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Instant> {
-        let open = self.tickets.values().filter(|h| h.phase != Phase::Started);
-        let deadline = open.map(|h| h.claim.deadline).min();
-        deadline.into_iter().chain(self.outbox.due()).min()
+        let undispatched = self.tickets.values().filter(|c| c.phase != Phase::Started);
+        let deadline = undispatched.map(|c| c.claim.deadline).min();
+        deadline.into_iter().chain(self.append_queue.due()).min()
     }
 
-    /// Takes a claim, or tells at once why not.
+    /// Queues a claim, or returns its result if no append is needed.
     pub fn offer(&mut self, now: Instant, claim: Claim) -> Decision {
-        let known = self.ledger.known(claim.key, claim.hash);
-        match (self.stalled, known) {
+        let key_state = self.ledger.key_state(claim.key, claim.hash);
+        match (self.stalled, key_state) {
             (true, _) => Decision::Refuse(Reason::ClaimRule.into()),
             (false, KeyState::Answered(answer)) => Decision::Replay(answer),
-            _ if !self.caught => Decision::Refuse(CATCHING_UP),
-            (false, KeyState::Free) => self.accept(now, claim),
-            (false, known) => decision(known),
+            _ if !self.caught_up => Decision::Refuse(CATCHING_UP),
+            (false, KeyState::Free) => self.try_enqueue(now, claim),
+            (false, key_state) => decision_for(key_state),
         }
     }
 
-    /// Takes records of the partition, read from [`ClaimLedger::next`].
+    /// Applies a page of the partition's records, read from [`ClaimLedger::next`].
     pub fn apply_page(&mut self, now: Instant, page: &ClaimPage<'_>) {
         if page.first > self.ledger.next() {
-            self.caught = false;
+            self.caught_up = false;
         }
-        self.ledger.begin(page.first, page.now);
+        self.ledger.begin_read(page.first, page.now);
         for entry in page.entries {
-            match self.ledger.fold(entry) {
+            match self.ledger.apply(entry) {
                 Err(ClaimRecordError::NewerRule(_)) => {
                     self.stalled = true;
                     break;
@@ -132,53 +136,56 @@
                 Ok(()) | Err(_) => self.stalled = false,
             }
         }
-        self.ledger.advance(page.next, page.now);
-        self.caught |= self.ledger.next() >= page.next;
-        self.outbox.confirm(|item| self.ledger.contains(item));
-        self.judge(now);
+        self.ledger.advance_clock(page.next, page.now);
+        self.caught_up |= self.ledger.next() >= page.next;
+        self.append_queue
+            .remove_logged(|item| self.ledger.contains(item));
+        self.apply_verdicts(now);
     }
 
-    /// Takes the result of the append in flight.
+    /// Processes the result of the append in flight.
     ///
-    /// The edge reports [`AppendResult::Unknown`] when its own timeout for the append ends.
+    /// The embedding program reports [`AppendResult::Unknown`] if the append exceeds its timeout.
     pub fn finish_append(&mut self, now: Instant, result: AppendResult) {
         match result {
-            AppendResult::Done(at) => self.located(now, at),
-            AppendResult::Failed { retry_after } => self.unsent(now, retry_after),
-            AppendResult::Unknown => self.lost(now),
+            AppendResult::Done(at) => self.append_succeeded(now, at),
+            AppendResult::Failed { retry_after } => self.append_failed(now, retry_after),
+            AppendResult::Unknown => self.append_uncertain(now),
         }
-        self.judge(now);
+        self.apply_verdicts(now);
     }
 
-    /// Returns what to do now.
+    /// Returns the actions to take now.
     #[must_use]
     pub fn poll(&mut self, now: Instant) -> Vec<ClaimAction> {
-        self.expire(now);
-        if let Some(batch) = self.outbox.take(now) {
+        self.expire_claims(now);
+        if let Some(batch) = self.append_queue.take_batch(now) {
             self.send(now, &batch);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Allows the hand-over of a ticket that won; ask right before it, and only once.
+    /// Returns a permit to dispatch the request of a ticket that won.
+    ///
+    /// Call this method once, immediately before the request is dispatched.
     ///
     /// # Errors
     ///
-    /// Returns a refusal when the ticket must not be handed over; it has then ended and
-    /// the caller can be told `not-run`.
+    /// Returns a refusal if the request must not be dispatched. The ticket has then ended and the
+    /// caller can be answered `not-run`.
     pub fn try_start(&mut self, ticket: ClaimTicket, now: Instant) -> Result<StartPermit, Refusal> {
-        let Some(held) = self.tickets.get_mut(&ticket) else {
+        let Some(tracked) = self.tickets.get_mut(&ticket) else {
             return Err(Reason::ClaimLapsed.into());
         };
-        let Phase::Won { sent } = held.phase else {
+        let Phase::Won { sent_at } = tracked.phase else {
             return Err(Reason::ClaimLapsed.into());
         };
-        let until = sent + self.settings.startable();
-        let refusal: Refusal = match held.claim.deadline {
+        let until = sent_at + self.settings.start_window();
+        let refusal: Refusal = match tracked.claim.deadline {
             _ if now >= until => Reason::ClaimLapsed.into(),
             deadline if now >= deadline => Reason::DeadlinePassed.into(),
             deadline => {
-                held.phase = Phase::Started;
+                tracked.phase = Phase::Started;
                 return Ok(StartPermit {
                     until: until.min(deadline),
                 });
@@ -188,30 +195,29 @@
         Err(refusal)
     }
 
-    /// Ends a ticket that was handed over.
+    /// Ends a dispatched ticket.
     ///
-    /// Tickets that were not handed over are left as they are; see [`cancel_claim`](Self::cancel_claim).
-    pub fn record_result(&mut self, now: Instant, ticket: ClaimTicket, finish: ExecutionResult) {
-        let Some(held) = self.tickets.get(&ticket) else {
+    /// Tickets that were not dispatched stay unchanged; see [`cancel_claim`](Self::cancel_claim).
+    pub fn record_result(&mut self, now: Instant, ticket: ClaimTicket, result: ExecutionResult) {
+        let Some(tracked) = self.tickets.get(&ticket) else {
             return;
         };
-        let claim = held.claim;
-        match finish {
-            _ if held.phase != Phase::Started => {}
+        let claim = tracked.claim;
+        match result {
+            _ if tracked.phase != Phase::Started => {}
             ExecutionResult::NotRun => self.abandon(now, ticket),
-            ExecutionResult::Whole(answer) => {
-                self.answer(now, ticket, &claim, Reply::Whole(answer))
-            }
-            ExecutionResult::Broken => self.answer(now, ticket, &claim, Reply::Broken),
+            ExecutionResult::Whole(reply) => self.finish(now, ticket, &claim, Reply::Whole(reply)),
+            ExecutionResult::Broken => self.finish(now, ticket, &claim, Reply::Broken),
         }
     }
 
-    /// Ends a ticket whose caller has gone, and returns what the caller can be told.
+    /// Cancels a ticket whose caller has disconnected and returns the outcome for the caller.
     ///
-    /// A ticket that was handed over stays until [`record_result`](Self::record_result). Of a ticket
-    /// that has ended nothing more can be said than was said then.
+    /// A dispatched ticket stays until [`record_result`](Self::record_result), and its outcome is
+    /// unknown. A ticket that has already ended gives [`Outcome::Unknown`], because its outcome was
+    /// reported when it ended.
     pub fn cancel_claim(&mut self, now: Instant, ticket: ClaimTicket) -> Outcome {
-        match self.tickets.get(&ticket).map(|h| h.phase) {
+        match self.tickets.get(&ticket).map(|c| c.phase) {
             Some(Phase::Started) => Outcome::Unknown,
             Some(_) => {
                 self.abandon(now, ticket);
@@ -221,35 +227,42 @@
         }
     }
 
-    fn accept(&mut self, now: Instant, claim: Claim) -> Decision {
-        let wait = self.outbox.wait(now);
-        let after = wait.max(RETRY);
-        let held = self.keys.contains_key(&claim.key) || self.outbox.queued(claim.key);
-        let places = self.outbox.len() + 2 * self.tickets.len() + 2;
-        let failures = self.outbox.failures();
+    fn try_enqueue(&mut self, now: Instant, claim: Claim) -> Decision {
+        let wait = self.append_queue.estimated_wait(now);
+        let retry_after = wait.max(MIN_RETRY_AFTER);
+        let key_in_use =
+            self.keys.contains_key(&claim.key) || self.append_queue.contains_key(claim.key);
+        let required_slots = self.append_queue.len() + 2 * self.tickets.len() + 2;
+        let failures = self.append_queue.failures();
         let refusal: Refusal = match self.ledger.clock() {
-            _ if held => {
-                return Decision::InProgress { retry_after: RETRY };
+            _ if key_in_use => {
+                return Decision::InProgress {
+                    retry_after: MIN_RETRY_AFTER,
+                };
             }
             _ if now >= claim.deadline => Reason::DeadlinePassed.into(),
-            _ if self.ledger.full() => self.shortage(),
-            at if self.ledger.blind(at) => self.shortage(),
-            _ if places > self.outbox.limit() => Refusal::new(Reason::QueueFull).with_retry(after),
-            _ if failures >= DOWN_FAILURES && self.outbox.len() > 0 => {
-                Refusal::new(Reason::PlatformDown).with_retry(after)
+            _ if self.ledger.nearly_full() => self.capacity_refusal(),
+            at if self.ledger.history_incomplete(at) => self.capacity_refusal(),
+            _ if required_slots > self.append_queue.limit() => {
+                Refusal::new(Reason::QueueFull).with_retry(retry_after)
+            }
+            _ if failures >= PLATFORM_DOWN_FAILURES && self.append_queue.len() > 0 => {
+                Refusal::new(Reason::PlatformDown).with_retry(retry_after)
             }
             _ if now + wait >= claim.deadline && failures > 0 => {
-                Refusal::new(Reason::PlatformDown).with_retry(after)
+                Refusal::new(Reason::PlatformDown).with_retry(retry_after)
+            }
+            _ if now + wait >= claim.deadline => {
+                Refusal::new(Reason::QueueFull).with_retry(retry_after)
             }
-            _ if now + wait >= claim.deadline => Refusal::new(Reason::QueueFull).with_retry(after),
             _ => return Decision::Wait(self.enqueue(now, claim)),
         };
         Decision::Refuse(refusal)
     }
 
-    /// Refuses a claim that this ledger could not remember or decide.
-    fn shortage(&self) -> Refusal {
-        let reason = match self.ledger.full() {
+    /// Returns the refusal of a claim that the ledger cannot store or decide.
+    fn capacity_refusal(&self) -> Refusal {
+        let reason = match self.ledger.nearly_full() {
             true => Reason::LedgerFull,
             false => Reason::CatchingUp,
         };
@@ -260,116 +273,124 @@
         let Claim {
             key, hash, attempt, ..
         } = claim;
-        self.last += 1;
-        let ticket = ClaimTicket(self.last);
+        self.last_ticket += 1;
+        let ticket = ClaimTicket(self.last_ticket);
         let phase = Phase::Queued;
-        self.tickets.insert(ticket, Held { claim, phase });
+        self.tickets.insert(ticket, TrackedClaim { claim, phase });
         self.keys.insert(key, ticket);
         let record = ClaimRecord { key, hash, attempt };
-        self.outbox.push(now, Item::Claim(record));
+        self.append_queue.push(now, Item::Claim(record));
         ticket
     }
 
-    /// Starts an append: the age of its claims counts from before it is sent.
+    /// Starts an append. The age of its claims counts from before the append is sent.
     fn send(&mut self, now: Instant, batch: &ClaimBatch) {
         for record in &batch.claims {
             let ticket = self.keys.get(&record.key);
-            let held = ticket.and_then(|t| self.tickets.get_mut(t));
-            match held {
-                Some(held) if held.phase == Phase::Queued => {
-                    let (sent, offset, lost) = (now, None, false);
-                    held.phase = Phase::Sent { sent, offset, lost };
+            let tracked = ticket.and_then(|t| self.tickets.get_mut(t));
+            match tracked {
+                Some(tracked) if tracked.phase == Phase::Queued => {
+                    let (sent_at, offset, uncertain) = (now, None, false);
+                    tracked.phase = Phase::Sent {
+                        sent_at,
+                        offset,
+                        uncertain,
+                    };
                 }
                 _ => {}
             }
         }
         match batch.encode() {
             Ok(body) => self.actions.push(ClaimAction::Append(body)),
-            // Sizes are counted item by item, so that this cannot happen; if it did,
-            // the append would fail like any other.
-            Err(_) => self.unsent(now, None),
+            // The queue limits the size of a batch, so this error is not expected. It is handled
+            // as a failed append.
+            Err(_) => self.append_failed(now, None),
         }
     }
 
-    fn located(&mut self, now: Instant, at: Offset) {
-        for attempt in self.outbox.flying_claims() {
-            let mut held = self.tickets.values_mut();
-            if let Some(Phase::Sent { offset, .. }) = held
-                .find(|h| h.claim.attempt == attempt)
-                .map(|h| &mut h.phase)
+    fn append_succeeded(&mut self, now: Instant, at: Offset) {
+        for attempt in self.append_queue.in_flight_claims() {
+            let mut tracked = self.tickets.values_mut();
+            if let Some(Phase::Sent { offset, .. }) = tracked
+                .find(|c| c.claim.attempt == attempt)
+                .map(|c| &mut c.phase)
             {
                 offset.get_or_insert(at);
             }
         }
-        self.outbox.finish_append(now);
+        self.append_queue.append_succeeded(now);
     }
 
-    fn unsent(&mut self, now: Instant, retry_after: Option<Duration>) {
-        let flying = self.outbox.flying_claims();
-        for held in self.tickets.values_mut() {
-            let own = flying.contains(&held.claim.attempt);
-            match held.phase {
-                Phase::Sent { lost: false, .. } if own => held.phase = Phase::Queued,
+    fn append_failed(&mut self, now: Instant, retry_after: Option<Duration>) {
+        let in_flight = self.append_queue.in_flight_claims();
+        for tracked in self.tickets.values_mut() {
+            let is_in_flight = in_flight.contains(&tracked.claim.attempt);
+            match tracked.phase {
+                Phase::Sent {
+                    uncertain: false, ..
+                } if is_in_flight => tracked.phase = Phase::Queued,
                 _ => {}
             }
         }
         self.requeue(now, retry_after);
     }
 
-    fn lost(&mut self, now: Instant) {
-        let flying = self.outbox.flying_claims();
-        for held in self.tickets.values_mut() {
-            let own = flying.contains(&held.claim.attempt);
-            match &mut held.phase {
-                Phase::Sent { lost, .. } if own => *lost = true,
+    fn append_uncertain(&mut self, now: Instant) {
+        let in_flight = self.append_queue.in_flight_claims();
+        for tracked in self.tickets.values_mut() {
+            let is_in_flight = in_flight.contains(&tracked.claim.attempt);
+            match &mut tracked.phase {
+                Phase::Sent { uncertain, .. } if is_in_flight => *uncertain = true,
                 _ => {}
             }
         }
         self.requeue(now, None);
     }
 
-    /// Queues the items in flight again, but for claims that were given up.
+    /// Queues the items in flight again, except for claims that were abandoned.
     fn requeue(&mut self, now: Instant, retry_after: Option<Duration>) {
-        self.outbox.failed(now, retry_after);
-        for attempt in self.outbox.queued_claims() {
-            if !self.tickets.values().any(|h| h.claim.attempt == attempt) {
-                self.outbox.cancel(attempt);
+        self.append_queue.append_failed(now, retry_after);
+        for attempt in self.append_queue.queued_claims() {
+            if !self.tickets.values().any(|c| c.claim.attempt == attempt) {
+                self.append_queue.cancel(attempt);
             }
         }
     }
 
-    /// Applies the ledger's verdicts to the claims that wait for one.
-    fn judge(&mut self, now: Instant) {
-        let waiting = self.tickets.iter().filter_map(|(t, h)| match h.phase {
-            Phase::Sent { sent, offset, .. } => Some((*t, h.claim, sent, offset)),
+    /// Applies the ledger's verdicts to the claims that were sent.
+    fn apply_verdicts(&mut self, now: Instant) {
+        let waiting = self.tickets.iter().filter_map(|(t, c)| match c.phase {
+            Phase::Sent {
+                sent_at, offset, ..
+            } => Some((*t, c.claim, sent_at, offset)),
             _ => None,
         });
-        for (ticket, claim, sent, offset) in waiting.collect::<Vec<_>>() {
-            let passed = offset.is_some_and(|o| o < self.ledger.next());
-            match self.ledger.standing(claim.key, claim.attempt) {
-                Some(ClaimVerdict::Won) => self.win(ticket, sent),
-                Some(ClaimVerdict::Lost) => self.lose(now, ticket, &claim),
-                Some(ClaimVerdict::Undecided) => self.refuse(now, ticket),
-                None if passed => self.refuse(now, ticket),
+        for (ticket, claim, sent_at, offset) in waiting.collect::<Vec<_>>() {
+            let read_past = offset.is_some_and(|o| o < self.ledger.next());
+            match self.ledger.verdict(claim.key, claim.attempt) {
+                Some(ClaimVerdict::Won) => self.mark_won(ticket, sent_at),
+                Some(ClaimVerdict::Lost) => self.settle_lost(now, ticket, &claim),
+                Some(ClaimVerdict::Undecided) => self.settle_undecided(now, ticket),
+                None if read_past => self.settle_undecided(now, ticket),
                 None => {}
             }
         }
     }
 
-    fn win(&mut self, ticket: ClaimTicket, sent: Instant) {
-        if let Some(held) = self.tickets.get_mut(&ticket) {
-            held.phase = Phase::Won { sent };
+    fn mark_won(&mut self, ticket: ClaimTicket, sent_at: Instant) {
+        if let Some(tracked) = self.tickets.get_mut(&ticket) {
+            tracked.phase = Phase::Won { sent_at };
             self.actions.push(ClaimAction::Run(ticket));
         }
     }
 
-    fn lose(&mut self, now: Instant, ticket: ClaimTicket, claim: &Claim) {
-        let known = self.ledger.known(claim.key, claim.hash);
-        self.settle(now, ticket, decision(known));
+    fn settle_lost(&mut self, now: Instant, ticket: ClaimTicket, claim: &Claim) {
+        let key_state = self.ledger.key_state(claim.key, claim.hash);
+        self.settle(now, ticket, decision_for(key_state));
     }
 
-    fn refuse(&mut self, now: Instant, ticket: ClaimTicket) {
-        let refusal = self.shortage();
+    fn settle_undecided(&mut self, now: Instant, ticket: ClaimTicket) {
+        let refusal = self.capacity_refusal();
         self.settle(now, ticket, Decision::Refuse(refusal));
     }
 
@@ -378,69 +399,73 @@
         self.actions.push(ClaimAction::Settle(ticket, decision));
     }
 
-    /// Gives up the claims whose callers wait no longer.
-    fn expire(&mut self, now: Instant) {
-        let late = self.tickets.iter().filter_map(|(t, h)| match h.phase {
+    /// Ends the claims whose deadlines have passed before their requests were dispatched.
+    fn expire_claims(&mut self, now: Instant) {
+        let overdue = self.tickets.iter().filter_map(|(t, c)| match c.phase {
             Phase::Started => None,
-            _ => (now >= h.claim.deadline).then_some(*t),
+            _ => (now >= c.claim.deadline).then_some(*t),
         });
-        let refusal: Refusal = match self.outbox.failures() {
+        let refusal: Refusal = match self.append_queue.failures() {
             0 => Reason::DeadlinePassed.into(),
-            _ => Refusal::new(Reason::PlatformDown).with_retry(self.outbox.wait(now).max(RETRY)),
+            _ => Refusal::new(Reason::PlatformDown)
+                .with_retry(self.append_queue.estimated_wait(now).max(MIN_RETRY_AFTER)),
         };
-        for ticket in late.collect::<Vec<_>>() {
+        for ticket in overdue.collect::<Vec<_>>() {
             self.settle(now, ticket, Decision::Refuse(refusal));
         }
     }
 
-    /// Ends a ticket that was not handed over: from here on it never can be.
+    /// Ends a ticket that was not dispatched, so that it can no longer be dispatched.
     ///
-    /// The record that frees the key is owed only once a claim may be in the log.
+    /// The record that frees the key is appended only if the claim may be in the log.
     fn abandon(&mut self, now: Instant, ticket: ClaimTicket) {
-        let Some(held) = self.tickets.remove(&ticket) else {
+        let Some(tracked) = self.tickets.remove(&ticket) else {
             return;
         };
-        let Claim { key, attempt, .. } = held.claim;
+        let Claim { key, attempt, .. } = tracked.claim;
         self.keys.remove(&key);
-        self.outbox.cancel(attempt);
-        if held.phase != Phase::Queued {
+        self.append_queue.cancel(attempt);
+        if tracked.phase != Phase::Queued {
             let record = AbandonRecord { key, attempt };
-            self.outbox.push(now, Item::Abandon(record));
+            self.append_queue.push(now, Item::Abandon(record));
         }
     }
 
-    fn answer(&mut self, now: Instant, ticket: ClaimTicket, claim: &Claim, reply: Reply) {
+    /// Ends a dispatched ticket and queues its result.
+    fn finish(&mut self, now: Instant, ticket: ClaimTicket, claim: &Claim, reply: Reply) {
         let Claim {
             key, hash, attempt, ..
         } = *claim;
         self.tickets.remove(&ticket);
         self.keys.remove(&key);
-        let reply = bounded(reply, self.settings.answer);
+        let reply = limit_reply(reply, self.settings.answer);
         let item = Item::Answer(AnswerRecord {
             key,
             hash,
             attempt,
             reply,
         });
-        self.outbox.push(now, item);
+        self.append_queue.push(now, item);
     }
 }
 
-/// Returns `reply`, or [`Reply::TooLarge`] in place of an answer that is not kept.
-fn bounded(reply: Reply, limit: usize) -> Reply {
+/// Returns `reply`, or [`Reply::TooLarge`] if its answer exceeds the stored size.
+fn limit_reply(reply: Reply, limit: usize) -> Reply {
     match reply {
         Reply::Whole(Answer { ref body, .. }) if body.len() > limit => Reply::TooLarge,
-        Reply::Whole(ref answer) if answer.size() > RECORD_BYTES => Reply::TooLarge,
+        Reply::Whole(ref answer) if answer.size() > MAX_RECORD_BYTES => Reply::TooLarge,
         reply => reply,
     }
 }
 
-fn decision(known: KeyState) -> Decision {
-    match known {
+fn decision_for(key_state: KeyState) -> Decision {
+    match key_state {
         KeyState::Answered(answer) => Decision::Replay(answer),
         KeyState::Conflict => Decision::Conflict,
         KeyState::Unknown(reason) => Decision::Unknown(reason),
-        // The key of a claim that just lost may be free again; a retry will tell.
-        KeyState::Pending | KeyState::Free => Decision::InProgress { retry_after: RETRY },
+        // The key may have become free since the claim lost; a retry gets the current state.
+        KeyState::Pending | KeyState::Free => Decision::InProgress {
+            retry_after: MIN_RETRY_AFTER,
+        },
     }
 }
--- a/crates/swiftcart-core/src/claim/decision.rs
+++ b/crates/swiftcart-core/src/claim/decision.rs
@@ -1,4 +1,4 @@
-//! What a claimant tells the call path.
+//! Inputs and outputs of a claimant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,98 +7,100 @@
     Answer, AttemptId, ClaimKey, Entry, Instant, Offset, PlatformTime, Reason, Refusal, RequestHash,
 };
 
-/// Asks to run a piece of work once.
+/// Request to run a piece of work at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The work.
+    /// Identifier of the work.
     pub key: ClaimKey,
-    /// The request.
+    /// Hash of the request.
     pub hash: RequestHash,
-    /// This attempt: 128 fresh random bits for every offer.
+    /// Identifier of this attempt: 128 random bits, drawn anew for every offer.
     pub attempt: AttemptId,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
 }
 
-/// Names a claim that a [`Claimant`](crate::Claimant) has accepted for decision.
+/// Identifier of a claim that a [`Claimant`](crate::Claimant) has queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimTicket(pub u64);
 
-/// Tells what becomes of a claim.
+/// Result of an offered claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Another attempt ran the same request: give its answer.
+    /// Another attempt ran the same request; its stored answer is returned.
     Replay(Arc<Answer>),
-    /// Another request has the key (422).
+    /// A different request uses the key (422).
     Conflict,
-    /// Another attempt holds the key (409); this one did not run.
+    /// Another attempt holds the key (409); this attempt did not run.
     InProgress {
-        /// When asking again can help.
+        /// Shortest delay after which a retry can succeed.
         retry_after: Duration,
     },
-    /// Another attempt ran or may have run, and its answer cannot be given.
+    /// Another attempt ran or may have run, and its answer is not available.
     Unknown(Reason),
-    /// The claim is on its way to the log; a [`ClaimAction`] follows.
+    /// The claim is queued for the log; a [`ClaimAction`] follows.
     Wait(ClaimTicket),
-    /// This attempt did not run and never will.
+    /// This attempt did not run and will not run.
     Refuse(Refusal),
 }
 
-/// Tells the edge what to do.
+/// Action that the embedding program must take.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Append this record, and report with [`Claimant::finish_append`](crate::Claimant::finish_append).
+    /// Append this record and report the result with
+    /// [`Claimant::finish_append`](crate::Claimant::finish_append).
     Append(String),
-    /// Ask [`Claimant::try_start`](crate::Claimant::try_start), then hand the request over.
+    /// Call [`Claimant::try_start`](crate::Claimant::try_start), then dispatch the request.
     Run(ClaimTicket),
-    /// The ticket has ended without a hand-over; the decision is never `Wait`.
+    /// The ticket ended before the request was dispatched; the decision is never `Wait`.
     Settle(ClaimTicket, Decision),
 }
 
-/// Tells how an append ended.
+/// Result of an append to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AppendResult {
-    /// The record stands at this offset.
+    /// The record is in the log, at this offset.
     Done(Offset),
-    /// The record surely is not and never will be in the log.
+    /// The record is not in the log and will not reach it.
     Failed {
-        /// The platform's `Retry-After`.
+        /// `Retry-After` of the platform's answer.
         retry_after: Option<Duration>,
     },
-    /// No answer came: the record is in the log, will be, or neither.
+    /// No answer arrived: the record may be in the log or may still reach it.
     Unknown,
 }
 
-/// Allows one hand-over.
+/// Permit to dispatch a request once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StartPermit {
-    /// The last moment at which the backend server may begin.
+    /// Latest time at which the backend server may begin.
     ///
-    /// It goes to the backend server as an absolute deadline, because this process may
-    /// be paused between the check and the hand-over.
+    /// This time is sent to the backend server as an absolute deadline, because this process can
+    /// be paused between the check and the dispatch.
     pub until: Instant,
 }
 
-/// Tells how a hand-over ended.
+/// Result of a dispatched request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecutionResult {
-    /// The backend server gave a whole answer.
+    /// The backend server returned a complete answer.
     Whole(Answer),
-    /// The request was handed over and no whole answer came back.
+    /// The request was dispatched and no complete answer arrived.
     Broken,
-    /// Nothing reached the backend server, for certain (its connection was refused, say).
+    /// The request did not reach the backend server, for example because its connection was
+    /// refused.
     NotRun,
 }
 
-/// Holds what one read of the partition's stream returned.
+/// Page of records from a partition's stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClaimPage<'a> {
-    /// The oldest offset that is still kept.
+    /// Oldest offset that the stream still holds.
     pub first: Offset,
-    /// The offset that the next append gets.
+    /// Offset of the next append.
     pub next: Offset,
-    /// The platform's clock, read when the page was made.
+    /// Platform time at which the page was read.
     pub now: PlatformTime,
-    /// The records, in order of their offsets.
+    /// Records in the order of their offsets.
     pub entries: &'a [Entry],
 }
--- a/crates/swiftcart-core/src/claim/ledger.rs
+++ b/crates/swiftcart-core/src/claim/ledger.rs
@@ -1,58 +1,59 @@
-//! The pure fold over one partition's records that says who may run.
+//! Deterministic replay of a partition's records that decides which attempt may run.
 //!
-//! A claim wins when no other record blocks its key at its offset. Every claim that
-//! was not abandoned, and every answer, blocks its key until a record is more than
-//! window + margin younger by the platform's time. Losing claims block as well, until
-//! their holders abandon them: so the verdict rests on the records of the last
-//! window + margin alone, and a reader that starts later comes to the same one. Were
-//! losers ignored, a reader that no longer sees the winner would take the loser for
-//! it, and two readers would date the next life of the key differently.
+//! A claim wins if no other record blocks its key at its offset. Each claim that was not
+//! abandoned, and each answer, blocks its key until a record is more than window + margin younger
+//! by the platform's clock.
 //!
-//! What a ledger cannot know, it does not decide: it keeps the time up to which
-//! records may be missing (`blind`), and a claim within window + margin after it is
+//! Losing claims block their key as well, until their claimants abandon them. The verdict thus
+//! depends only on the records of the last window + margin, and a reader that starts later reaches
+//! the same verdict. If losing claims were ignored, a reader that no longer sees the winner would
+//! take a loser for the winner, and two readers would disagree about when the key is free again.
+//!
+//! A ledger does not decide claims for which records may be missing. It stores the time up to which
+//! records may be missing, and a claim within window + margin after that time is
 //! [`ClaimVerdict::Undecided`].
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::marks::{Kept, Kind, Mark, Marks};
-use super::outbox::{Item, pop_front_if};
+use super::append_queue::{Item, pop_front_if};
+use super::key_history::{KeyEvent, KeyEventKind, KeyHistory, StoredReply};
 use crate::{
     AbandonRecord, Answer, AnswerRecord, AttemptId, ClaimBatch, ClaimKey, ClaimRecord,
     ClaimRecordError, ClaimSettings, ClaimVerdict, Entry, Offset, PlatformTime, Reason,
     RequestHash,
 };
 
-/// Tells what the ledger knows of a key that an attempt asks for.
+/// State of a key, as seen by a new attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyState {
     /// No record blocks the key.
     Free,
-    /// The backend server's answer to the same request.
+    /// The same request was answered, with this answer of the backend server.
     Answered(Arc<Answer>),
-    /// Another request has the key.
+    /// A different request uses the key.
     Conflict,
-    /// An attempt holds the key and has not ended.
+    /// An attempt holds the key and has no result yet.
     Pending,
-    /// An attempt ran, or may have, and its answer cannot be given.
+    /// An attempt ran or may have run, and its answer is not available.
     Unknown(Reason),
 }
 
-/// Counts what a ledger met.
+/// Counters of irregular records in a ledger.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct LedgerCounts {
-    /// Records that are no batch of claims.
+pub struct ClaimLedgerCounts {
+    /// Records that are not a valid batch of claims.
     pub malformed: u64,
-    /// Items that could not be remembered.
-    pub overflow: u64,
-    /// Answers of attempts that did not win.
-    pub stray: u64,
-    /// Times that records were missed.
+    /// Key events that were dropped because the ledger was full.
+    pub dropped_events: u64,
+    /// Answers that were rejected because their attempts had not won.
+    pub rejected_answers: u64,
+    /// Gaps in the records that were read.
     pub gaps: u64,
 }
 
-/// Folds the records of one partition.
+/// Claims, answers and abandoned attempts of one partition, rebuilt from its records.
 ///
 /// # Examples
 ///
@@ -61,180 +62,187 @@
 /// use swiftcart_core::*;
 ///
 /// let mut ledger = ClaimLedger::new(&ClaimSettings::new(Duration::from_secs(3600)));
-/// ledger.begin(Offset(0), PlatformTime(0));
+/// ledger.begin_read(Offset(0), PlatformTime(0));
 /// let claim = |attempt| ClaimRecord {
 ///     key: ClaimKey(1),
 ///     hash: RequestHash(2),
 ///     attempt: AttemptId(attempt),
 /// };
 /// let batch = ClaimBatch { claims: vec![claim(7), claim(8)], ..Default::default() };
-/// ledger.fold(&Entry { offset: Offset(0), at_ms: 5, body: batch.encode()? })?;
-/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(7)), Some(ClaimVerdict::Won));
-/// assert_eq!(ledger.standing(ClaimKey(1), AttemptId(8)), Some(ClaimVerdict::Lost));
+/// ledger.apply(&Entry { offset: Offset(0), at_ms: 5, body: batch.encode()? })?;
+/// assert_eq!(ledger.verdict(ClaimKey(1), AttemptId(7)), Some(ClaimVerdict::Won));
+/// assert_eq!(ledger.verdict(ClaimKey(1), AttemptId(8)), Some(ClaimVerdict::Lost));
 /// # Ok::<(), ClaimRecordError>(())
 /// ```
 #[derive(Debug, Clone)]
 pub struct ClaimLedger {
-    blocked: Duration,
-    patience: Duration,
+    blocking_period: Duration,
+    pending_timeout: Duration,
     retention: Duration,
-    max_marks: usize,
-    max_bytes: usize,
-    keys: HashMap<ClaimKey, Marks>,
-    /// Every mark ever made that has not expired, the oldest first.
+    max_events: usize,
+    max_answer_bytes: usize,
+    keys: HashMap<ClaimKey, KeyHistory>,
+    /// Time and key of all key events that have not expired, oldest first.
     expiry: VecDeque<(PlatformTime, ClaimKey)>,
-    bytes: usize,
+    answer_bytes: usize,
     next: Option<Offset>,
     clock: PlatformTime,
-    /// Records up to this time may be missing.
-    blind: Option<PlatformTime>,
-    counts: LedgerCounts,
+    /// Platform time up to which records may be missing.
+    missing_until: Option<PlatformTime>,
+    counts: ClaimLedgerCounts,
 }
 
 impl ClaimLedger {
-    /// Creates a ledger that has read nothing.
+    /// Creates a ledger that has read no records.
     #[must_use]
     pub fn new(settings: &ClaimSettings) -> Self {
         Self {
-            blocked: settings.blocked(),
-            patience: settings.patience,
+            blocking_period: settings.blocking_period(),
+            pending_timeout: settings.pending_timeout,
             retention: settings.retention,
-            max_marks: settings.marks,
-            max_bytes: settings.bytes,
+            max_events: settings.marks,
+            max_answer_bytes: settings.answer_bytes,
             keys: HashMap::new(),
             expiry: VecDeque::new(),
-            bytes: 0,
+            answer_bytes: 0,
             next: None,
             clock: PlatformTime::default(),
-            blind: None,
-            counts: LedgerCounts::default(),
+            missing_until: None,
+            counts: ClaimLedgerCounts::default(),
         }
     }
 
-    /// Returns the offset to read from.
+    /// Returns the offset of the next record to read.
     #[must_use]
     pub fn next(&self) -> Offset {
         self.next.unwrap_or_default()
     }
 
-    /// Returns the latest time that the platform is known to have reached.
+    /// Returns the latest platform time that the ledger has seen.
     #[must_use]
     pub const fn clock(&self) -> PlatformTime {
         self.clock
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of stored keys.
     #[must_use]
     pub fn keys(&self) -> usize {
         self.keys.len()
     }
 
-    /// Returns the bytes of answers that are remembered.
+    /// Returns the total size of the stored answers in bytes.
     #[must_use]
-    pub const fn bytes(&self) -> usize {
-        self.bytes
+    pub const fn answer_bytes(&self) -> usize {
+        self.answer_bytes
     }
 
-    /// Returns what the ledger met.
+    /// Returns the counters of irregular records.
     #[must_use]
-    pub const fn counts(&self) -> LedgerCounts {
+    pub const fn counts(&self) -> ClaimLedgerCounts {
         self.counts
     }
 
-    /// Returns whether new claims would soon not be remembered.
+    /// Returns `true` if the ledger refuses new claims because it is nearly full.
     ///
-    /// An eighth is left for the claims of nodes that have not noticed yet.
+    /// An eighth of the capacity is reserved for claims of nodes whose ledgers lag behind.
     #[must_use]
-    pub fn full(&self) -> bool {
-        self.expiry.len() >= self.max_marks - self.max_marks / 8
+    pub fn nearly_full(&self) -> bool {
+        self.expiry.len() >= self.max_events - self.max_events / 8
     }
 
-    /// Returns whether a claim at `at` could not be decided for want of history.
+    /// Returns `true` if a claim at `at` is undecidable because earlier records may be missing.
     #[must_use]
-    pub fn blind(&self, at: PlatformTime) -> bool {
-        self.blind.is_some_and(|blind| at <= blind + self.blocked)
+    pub fn history_incomplete(&self, at: PlatformTime) -> bool {
+        self.missing_until
+            .is_some_and(|until| at <= until + self.blocking_period)
     }
 
-    /// Returns how long claims are refused for want of memory or history.
+    /// Returns the time after which the ledger accepts claims again.
+    ///
+    /// Claims are refused while the ledger is nearly full or its history is incomplete.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         let oldest = self
             .expiry
             .front()
-            .filter(|_| self.full())
+            .filter(|_| self.nearly_full())
             .map(|(at, _)| *at);
-        let until = oldest.max(self.blind).unwrap_or_default() + self.blocked;
+        let until = oldest.max(self.missing_until).unwrap_or_default() + self.blocking_period;
         until.since(self.clock).max(Duration::from_secs(1))
     }
 
-    /// Returns whether the log is known to hold `item`.
+    /// Returns `true` if the records that were read contain `item`.
     pub(super) fn contains(&self, item: &Item) -> bool {
-        let Some(marks) = self.keys.get(&item.key()) else {
+        let Some(history) = self.keys.get(&item.key()) else {
             return false;
         };
         match item {
-            Item::Claim(r) => marks.knows(r.attempt),
-            Item::Answer(_) => marks.answered(),
-            Item::Abandon(r) => marks.abandoned(r.attempt),
+            Item::Claim(r) => history.contains_attempt(r.attempt),
+            Item::Answer(_) => history.has_answer(),
+            Item::Abandon(r) => history.is_abandoned(r.attempt),
         }
     }
 
-    /// Returns what a claim is worth, once its record is folded.
+    /// Returns the verdict on a claim, or `None` if the ledger does not hold the claim.
     #[must_use]
-    pub fn standing(&self, key: ClaimKey, attempt: AttemptId) -> Option<ClaimVerdict> {
-        self.keys.get(&key)?.standing(attempt)
+    pub fn verdict(&self, key: ClaimKey, attempt: AttemptId) -> Option<ClaimVerdict> {
+        self.keys.get(&key)?.verdict(attempt)
     }
 
-    /// Returns what is known of `key` for the request `hash`.
+    /// Returns the state of `key` for a request with the hash `hash`.
     ///
-    /// The request's hash is compared before any replay, as the paper asks, and the
+    /// The hash is compared before any replay, as Forge ORM, *Idempotency keys*, requires. The
     /// stored status is replayed whatever it is.
     #[must_use]
-    pub fn known(&self, key: ClaimKey, hash: RequestHash) -> KeyState {
-        let Some(entry) = self.keys.get(&key).filter(|e| e.blocks()) else {
+    pub fn key_state(&self, key: ClaimKey, hash: RequestHash) -> KeyState {
+        let Some(history) = self.keys.get(&key).filter(|h| h.blocks_key()) else {
             return KeyState::Free;
         };
-        match (entry.answer(), entry.winner()) {
-            (Some((other, _)), _) | (None, Some((_, other))) if other != hash => KeyState::Conflict,
-            (Some((_, Kept::Whole(answer))), _) => KeyState::Answered(Arc::clone(answer)),
-            (Some((_, Kept::TooLarge)), _) => KeyState::Unknown(Reason::AnswerTooLarge),
-            (Some((_, Kept::Broken)), _) => KeyState::Unknown(Reason::AnswerBroken),
-            (Some((_, Kept::Dropped)), _) => KeyState::Unknown(Reason::AnswerDropped),
-            (None, _) if self.overdue(entry) => KeyState::Unknown(Reason::KeyUnknown),
+        match (history.answer(), history.winning_claim()) {
+            (Some((stored_hash, _)), _) | (None, Some((_, stored_hash))) if stored_hash != hash => {
+                KeyState::Conflict
+            }
+            (Some((_, StoredReply::Whole(answer))), _) => KeyState::Answered(Arc::clone(answer)),
+            (Some((_, StoredReply::TooLarge)), _) => KeyState::Unknown(Reason::AnswerTooLarge),
+            (Some((_, StoredReply::Broken)), _) => KeyState::Unknown(Reason::AnswerBroken),
+            (Some((_, StoredReply::Dropped)), _) => KeyState::Unknown(Reason::AnswerDropped),
+            (None, _) if self.pending_timed_out(history) => KeyState::Unknown(Reason::KeyUnknown),
             (None, _) => KeyState::Pending,
         }
     }
 
-    /// Notes that a read starts at `first`, the oldest kept record, at the platform's `now`.
+    /// Starts the page whose oldest available record is `first` at the platform time `now`.
     ///
-    /// Whatever lies between the last record read and `first` is lost to this ledger;
-    /// the platform only drops records that are older than the retention.
-    pub fn begin(&mut self, first: Offset, now: PlatformTime) {
+    /// Records between the last record read and `first` are missing from this ledger. The platform
+    /// deletes only records that are older than the retention.
+    pub fn begin_read(&mut self, first: Offset, now: PlatformTime) {
         if first <= self.next() {
             self.next.get_or_insert(first);
             return;
         }
         self.counts.gaps += 1;
-        self.miss(now.before(self.retention));
+        self.mark_missing(now.before(self.retention));
         self.next = Some(first);
     }
 
-    /// Notes that the platform's clock showed `now` when every record below `next` existed.
-    pub fn advance(&mut self, next: Offset, now: PlatformTime) {
+    /// Advances the clock to `now`, if all records below `next` were read.
+    ///
+    /// `now` is the platform time at which the stream ended at `next`.
+    pub fn advance_clock(&mut self, next: Offset, now: PlatformTime) {
         if self.next() == next {
             self.expire(now);
         }
     }
 
-    /// Takes the next record.
+    /// Applies the next record.
     ///
-    /// A malformed record is counted and skipped, by every reader alike.
+    /// A malformed record is counted and skipped, in the same way by all readers.
     ///
     /// # Errors
     ///
-    /// Returns [`ClaimRecordError::NewerRule`] and stays before the record when a newer
-    /// release wrote it.
-    pub fn fold(&mut self, entry: &Entry) -> Result<(), ClaimRecordError> {
+    /// Returns [`ClaimRecordError::NewerRule`] if a newer release wrote the record. The ledger then
+    /// stays before that record.
+    pub fn apply(&mut self, entry: &Entry) -> Result<(), ClaimRecordError> {
         let Entry {
             offset,
             at_ms,
@@ -254,9 +262,9 @@
         self.expire(PlatformTime(*at_ms));
         if *offset > self.next() {
             self.counts.gaps += 1;
-            self.miss(self.clock);
+            self.mark_missing(self.clock);
         }
-        // A clock that steps back must not make records look younger than they are.
+        // If the platform's clock steps back, earlier records must not look younger than they are.
         let at = self.clock;
         batch.abandoned.iter().for_each(|r| self.abandon(at, r));
         batch.claims.iter().for_each(|r| self.claim(at, r));
@@ -266,94 +274,104 @@
     }
 
     fn claim(&mut self, at: PlatformTime, record: &ClaimRecord) {
-        let blind = self.blind(at);
-        let entry = self.keys.get(&record.key);
-        let standing = match entry {
-            Some(entry) if entry.knows(record.attempt) => return,
-            Some(entry) if entry.blocks() => ClaimVerdict::Lost,
-            _ if blind => ClaimVerdict::Undecided,
+        let incomplete = self.history_incomplete(at);
+        let history = self.keys.get(&record.key);
+        let verdict = match history {
+            Some(history) if history.contains_attempt(record.attempt) => return,
+            Some(history) if history.blocks_key() => ClaimVerdict::Lost,
+            _ if incomplete => ClaimVerdict::Undecided,
             _ => ClaimVerdict::Won,
         };
-        let kind = Kind::Claim(record.hash, standing);
-        if !self.remember(at, record.key, record.attempt, kind) {
-            self.miss(at);
+        let kind = KeyEventKind::Claim(record.hash, verdict);
+        if !self.insert_event(at, record.key, record.attempt, kind) {
+            self.mark_missing(at);
         }
     }
 
     fn abandon(&mut self, at: PlatformTime, record: &AbandonRecord) {
-        let Some(entry) = self.keys.get_mut(&record.key) else {
-            self.remember(at, record.key, record.attempt, Kind::Abandoned);
+        let Some(history) = self.keys.get_mut(&record.key) else {
+            self.insert_event(at, record.key, record.attempt, KeyEventKind::Abandoned);
             return;
         };
-        // Without the mark a late repeat of the claim would block the key again.
-        if entry.withdraw(record.attempt) || !entry.knows(record.attempt) {
-            self.remember(at, record.key, record.attempt, Kind::Abandoned);
+        // Without this event, a late repeat of the claim would block the key again.
+        if history.remove_claim(record.attempt) || !history.contains_attempt(record.attempt) {
+            self.insert_event(at, record.key, record.attempt, KeyEventKind::Abandoned);
         }
     }
 
     fn answer(&mut self, at: PlatformTime, record: AnswerRecord) {
-        let entry = self.keys.get(&record.key);
-        let counts = match entry.map(|e| (e.standing(record.attempt), e.answered())) {
+        let history = self.keys.get(&record.key);
+        let accepted = match history.map(|h| (h.verdict(record.attempt), h.has_answer())) {
             Some((_, true)) => return,
             Some((Some(ClaimVerdict::Won | ClaimVerdict::Undecided), _)) => true,
             Some((Some(ClaimVerdict::Lost), _)) => false,
-            Some((None, _)) | None => self.blind(at),
+            Some((None, _)) | None => self.history_incomplete(at),
         };
-        if !counts {
-            self.counts.stray += 1;
+        if !accepted {
+            self.counts.rejected_answers += 1;
             return;
         }
-        let kept = Kept::new(record.reply, self.max_bytes.saturating_sub(self.bytes));
-        let size = kept.size();
-        let kind = Kind::Answer(record.hash, kept);
-        if self.remember(at, record.key, record.attempt, kind) {
-            self.bytes += size;
+        let reply = StoredReply::new(
+            record.reply,
+            self.max_answer_bytes.saturating_sub(self.answer_bytes),
+        );
+        let size = reply.size();
+        let kind = KeyEventKind::Answer(record.hash, reply);
+        if self.insert_event(at, record.key, record.attempt, kind) {
+            self.answer_bytes += size;
         }
     }
 
-    fn remember(
+    fn insert_event(
         &mut self,
         at: PlatformTime,
         key: ClaimKey,
         attempt: AttemptId,
-        kind: Kind,
+        kind: KeyEventKind,
     ) -> bool {
-        if self.expiry.len() >= self.max_marks {
-            self.counts.overflow += 1;
+        if self.expiry.len() >= self.max_events {
+            self.counts.dropped_events += 1;
             return false;
         }
         self.expiry.push_back((at, key));
-        let mark = Mark { at, attempt, kind };
+        let event = KeyEvent { at, attempt, kind };
         match self.keys.get_mut(&key) {
-            Some(entry) => entry.push(mark),
-            None => drop(self.keys.insert(key, Marks(vec![mark]))),
+            Some(history) => history.push(event),
+            None => drop(self.keys.insert(key, KeyHistory(vec![event]))),
         }
         true
     }
 
-    fn miss(&mut self, until: PlatformTime) {
-        self.blind = self.blind.max(Some(until));
+    fn mark_missing(&mut self, until: PlatformTime) {
+        self.missing_until = self.missing_until.max(Some(until));
     }
 
-    /// Moves the clock, and forgets what no longer blocks a record of that time.
+    /// Advances the clock to `now` and removes events that no longer block their key.
     fn expire(&mut self, now: PlatformTime) {
         self.clock = self.clock.max(now);
-        let limit = self.clock.before(self.blocked);
-        while let Some((_, key)) = pop_front_if(&mut self.expiry, |(at, _)| *at < limit) {
-            let Some(entry) = self.keys.get_mut(&key) else {
+        let cutoff = self.clock.before(self.blocking_period);
+        while let Some((_, key)) = pop_front_if(&mut self.expiry, |(at, _)| *at < cutoff) {
+            let Some(history) = self.keys.get_mut(&key) else {
                 continue;
             };
-            let size = entry.0.iter().filter(|m| m.at < limit).map(Mark::size);
-            self.bytes -= size.sum::<usize>();
-            entry.0.retain(|m| m.at >= limit);
-            if entry.0.is_empty() {
+            let size = history
+                .0
+                .iter()
+                .filter(|e| e.at < cutoff)
+                .map(KeyEvent::size);
+            self.answer_bytes -= size.sum::<usize>();
+            history.0.retain(|e| e.at >= cutoff);
+            if history.0.is_empty() {
                 self.keys.remove(&key);
             }
         }
     }
 
-    fn overdue(&self, entry: &Marks) -> bool {
-        let first = entry.winner().map(|(m, _)| m).or(entry.0.first());
-        first.is_some_and(|m| m.at + self.patience < self.clock)
+    fn pending_timed_out(&self, history: &KeyHistory) -> bool {
+        let first = history
+            .winning_claim()
+            .map(|(event, _)| event)
+            .or(history.0.first());
+        first.is_some_and(|e| e.at + self.pending_timeout < self.clock)
     }
 }
--- a/crates/swiftcart-core/src/claim/place.rs
+++ b/crates/swiftcart-core/src/claim/partition.rs
@@ -1,9 +1,9 @@
-//! Where a key's claims stand, and which guards should take its requests.
+//! Partitions of a service's claims and the guards that serve them.
 
 use crate::{ClaimKey, NodeId, ServiceName, rank};
 
 impl ClaimKey {
-    /// Returns the key's partition among `partitions` of its service.
+    /// Returns the index of the key's partition out of `partitions`.
     #[must_use]
     pub const fn partition(self, partitions: u16) -> u16 {
         (self.0 % partitions as u128) as u16
@@ -26,9 +26,10 @@
 
 /// Orders `guards` by rendezvous hash of the partition, the preferred one first.
 ///
-/// All keys of a partition prefer the same guards, so that few nodes follow its
-/// stream. The order is advice: any guard may claim, and safety never rests on it.
-/// A guard that joins or leaves moves only the partitions that it ranks first in.
+/// All keys of a partition have the same preferred guards, so that few nodes read its stream.
+/// The order is only a hint: any guard may claim a key, and correctness does not depend on the
+/// order. A guard that joins or leaves changes the first guard only of partitions that rank it
+/// first.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/claim/record.rs
+++ b/crates/swiftcart-core/src/claim/record.rs
@@ -1,4 +1,4 @@
-//! Records of a claim stream, as they stand in the platform's log.
+//! Records of a claim stream in the platform's log.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -11,16 +11,16 @@
 
 use crate::ServiceName;
 
-/// The number of the claim rule that this release knows.
+/// Version of the claim rule that this release implements.
 ///
-/// A reader that meets a greater number stops deciding and says so.
+/// A reader that finds a greater version refuses new claims with `claim-rule`.
 pub const CLAIM_RULE: u16 = 1;
 
-/// The most bytes that one record holds; the platform refuses larger ones.
-pub const RECORD_BYTES: usize = 256 * 1024;
+/// Maximum size of a record in bytes; the platform refuses larger records.
+pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Declares a 128-bit name that is written as 32 hexadecimal digits.
-macro_rules! hex_name {
+/// Declares a 128-bit identifier that is written as 32 hexadecimal digits.
+macro_rules! hex_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -44,8 +44,8 @@
         }
 
         impl From<$name> for String {
-            fn from(name: $name) -> Self {
-                name.to_string()
+            fn from(id: $name) -> Self {
+                id.to_string()
             }
         }
 
@@ -59,32 +59,33 @@
     };
 }
 
-hex_name! {
-    /// Names one piece of work: a hash of service, caller and the caller's key.
+hex_id! {
+    /// Identifier of a piece of work: a hash of the service, the caller and the caller's key.
     ///
-    /// The scope follows the paper's "Key scope" (Forge ORM, *Idempotency keys*): unique
-    /// within the service, and within the caller where the caller names itself, so that
-    /// a leaked key is of no use to another caller.
+    /// The scope follows "Key scope" in Forge ORM, *Idempotency keys*. A key is unique within the
+    /// service, and also within the caller if the caller is identified, so that another caller
+    /// cannot use a leaked key.
     ClaimKey
 }
 
-hex_name! {
-    /// Recognises a request: a hash of its method, target and raw body.
+hex_id! {
+    /// Fingerprint of a request: a hash of its method, target and raw body.
     ///
-    /// The paper hashes a canonical JSON form, so that reordered members still match.
-    /// Here the raw bytes count: bodies need not be JSON, a retry resends the bytes it
-    /// has, and two parsers that disagree about duplicate members or large numbers
-    /// would take different requests for the same. A spurious 422 runs nothing.
+    /// Forge ORM, *Idempotency keys*, hashes a canonical JSON form, so that reordered members
+    /// still match. This hash covers the raw bytes instead. Bodies need not be JSON, and a retry
+    /// resends the same bytes. Two parsers that disagree about duplicate members or large numbers
+    /// would also treat different requests as equal. A false mismatch is safe: the caller gets 422
+    /// and nothing runs.
     RequestHash
 }
 
-hex_name! {
-    /// Names one attempt to run a piece of work; drawn at random for each offer.
+hex_id! {
+    /// Identifier of an attempt to run a piece of work, drawn at random for each offer.
     AttemptId
 }
 
 impl ClaimKey {
-    /// Returns the name of the work that `caller` calls `key` at `service`.
+    /// Creates the identifier of the work that `caller` identifies by `key` at `service`.
     ///
     /// # Examples
     ///
@@ -111,36 +112,36 @@
     }
 }
 
-/// Asks for the right to run a piece of work; the lowest offset wins.
+/// Claim on a piece of work; the claim with the lowest offset wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimRecord {
-    /// The work.
+    /// Identifier of the work.
     pub key: ClaimKey,
-    /// The request that asks for it.
+    /// Hash of the request.
     pub hash: RequestHash,
-    /// The attempt that asks.
+    /// Attempt that makes the claim.
     pub attempt: AttemptId,
 }
 
-/// Holds a backend server's whole answer, for replay.
+/// Complete answer of a backend server, stored for replay.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
-    /// The HTTP status; a refusal by the backend server is replayed as well.
+    /// HTTP status; refusals by the backend server are replayed as well.
     pub status: u16,
-    /// The headers worth replaying.
+    /// Headers that are replayed.
     pub headers: Vec<(String, String)>,
-    /// The body, in base64 on the wire.
+    /// Body, encoded as base64 on the wire.
     #[serde(serialize_with = "to_base64", deserialize_with = "from_base64")]
     pub body: Vec<u8>,
 }
 
-/// What a header takes beside its text.
-const HEADER_BYTES: usize = 8;
+/// Memory overhead of a header in bytes, in addition to its name and value.
+const HEADER_OVERHEAD_BYTES: usize = 8;
 
 impl Answer {
-    /// Returns the bytes that the answer takes, headers included.
+    /// Returns the size of the answer in bytes, including its headers.
     ///
     /// # Examples
     ///
@@ -155,81 +156,81 @@
         let headers = self
             .headers
             .iter()
-            .map(|(k, v)| k.len() + v.len() + HEADER_BYTES);
+            .map(|(k, v)| k.len() + v.len() + HEADER_OVERHEAD_BYTES);
         headers.sum::<usize>() + self.body.len()
     }
 }
 
-/// Tells how an attempt ended that was handed over.
+/// Result of a dispatched attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The backend server gave a whole answer.
+    /// The backend server returned a complete answer.
     Whole(Answer),
-    /// The whole answer was larger than what is kept.
+    /// The complete answer exceeded the size that is stored.
     TooLarge,
-    /// No whole answer came back; the work may have run.
+    /// No complete answer arrived; the work may have run.
     Broken,
 }
 
-/// Records the end of an attempt that was handed over.
+/// Record of the result of a dispatched attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerRecord {
-    /// The work.
+    /// Identifier of the work.
     pub key: ClaimKey,
-    /// The request that was answered.
+    /// Hash of the answered request.
     pub hash: RequestHash,
-    /// The attempt that ran it.
+    /// Attempt that ran the work.
     pub attempt: AttemptId,
-    /// How it ended.
+    /// Result of the attempt.
     pub reply: Reply,
 }
 
-/// Frees a key: the attempt was not handed over and never will be.
+/// Record that frees a key: the attempt was not dispatched and will not be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AbandonRecord {
-    /// The work.
+    /// Identifier of the work.
     pub key: ClaimKey,
-    /// The attempt that is given up.
+    /// Abandoned attempt.
     pub attempt: AttemptId,
 }
 
-/// Holds what one node appends at once, as one record.
+/// Batch of claims, answers and abandoned attempts that a node appends as one record.
 ///
-/// Readers take the abandoned attempts first, then the claims, then the answers.
+/// Readers apply the abandoned attempts first, then the claims, then the answers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimBatch {
-    /// The rule that the record follows.
+    /// Version of the claim rule that the record follows.
     pub rule: u16,
-    /// Attempts that will never run.
+    /// Attempts that will not run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub abandoned: Vec<AbandonRecord>,
-    /// Attempts that ask to run.
+    /// Claims of attempts that request to run.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<ClaimRecord>,
-    /// Attempts that ran.
+    /// Results of attempts that ran.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub answers: Vec<AnswerRecord>,
 }
 
 quick_error! {
-    /// Tells why a record of a claim stream cannot be taken.
+    /// Reason why a record of a claim stream is not accepted.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ClaimRecordError {
-        /// The record follows a rule that this release does not know.
+        /// The record follows a newer claim rule than this release implements.
         NewerRule(rule: u16) {
             display("claim rule {rule} is newer than {CLAIM_RULE}; upgrade this node")
         }
-        /// The record is no batch of claims; every reader skips it.
+        /// The record is not a valid batch of claims; all readers skip it.
         Malformed(line: usize, column: usize) {
-            display("no batch of claims at line {line}, column {column}; only nodes append to claim streams")
+            display("invalid claim batch at line {line}, column {column}; only nodes append to claim streams")
         }
-        /// The record is larger than the platform allows; every reader skips it.
+        /// The record is larger than the platform allows; all readers skip it.
         Oversize(bytes: usize) {
-            display("a record of {bytes} bytes exceeds {RECORD_BYTES}")
+            display("claim record of {bytes} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")
         }
     }
 }
@@ -246,7 +247,7 @@
 }
 
 impl ClaimBatch {
-    /// Reads a record's body.
+    /// Parses the body of a record.
     ///
     /// # Examples
     ///
@@ -260,14 +261,14 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason when the body is too large, malformed, or of a newer rule.
+    /// Returns an error if the body is too large, is malformed, or follows a newer rule.
     pub fn parse(body: &str) -> Result<Self, ClaimRecordError> {
         #[derive(Deserialize)]
         struct Rule {
             rule: u16,
         }
         let malformed = |e: serde_json::Error| ClaimRecordError::Malformed(e.line(), e.column());
-        if body.len() > RECORD_BYTES {
+        if body.len() > MAX_RECORD_BYTES {
             return Err(ClaimRecordError::Oversize(body.len()));
         }
         let Rule { rule } = serde_json::from_str(body).map_err(malformed)?;
@@ -277,22 +278,22 @@
         serde_json::from_str(body).map_err(malformed)
     }
 
-    /// Returns the record's body.
+    /// Encodes the batch as the body of a record.
     ///
     /// # Errors
     ///
-    /// Returns the size when the body would exceed [`RECORD_BYTES`].
+    /// Returns [`ClaimRecordError::Oversize`] if the body would exceed [`MAX_RECORD_BYTES`].
     pub fn encode(&self) -> Result<String, ClaimRecordError> {
         let body = serde_json::to_string(self)
             .map_err(|e| ClaimRecordError::Malformed(e.line(), e.column()))?;
         match body.len() {
-            len if len > RECORD_BYTES => Err(ClaimRecordError::Oversize(len)),
+            len if len > MAX_RECORD_BYTES => Err(ClaimRecordError::Oversize(len)),
             _ => Ok(body),
         }
     }
 }
 
-/// Hashes `parts` with their lengths, so that no two splits collide.
+/// Hashes `parts` and their lengths, so that different splits of the same bytes do not collide.
 fn hash(parts: &[&[u8]]) -> u128 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/swiftcart-core/src/claim/settings.rs
+++ b/crates/swiftcart-core/src/claim/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of the at-most-once protocol.
+//! Settings of the claim protocol.
 
 use std::time::Duration;
 
 use quick_error::quick_error;
 
-/// Bounds and times of one partition's claims.
+/// Limits and timeouts for the claims of one partition.
 ///
 /// # Examples
 ///
@@ -18,85 +18,85 @@
 /// ```
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClaimSettings {
-    /// How long the platform surely keeps a record.
+    /// Minimum time for which the platform keeps a record.
     pub retention: Duration,
-    /// How long a claim blocks its key: a share of the retention.
+    /// Time for which a claim blocks its key; a fraction of the retention.
     pub window: Duration,
-    /// The most by which clocks may differ over one window.
+    /// Maximum drift between clocks over one window.
     pub margin: Duration,
-    /// How long a claim without an answer is reported as in progress.
-    pub patience: Duration,
-    /// Claim streams of each service.
+    /// Time after which a claim without an answer is reported as unknown, no longer as in progress.
+    pub pending_timeout: Duration,
+    /// Number of claim streams of each service.
     pub partitions: u16,
-    /// Records' items that the ledger remembers: two for each key that was answered.
+    /// Maximum number of key events that a ledger stores. An answered key takes two.
     pub marks: usize,
-    /// Bytes of answers that the ledger remembers.
-    pub bytes: usize,
-    /// The largest answer that is kept for replay, in bytes.
+    /// Maximum total size in bytes of the answers that a ledger stores.
+    pub answer_bytes: usize,
+    /// Maximum size in bytes of the body of an answer that is stored for replay.
     pub answer: usize,
-    /// Items waiting to be appended, reserved places included.
+    /// Maximum number of items that wait for an append, including reserved slots.
     pub queue: usize,
-    /// Items of one append.
+    /// Maximum number of items in an append.
     pub batch: usize,
-    /// How long a claim waits for company before it is appended.
+    /// Time for which a claim waits for other items before it is appended.
     pub linger: Duration,
-    /// How long the end of an attempt waits for a claim to be appended with.
+    /// Time for which the result of an attempt waits for other items before it is appended.
     ///
-    /// Longer than `linger`: no caller waits for it, but a node that dies in the
-    /// meantime leaves its answer unknown.
-    pub linger_end: Duration,
-    /// This partition's share of the platform's appends a second.
+    /// This time is longer than `linger`, because no caller waits for the append. If the node
+    /// crashes in the meantime, the answer stays unknown.
+    pub result_linger: Duration,
+    /// Maximum number of appends per second for this partition.
     ///
-    /// With two services of 8 partitions, each claimed by one guard at a time, the default
-    /// is 160 a second over all.
+    /// With two services of 8 partitions each, and one guard at a time that claims in each
+    /// partition, the default adds up to 160 appends per second.
     pub rate: f64,
-    /// The first delay after a failed append; doubled up to `backoff_max`.
+    /// Delay after the first failed append; doubles with each failure up to `backoff_max`.
     pub backoff: Duration,
-    /// The longest delay after a failed append.
+    /// Maximum delay after a failed append.
     pub backoff_max: Duration,
 }
 
 quick_error! {
-    /// Names a setting that contradicts another.
+    /// Inconsistent or invalid claim setting.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum ClaimSettingsError {
-        /// Records would expire before the claims in them.
+        /// Records would be deleted while their claims still block keys.
         Retention {
-            display("window + margin must be less than retention; shorten the window")
+            display("window + margin must be less than retention; reduce the window")
         }
-        /// No claim could be started in time.
+        /// The margin leaves too little time to start a claim.
         Margin {
-            display("margin must be less than half the window; lengthen the window")
+            display("margin must be less than half the window; increase the window")
         }
-        /// A bound is zero, or so large that a batch exceeds a record.
+        /// A limit is zero or otherwise invalid, or so large that a batch could exceed a record.
         Bound(field: &'static str) {
-            display("{field} is out of its range; see the settings' reference")
+            display("{field} is out of range; see the settings reference")
         }
     }
 }
 
-/// The most items of one append whose encoding surely fits a record.
-const BATCH_MAX: usize = 512;
-/// The largest answer whose encoding surely fits a record.
-const ANSWER_MAX: usize = 96 * 1024;
+/// Maximum number of items in an append, so that its encoding fits into a record.
+const MAX_BATCH_ITEMS: usize = 512;
+/// Maximum size of an answer in bytes, so that its encoding fits into a record.
+const MAX_ANSWER_BYTES: usize = 96 * 1024;
 
 impl ClaimSettings {
-    /// Creates the defaults for a platform that keeps records for `retention`.
+    /// Creates the default settings for a platform that keeps records for `retention`.
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         Self {
             retention,
             window: retention / 2,
             margin: retention / 20,
-            patience: Duration::from_secs(30),
+            pending_timeout: Duration::from_secs(30),
             partitions: 8,
             marks: 1 << 16,
-            bytes: 8 << 20,
+            answer_bytes: 8 << 20,
             answer: 64 * 1024,
             queue: 4096,
             batch: 256,
             linger: Duration::from_millis(5),
-            linger_end: Duration::from_millis(100),
+            result_linger: Duration::from_millis(100),
             rate: 10.0,
             backoff: Duration::from_millis(100),
             backoff_max: Duration::from_secs(5),
@@ -111,15 +111,15 @@
         self
     }
 
-    /// Sets the number of items and the bytes of answers that a ledger remembers.
+    /// Sets the maximum number of key events and the maximum bytes of answers in a ledger.
     #[must_use]
-    pub const fn with_memory(mut self, marks: usize, bytes: usize) -> Self {
+    pub const fn with_memory(mut self, marks: usize, answer_bytes: usize) -> Self {
         self.marks = marks;
-        self.bytes = bytes;
+        self.answer_bytes = answer_bytes;
         self
     }
 
-    /// Sets the rate of appends and the time that a claim waits for company.
+    /// Sets the rate of appends and the time for which a claim waits for other items.
     #[must_use]
     pub const fn with_rate(mut self, rate: f64, linger: Duration) -> Self {
         self.rate = rate;
@@ -127,20 +127,20 @@
         self
     }
 
-    /// Checks the settings against each other.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that contradicts another.
+    /// Returns the first invalid or inconsistent setting.
     pub fn check(&self) -> Result<(), ClaimSettingsError> {
         use ClaimSettingsError::{Bound, Margin, Retention};
         match self {
-            s if s.blocked() >= s.retention => Err(Retention),
+            s if s.blocking_period() >= s.retention => Err(Retention),
             s if s.margin * 2 >= s.window => Err(Margin),
             s if s.partitions == 0 => Err(Bound("partitions")),
             s if s.marks < 16 => Err(Bound("marks")),
-            s if s.answer > ANSWER_MAX => Err(Bound("answer")),
-            s if s.batch == 0 || s.batch > BATCH_MAX => Err(Bound("batch")),
+            s if s.answer > MAX_ANSWER_BYTES => Err(Bound("answer")),
+            s if s.batch == 0 || s.batch > MAX_BATCH_ITEMS => Err(Bound("batch")),
             s if s.queue < 2 => Err(Bound("queue")),
             s if !(s.rate > 0.0 && s.rate.is_finite()) => Err(Bound("rate")),
             s if s.backoff.is_zero() || s.backoff > s.backoff_max => Err(Bound("backoff")),
@@ -148,15 +148,15 @@
         }
     }
 
-    /// Returns how long a record blocks its key by the platform's time.
+    /// Returns the period of platform time for which a record blocks its key.
     #[must_use]
-    pub fn blocked(&self) -> Duration {
+    pub fn blocking_period(&self) -> Duration {
         self.window + self.margin
     }
 
-    /// Returns how long after sending a claim its holder may start.
+    /// Returns the period after sending a claim within which its attempt may start.
     #[must_use]
-    pub fn startable(&self) -> Duration {
+    pub fn start_window(&self) -> Duration {
         self.window.saturating_sub(self.margin)
     }
 }
--- a/crates/swiftcart-core/tests/claim_properties.rs
+++ b/crates/swiftcart-core/tests/claim_properties.rs
@@ -1,5 +1,7 @@
-//! Many claimants on one stream, in virtual time: lost and late answers, duplicates,
-//! pauses at every step, restarts, expiry, a full ledger.
+//! Randomized simulation of claimants that share one stream, in virtual time.
+//!
+//! The simulation covers lost and late answers of the platform, duplicate records, pauses at every
+//! step, restarts, expired records and a full ledger.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -20,33 +22,35 @@
     Duration::from_millis(n)
 }
 
-/// A record on its way: when it takes effect, and the sender's life to tell, if any.
-struct Flight {
-    lands: u64,
+/// Record in transit to the log.
+struct InTransit {
+    arrives_at: u64,
     body: String,
+    /// Node and generation that get the platform's answer, if any.
     sender: Option<(usize, u32)>,
 }
 
-/// One process, with everything in it that a pause can delay.
+/// Simulated node process, with all inputs and actions that a pause can delay.
 struct Node {
     claimant: Claimant,
-    life: u32,
-    /// Its clock's rate in 1/1000, and what it showed at the start.
-    rate: u64,
-    shown: u64,
-    paused: u64,
+    generation: u32,
+    /// Rate of the node's clock in 1/1000.
+    clock_rate: u64,
+    /// Reading of the node's clock at virtual time zero, in milliseconds.
+    start_ms: u64,
+    paused_until: u64,
     inbox: VecDeque<AppendResult>,
     page: Option<(Offset, Offset, u64, Vec<Entry>)>,
     actions: VecDeque<ClaimAction>,
-    /// Allowed to start, not handed over yet.
-    starts: Vec<(ClaimTicket, StartPermit)>,
+    /// Permitted but not dispatched yet.
+    permits: Vec<(ClaimTicket, StartPermit)>,
     running: Vec<ClaimTicket>,
     claims: BTreeMap<ClaimTicket, Claim>,
 }
 
 impl Node {
     fn clock(&self, now: u64) -> Instant {
-        Instant::from_millis(self.shown + now * self.rate / 1000)
+        Instant::from_millis(self.start_ms + now * self.clock_rate / 1000)
     }
 }
 
@@ -58,7 +62,7 @@
 }
 
 #[derive(Debug, Default, PartialEq)]
-struct Seen {
+struct Coverage {
     runs: usize,
     replays: usize,
     conflicts: usize,
@@ -66,31 +70,31 @@
     twice: usize,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     now: u64,
     retention: u64,
     settings: ClaimSettings,
-    /// Keys are reused after their window, with deadlines beyond it.
+    /// `true` if keys are reused after their window, with deadlines beyond the window.
     reuse: bool,
-    /// Keys in use at a time.
+    /// Number of keys in use at a time.
     keys: u64,
     log: Vec<Entry>,
     first: u64,
-    flights: Vec<Flight>,
+    in_transit: Vec<InTransit>,
     nodes: Vec<Node>,
-    /// When each key was first offered.
-    born: BTreeMap<ClaimKey, u64>,
+    /// Time of the first offer of each key.
+    first_offered: BTreeMap<ClaimKey, u64>,
     runs: BTreeMap<ClaimKey, Vec<Execution>>,
     not_run: BTreeSet<AttemptId>,
-    seen: Seen,
+    coverage: Coverage,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, retention: u64, (keys, marks): (u64, usize), reuse: bool) -> Self {
         let settings = ClaimSettings {
-            patience: ms(200),
-            linger_end: ms(10),
+            pending_timeout: ms(200),
+            result_linger: ms(10),
             backoff: ms(5),
             backoff_max: ms(50),
             retention: ms(retention),
@@ -100,7 +104,7 @@
                 .with_rate(500.0, ms(1))
         };
         assert_eq!(settings.check(), Ok(()));
-        let mut world = Self {
+        let mut simulation = Self {
             rng: SmallRng::seed_from_u64(seed),
             now: 10_000,
             retention,
@@ -109,28 +113,28 @@
             keys,
             log: Vec::new(),
             first: 0,
-            flights: Vec::new(),
+            in_transit: Vec::new(),
             nodes: Vec::new(),
-            born: BTreeMap::new(),
+            first_offered: BTreeMap::new(),
             runs: BTreeMap::new(),
             not_run: BTreeSet::new(),
-            seen: Seen::default(),
+            coverage: Coverage::default(),
         };
-        world.nodes = (0..NODES).map(|_| world.node(0)).collect();
-        world
+        simulation.nodes = (0..NODES).map(|_| simulation.node(0)).collect();
+        simulation
     }
 
-    fn node(&mut self, life: u32) -> Node {
+    fn node(&mut self, generation: u32) -> Node {
         Node {
             claimant: Claimant::new(self.settings.clone(), self.rng.random()),
-            life,
-            rate: self.rng.random_range(985..=1015),
-            shown: self.rng.random_range(0..50_000),
-            paused: 0,
+            generation,
+            clock_rate: self.rng.random_range(985..=1015),
+            start_ms: self.rng.random_range(0..50_000),
+            paused_until: 0,
             inbox: VecDeque::new(),
             page: None,
             actions: VecDeque::new(),
-            starts: Vec::new(),
+            permits: Vec::new(),
             running: Vec::new(),
             claims: BTreeMap::new(),
         }
@@ -138,27 +142,27 @@
 
     fn step(&mut self) {
         self.now += self.rng.random_range(0..3);
-        self.land();
+        self.deliver_records();
         let i = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..1000) {
-            _ if self.nodes[i].paused > self.now => {}
-            // Any length, and often one that ends about when the window does.
-            0..3 => self.nodes[i].paused = self.now + self.rng.random_range(0..3 * WINDOW),
+            _ if self.nodes[i].paused_until > self.now => {}
+            // Pauses of any length, and often pauses that end near the end of the window.
+            0..3 => self.nodes[i].paused_until = self.now + self.rng.random_range(0..3 * WINDOW),
             3..5 => {
                 let about = WINDOW - 3 * MARGIN..WINDOW + 3 * MARGIN;
-                self.nodes[i].paused = self.now + self.rng.random_range(about);
+                self.nodes[i].paused_until = self.now + self.rng.random_range(about);
             }
             5..8 => {
-                let life = self.nodes[i].life + 1;
-                self.nodes[i] = self.node(life);
+                let generation = self.nodes[i].generation + 1;
+                self.nodes[i] = self.node(generation);
             }
             8..200 => self.read(i),
             200..400 => self.deliver(i),
             400..500 => self.offer(i),
             500..520 => self.cancel_claim(i),
-            520..700 => self.act(i),
-            700..800 => self.hand_over(i),
-            800..850 => self.finish(i),
+            520..700 => self.take_action(i),
+            700..800 => self.dispatch(i),
+            800..850 => self.finish_execution(i),
             _ => {
                 let now = self.nodes[i].clock(self.now);
                 let actions = self.nodes[i].claimant.poll(now);
@@ -167,50 +171,54 @@
         }
     }
 
-    /// Lets records take effect, and the platform forget the oldest.
-    fn land(&mut self) {
+    /// Appends the records that have arrived and deletes records older than the retention.
+    fn deliver_records(&mut self) {
         let now = self.now;
-        for flight in self
-            .flights
-            .extract_if(.., |f| f.lands <= now)
+        for record in self
+            .in_transit
+            .extract_if(.., |r| r.arrives_at <= now)
             .collect::<Vec<_>>()
         {
             let offset = Offset(self.log.len() as u64);
-            let (at_ms, body) = (now, flight.body);
+            let (at_ms, body) = (now, record.body);
             self.log.push(Entry {
                 offset,
                 at_ms,
                 body,
             });
-            match flight.sender {
-                Some((i, life)) if self.nodes[i].life == life => {
+            match record.sender {
+                Some((i, generation)) if self.nodes[i].generation == generation => {
                     self.nodes[i].inbox.push_back(AppendResult::Done(offset));
                 }
                 _ => {}
             }
         }
-        let kept = |e: &&Entry| e.at_ms + self.retention >= now;
-        let first = self.log.iter().find(kept).map(|e| e.offset.0);
+        let is_retained = |e: &&Entry| e.at_ms + self.retention >= now;
+        let first = self.log.iter().find(is_retained).map(|e| e.offset.0);
         self.first = first.unwrap_or(self.log.len() as u64);
     }
 
     fn append(&mut self, i: usize, body: &str) {
-        let soon = self.now + self.rng.random_range(1..20);
-        let late = self.now + self.rng.random_range(1..3 * WINDOW);
-        let sender = Some((i, self.nodes[i].life));
+        let arrives_soon = self.now + self.rng.random_range(1..20);
+        let arrives_late = self.now + self.rng.random_range(1..3 * WINDOW);
+        let sender = Some((i, self.nodes[i].generation));
         let failed = AppendResult::Failed { retry_after: None };
-        let (lands, sender, result): (&[u64], _, _) = match self.rng.random_range(0..100) {
-            0..60 => (&[soon], sender, None),
+        let (arrivals, sender, result): (&[u64], _, _) = match self.rng.random_range(0..100) {
+            0..60 => (&[arrives_soon], sender, None),
             60..70 => (&[], None, Some(failed)),
             70..78 => (&[], None, Some(AppendResult::Unknown)),
-            78..90 => (&[soon], None, Some(AppendResult::Unknown)),
-            90..96 => (&[late], None, Some(AppendResult::Unknown)),
-            _ => (&[soon, late], None, Some(AppendResult::Unknown)),
+            78..90 => (&[arrives_soon], None, Some(AppendResult::Unknown)),
+            90..96 => (&[arrives_late], None, Some(AppendResult::Unknown)),
+            _ => (
+                &[arrives_soon, arrives_late],
+                None,
+                Some(AppendResult::Unknown),
+            ),
         };
-        for lands in lands.iter().copied() {
+        for arrives_at in arrivals.iter().copied() {
             let body = body.to_owned();
-            self.flights.push(Flight {
-                lands,
+            self.in_transit.push(InTransit {
+                arrives_at,
                 body,
                 sender,
             });
@@ -218,7 +226,7 @@
         self.nodes[i].inbox.extend(result);
     }
 
-    /// Starts a read, or delivers the one that is under way.
+    /// Starts a read, or delivers the page of the read in progress.
     fn read(&mut self, i: usize) {
         let from = self.nodes[i].claimant.ledger().next().0.max(self.first);
         let len = self.rng.random_range(1..20);
@@ -231,11 +239,11 @@
             node.page = Some((Offset(self.first), next, self.now, entries));
             return;
         };
-        let (now_, entries) = (PlatformTime(at), &entries);
+        let (page_time, entries) = (PlatformTime(at), &entries);
         let page = ClaimPage {
             first,
             next,
-            now: now_,
+            now: page_time,
             entries,
         };
         node.claimant.apply_page(now, &page);
@@ -249,17 +257,17 @@
     }
 
     fn offer(&mut self, i: usize) {
-        let lives = if self.reuse {
+        let key_base = if self.reuse {
             4
         } else {
             self.now / (2 * WINDOW) * 4
         };
-        let key = ClaimKey(u128::from(lives + self.rng.random_range(0..self.keys)));
-        let born = *self.born.entry(key).or_insert(self.now);
-        let patience = self.rng.random_range(1..600);
+        let key = ClaimKey(u128::from(key_base + self.rng.random_range(0..self.keys)));
+        let first_offered = *self.first_offered.entry(key).or_insert(self.now);
+        let timeout = self.rng.random_range(1..600);
         let until = match self.reuse {
             true => self.now + self.rng.random_range(1..4 * WINDOW),
-            false => (self.now + patience).min(born + WINDOW - MARGIN),
+            false => (self.now + timeout).min(first_offered + WINDOW - MARGIN),
         };
         if until <= self.now {
             return;
@@ -278,34 +286,38 @@
         let decision = self.nodes[i].claimant.offer(now, claim);
         match decision {
             Decision::Wait(ticket) => drop(self.nodes[i].claims.insert(ticket, claim)),
-            decision => self.told(&claim, &decision),
+            decision => self.record_decision(&claim, &decision),
         }
     }
 
-    /// Notes what a caller hears; whatever it is, this attempt has not run.
-    fn told(&mut self, claim: &Claim, decision: &Decision) {
+    /// Records the decision that a caller receives for an attempt that did not run.
+    fn record_decision(&mut self, claim: &Claim, decision: &Decision) {
         self.not_run.insert(claim.attempt);
         match decision {
             Decision::Replay(answer) => {
-                assert_eq!(answer.body, body(claim.hash), "another request's answer");
-                self.seen.replays += 1;
+                assert_eq!(
+                    answer.body,
+                    body(claim.hash),
+                    "replayed the answer of another request"
+                );
+                self.coverage.replays += 1;
             }
-            Decision::Conflict => self.seen.conflicts += 1,
-            _ => self.seen.refused += 1,
+            Decision::Conflict => self.coverage.conflicts += 1,
+            _ => self.coverage.refused += 1,
         }
     }
 
-    fn act(&mut self, i: usize) {
+    fn take_action(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
         match self.nodes[i].actions.pop_front() {
             Some(ClaimAction::Append(body)) => self.append(i, &body),
             Some(ClaimAction::Run(ticket)) => match self.nodes[i].claimant.try_start(ticket, now) {
-                Ok(start) => self.nodes[i].starts.push((ticket, start)),
-                Err(_) => self.ended(i, ticket),
+                Ok(start) => self.nodes[i].permits.push((ticket, start)),
+                Err(_) => self.record_not_run(i, ticket),
             },
             Some(ClaimAction::Settle(ticket, decision)) => {
                 let claim = self.nodes[i].claims[&ticket];
-                self.told(&claim, &decision);
+                self.record_decision(&claim, &decision);
             }
             None => {}
         }
@@ -318,20 +330,20 @@
             return;
         };
         match self.nodes[i].claimant.cancel_claim(now, ticket) {
-            Outcome::NotRun => self.ended(i, ticket),
+            Outcome::NotRun => self.record_not_run(i, ticket),
             Outcome::Done | Outcome::Unknown => {}
         }
     }
 
-    fn ended(&mut self, i: usize, ticket: ClaimTicket) {
+    fn record_not_run(&mut self, i: usize, ticket: ClaimTicket) {
         let attempt = self.nodes[i].claims[&ticket].attempt;
         self.not_run.insert(attempt);
     }
 
-    /// Hands a request over; the backend server compares the deadline with the same clock.
-    fn hand_over(&mut self, i: usize) {
+    /// Dispatches a request; the backend server checks the deadline with the same clock.
+    fn dispatch(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
-        let Some((ticket, start)) = self.nodes[i].starts.pop() else {
+        let Some((ticket, start)) = self.nodes[i].permits.pop() else {
             return;
         };
         let Claim {
@@ -341,7 +353,7 @@
             self.nodes[i]
                 .claimant
                 .record_result(now, ticket, ExecutionResult::NotRun);
-            return self.ended(i, ticket);
+            return self.record_not_run(i, ticket);
         }
         let at = self.now;
         self.runs
@@ -351,7 +363,7 @@
         self.nodes[i].running.push(ticket);
     }
 
-    fn finish(&mut self, i: usize) {
+    fn finish_execution(&mut self, i: usize) {
         let now = self.nodes[i].clock(self.now);
         let Some(ticket) = self.nodes[i].running.pop() else {
             return;
@@ -376,11 +388,14 @@
                     self.reuse && gap >= 2 * MARGIN - 2 * MARGIN * 3 / 10,
                     "{key}: {pair:?}"
                 );
-                self.seen.twice += 1;
+                self.coverage.twice += 1;
             }
-            let told = runs.iter().find(|r| self.not_run.contains(&r.attempt));
-            assert_eq!(told, None, "told not-run and ran: {key}");
-            self.seen.runs += runs.len();
+            let violation = runs.iter().find(|r| self.not_run.contains(&r.attempt));
+            assert_eq!(
+                violation, None,
+                "attempt ran after its caller was answered not-run: {key}"
+            );
+            self.coverage.runs += runs.len();
         }
     }
 }
@@ -392,24 +407,29 @@
 #[rstest]
 #[case::retries_within_the_window(2 * WINDOW + 400, (4, 10_000), false)]
 #[case::keys_reused_after_the_window(2 * WINDOW + 400, (4, 10_000), true)]
-#[case::records_kept_hardly_longer_than_the_window(WINDOW + MARGIN + 50, (4, 10_000), true)]
-#[case::ledger_too_small(2 * WINDOW + 400, (40, 16), true)]
+#[case::retention_barely_longer_than_blocking_period(WINDOW + MARGIN + 50, (4, 10_000), true)]
+#[case::ledger_smaller_than_key_set(2 * WINDOW + 400, (40, 16), true)]
 fn runs_at_most_once(#[case] retention: u64, #[case] keys: (u64, usize), #[case] reuse: bool) {
-    let mut seen = Seen::default();
+    let mut coverage = Coverage::default();
     for seed in 0..SEEDS {
-        let mut world = World::new(seed, retention, keys, reuse);
-        (0..STEPS).for_each(|_| world.step());
-        world.check();
-        seen.runs += world.seen.runs;
-        seen.replays += world.seen.replays;
-        seen.conflicts += world.seen.conflicts;
-        seen.refused += world.seen.refused;
-        seen.twice += world.seen.twice;
+        let mut simulation = Simulation::new(seed, retention, keys, reuse);
+        (0..STEPS).for_each(|_| simulation.step());
+        simulation.check();
+        coverage.runs += simulation.coverage.runs;
+        coverage.replays += simulation.coverage.replays;
+        coverage.conflicts += simulation.coverage.conflicts;
+        coverage.refused += simulation.coverage.refused;
+        coverage.twice += simulation.coverage.twice;
     }
-    println!("{seen:?}");
-    let all = [seen.runs, seen.replays, seen.conflicts, seen.refused];
+    println!("{coverage:?}");
+    let all = [
+        coverage.runs,
+        coverage.replays,
+        coverage.conflicts,
+        coverage.refused,
+    ];
     assert!(
         all.iter().all(|n| *n > 50),
-        "the worlds reach too little: {seen:?}"
+        "the simulation reaches too few cases: {coverage:?}"
     );
 }
