--- a/crates/swiftcart-cli/src/publish.rs
+++ b/crates/swiftcart-cli/src/publish.rs
@@ -6,8 +6,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 use swiftcart_core::{
-    Body, Earlier, Edit, Entry, Envelope, MAX_BODY, Offset, Publish, PublishId, Rejection, Table,
-    Verdict, Version,
+    Body, Edit, Entry, Envelope, MAX_RECORD_BYTES, Offset, PriorDecision, Publish, PublishId,
+    Rejection, Table, Verdict, Version,
 };
 use swiftcart_platform::{Fate, Platform, PlatformError};
 
@@ -140,12 +140,12 @@
 fn earlier(journal: &Journal<'_>, id: PublishId) -> Option<Decision> {
     match journal.own().map(|own| &own.verdict) {
         Some(Verdict::Accepted(version)) => Some(Decision::Accepted(*version)),
-        Some(Verdict::Rejected(Rejection::Repeated(Earlier::Accepted(version)))) => {
+        Some(Verdict::Rejected(Rejection::Repeated(PriorDecision::Accepted(version)))) => {
             Some(Decision::Accepted(*version))
         }
         Some(Verdict::Rejected(rejection)) => Some(Decision::Rejected(rejection.clone())),
-        _ => match journal.fold().verdict_of(id)? {
-            Earlier::Accepted(version) => Some(Decision::Accepted(version)),
+        _ => match journal.fold().prior_decision(id)? {
+            PriorDecision::Accepted(version) => Some(Decision::Accepted(version)),
             rejected => Some(Decision::Rejected(Rejection::Repeated(rejected))),
         },
     }
@@ -194,8 +194,8 @@
     retry: &mut Retry,
 ) -> Result<Decision, Error> {
     let body = encode(publish);
-    if body.len() > MAX_BODY {
-        return Err(Error::Record(body.len(), MAX_BODY));
+    if body.len() > MAX_RECORD_BYTES {
+        return Err(Error::Record(body.len(), MAX_RECORD_BYTES));
     }
     let mut fate = Fate::NotTaken;
     loop {
--- a/crates/swiftcart-core/src/config/check.rs
+++ b/crates/swiftcart-core/src/config/check.rs
@@ -10,12 +10,12 @@
 
 /// Most rows of a table.
 pub const MAX_ROWS: usize = 4096;
-/// Most bytes of a table by [`row_cost`], so that a checkpoint fits into one record.
+/// Most bytes of a table by [`row_size_bound`], so that a checkpoint fits into one record.
 pub const MAX_TABLE_BYTES: usize = 120 * 1024;
 /// Longest name of a service, in bytes.
-pub const MAX_NAME: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 /// Longest path prefix, in bytes.
-pub const MAX_PREFIX: usize = 256;
+pub const MAX_PREFIX_BYTES: usize = 256;
 /// Greatest weight of a route.
 pub const MAX_WEIGHT: u32 = 1000;
 /// Greatest rate limit, in requests a second.
@@ -27,7 +27,7 @@
 /// Longest timeout that can be asked for, in milliseconds.
 pub const MAX_TIMEOUT_MS: u32 = 600_000;
 /// Bytes that a row takes in a checkpoint apart from its key's text, at most.
-const ROW_BYTES: usize = 24;
+const ROW_OVERHEAD_BYTES: usize = 24;
 
 quick_error! {
     /// Names one rule that a table or a publish breaks, and where.
@@ -36,11 +36,11 @@
     pub enum Violation {
         /// The service's name is not well formed.
         Name(name: ServiceName) {
-            display("service {:?}: a name has 1 to {MAX_NAME} characters of a-z, 0-9 and -", name.as_str())
+            display("service {:?}: a name has 1 to {MAX_NAME_BYTES} characters of a-z, 0-9 and -", name.as_str())
         }
         /// The route's prefix is not well formed.
         Prefix(prefix: String) {
-            display("route {prefix:?}: a prefix starts with / and has at most {MAX_PREFIX} visible ASCII characters without ? and #")
+            display("route {prefix:?}: a prefix starts with / and has at most {MAX_PREFIX_BYTES} visible ASCII characters without ? and #")
         }
         /// The route leads to a service that the table lacks.
         UnknownService(prefix: String, service: ServiceName) {
@@ -72,7 +72,7 @@
         }
         /// The account's name is not well formed.
         AccountName(name: AccountName) {
-            display("account {:?}: a name has 1 to {MAX_NAME} characters of a-z, 0-9 and -", name.as_str())
+            display("account {:?}: a name has 1 to {MAX_NAME_BYTES} characters of a-z, 0-9 and -", name.as_str())
         }
         /// Two accounts have the same key.
         SharedKey(first: AccountName, second: AccountName) {
@@ -108,7 +108,7 @@
         }
         /// A region's name is not well formed.
         Region(key: RowKey, region: Box<Region>) {
-            display("{key}: region {:?}: 1 to {MAX_NAME} lower-case letters, digits and -", region.0)
+            display("{key}: region {:?}: 1 to {MAX_NAME_BYTES} lower-case letters, digits and -", region.0)
         }
         /// The publish edits the row twice.
         Twice(key: RowKey) {
@@ -116,7 +116,7 @@
         }
         /// The author is not well formed.
         Author(author: String) {
-            display("author {author:?}: 1 to {} bytes without control characters", super::MAX_AUTHOR)
+            display("author {author:?}: 1 to {} bytes without control characters", super::MAX_AUTHOR_BYTES)
         }
     }
 }
@@ -148,21 +148,21 @@
 
 /// Returns the bytes that a row counts for under [`MAX_TABLE_BYTES`].
 #[must_use]
-pub const fn row_cost(key: &RowKey) -> usize {
+pub const fn row_size_bound(key: &RowKey) -> usize {
     match key {
-        RowKey::Service(name) => name.0.len() + ROW_BYTES,
-        RowKey::Route(prefix, name) => prefix.len() + name.0.len() + ROW_BYTES,
-        RowKey::Account(name) => name.0.len() + ROW_BYTES,
-        RowKey::Access(prefix) => prefix.len() + ROW_BYTES,
-        RowKey::ColdStart(name) => name.0.len() + ROW_BYTES,
-        RowKey::PrefixHomes(prefix) => prefix.len() + ROW_BYTES,
-        RowKey::AccountHomes(name) => name.0.len() + ROW_BYTES,
+        RowKey::Service(name) => name.0.len() + ROW_OVERHEAD_BYTES,
+        RowKey::Route(prefix, name) => prefix.len() + name.0.len() + ROW_OVERHEAD_BYTES,
+        RowKey::Account(name) => name.0.len() + ROW_OVERHEAD_BYTES,
+        RowKey::Access(prefix) => prefix.len() + ROW_OVERHEAD_BYTES,
+        RowKey::ColdStart(name) => name.0.len() + ROW_OVERHEAD_BYTES,
+        RowKey::PrefixHomes(prefix) => prefix.len() + ROW_OVERHEAD_BYTES,
+        RowKey::AccountHomes(name) => name.0.len() + ROW_OVERHEAD_BYTES,
     }
 }
 
 fn check_size(table: &Table) -> Vec<Violation> {
     let rows = table.0.len();
-    let bytes = table.0.keys().map(row_cost).sum();
+    let bytes = table.0.keys().map(row_size_bound).sum();
     let mut found = Vec::new();
     if rows > MAX_ROWS {
         found.push(Violation::Rows(rows));
@@ -305,15 +305,15 @@
 }
 
 pub(super) fn is_author(author: &str) -> bool {
-    (1..=super::MAX_AUTHOR).contains(&author.len()) && !author.chars().any(char::is_control)
+    (1..=super::MAX_AUTHOR_BYTES).contains(&author.len()) && !author.chars().any(char::is_control)
 }
 
 fn is_name(name: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    (1..=MAX_NAME).contains(&name.len()) && name.bytes().all(allowed)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
 
 fn is_prefix(prefix: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_graphic() && b != b'?' && b != b'#';
-    prefix.starts_with('/') && prefix.len() <= MAX_PREFIX && prefix.bytes().all(allowed)
+    prefix.starts_with('/') && prefix.len() <= MAX_PREFIX_BYTES && prefix.bytes().all(allowed)
 }
--- a/crates/swiftcart-core/src/config/checkpoint.rs
+++ b/crates/swiftcart-core/src/config/checkpoint.rs
@@ -5,7 +5,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-use super::{Digest, Offset, RULE, Violation};
+use super::{Digest, LATEST_RULE, Offset, Violation};
 
 /// The state of a [`Fold`](crate::Fold) after all records before `position`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -43,7 +43,7 @@
         }
         /// The state depends on records of a later rule than this release knows.
         UnknownRule(rule: u16) {
-            display("checkpoint follows rule {rule}, newer than rule {RULE}; upgrade this program")
+            display("checkpoint follows rule {rule}, newer than rule {LATEST_RULE}; upgrade this program")
         }
         /// The state breaks a bound or a rule of the table.
         Invalid(position: Offset, violations: Vec<Violation>) {
--- a/crates/swiftcart-core/src/config/compact.rs
+++ b/crates/swiftcart-core/src/config/compact.rs
@@ -16,7 +16,7 @@
             display("prefix {at} shares more than the one before it has: read the version itself")
         }
         /// A prefix names a policy or service that is not listed.
-        Unlisted(at: usize) {
+        UnknownIndex(at: usize) {
             display("prefix {at} names what is not listed: read the version itself")
         }
     }
@@ -31,18 +31,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Compact, Limits, Snapshot, Table, Version};
+/// use swiftcart_core::{CompactSnapshot, Limits, Snapshot, Table, Version};
 ///
 /// let table = Table::new()
 ///     .with_service("sensor", Limits::default())
 ///     .with_route("/moisture", "sensor", 1);
 /// let snapshot = Snapshot::new(Version(3), table);
-/// let compact = Compact::new(&snapshot).expect("each route leads to a service of the table");
+/// let compact = CompactSnapshot::new(&snapshot).expect("each route leads to a service of the table");
 /// assert_eq!(compact.expand()?, snapshot);
 /// # Ok::<(), swiftcart_core::CompactError>(())
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Compact {
+pub struct CompactSnapshot {
     version: Version,
     services: Vec<Service>,
     policies: Vec<Policy>,
@@ -75,7 +75,7 @@
     weight: u32,
 }
 
-impl Compact {
+impl CompactSnapshot {
     /// Creates the compact form; `None` when a route leads to a service that the version lacks,
     /// or when there is more than it can count.
     #[must_use]
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     ///
-    /// [`CompactError`] when it was not made by [`Compact::new`].
+    /// [`CompactError`] when it was not made by [`CompactSnapshot::new`].
     pub fn expand(&self) -> Result<Snapshot, CompactError> {
         let mut table = Table::new();
         for service in &self.services {
@@ -145,12 +145,12 @@
             prefix.push_str(&entry.rest);
             for part in &entry.parts {
                 let service = self.services.get(usize::from(part.service));
-                let service = service.ok_or(CompactError::Unlisted(at))?;
+                let service = service.ok_or(CompactError::UnknownIndex(at))?;
                 table = table.with_route(prefix.as_str(), service.name.0.clone(), part.weight);
             }
             if let Some(policy) = entry.policy {
                 let policy = self.policies.get(usize::from(policy));
-                let policy = *policy.ok_or(CompactError::Unlisted(at))?;
+                let policy = *policy.ok_or(CompactError::UnknownIndex(at))?;
                 snapshot.policies.insert(prefix.clone(), policy);
             }
         }
--- a/crates/swiftcart-core/src/config/envelope.rs
+++ b/crates/swiftcart-core/src/config/envelope.rs
@@ -3,10 +3,10 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-use super::{Checkpoint, Publish, RULE};
+use super::{Checkpoint, LATEST_RULE, Publish};
 
 /// Longest body of a record, in bytes; the platform refuses a longer one (413).
-pub const MAX_BODY: usize = 256 * 1024;
+pub const MAX_RECORD_BYTES: usize = 256 * 1024;
 
 /// What a record asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,7 +46,7 @@
         }
         /// The body follows a later rule than this release knows.
         UnknownRule(rule: u16) {
-            display("rule {rule} is newer than rule {RULE}; upgrade this program")
+            display("rule {rule} is newer than rule {LATEST_RULE}; upgrade this program")
         }
     }
 }
@@ -92,13 +92,13 @@
     /// [`RecordError::Malformed`] for everything else that is no envelope. The two
     /// differ because a reader may skip the latter but must never skip the former.
     pub fn decode(text: &str) -> Result<Self, RecordError> {
-        if text.len() > MAX_BODY {
-            let detail = format!("{} bytes are more than {MAX_BODY}", text.len());
+        if text.len() > MAX_RECORD_BYTES {
+            let detail = format!("{} bytes are more than {MAX_RECORD_BYTES}", text.len());
             return Err(RecordError::Malformed(detail));
         }
         match parse::<Header>(text)?.rule {
             0 => Err(RecordError::Malformed("rule 0 does not exist".into())),
-            rule if rule > RULE => Err(RecordError::UnknownRule(rule)),
+            rule if rule > LATEST_RULE => Err(RecordError::UnknownRule(rule)),
             rule => parse::<Wire>(text)?.into_envelope(rule),
         }
     }
--- a/crates/swiftcart-core/src/config/fold.rs
+++ b/crates/swiftcart-core/src/config/fold.rs
@@ -8,11 +8,12 @@
 use super::image::State;
 use super::recent::Decision;
 use super::{
-    Agreement, Body, Checkpoint, CheckpointError, Digest, Earlier, Edit, Entry, Envelope, Lost,
-    Offset, Publish, PublishId, RecordError, Rejection, RowKey, Table, Verdict, Version, check,
+    Agreement, Body, Checkpoint, CheckpointError, Digest, Edit, Entry, Envelope, Offset,
+    PriorDecision, Publish, PublishId, RecordError, Rejection, RowConflict, RowKey, Table, Verdict,
+    Version, check,
 };
 
-pub use super::recent::{MAX_AUTHOR, MAX_RECENT};
+pub use super::recent::{MAX_AUTHOR_BYTES, MAX_RECENT_DECISIONS};
 pub use super::removed::MAX_REMOVED_BYTES;
 
 /// Folds the records of the configuration stream, in order, into a table.
@@ -140,7 +141,7 @@
 
     /// Returns the decision on a publish, or `None` when it is unknown or forgotten.
     #[must_use]
-    pub fn verdict_of(&self, id: PublishId) -> Option<Earlier> {
+    pub fn prior_decision(&self, id: PublishId) -> Option<PriorDecision> {
         self.state.recent.of(id)
     }
 
@@ -209,14 +210,14 @@
         }
     }
 
-    fn lost(&self, publish: &Publish) -> Vec<Lost> {
+    fn lost(&self, publish: &Publish) -> Vec<RowConflict> {
         let changes = publish.edits.iter().filter_map(|edit| {
             let changed = self.changed(&edit.key);
             let version = changed.or_else(|| self.state.removed.version(&edit.key))?;
             Some((&edit.key, version))
         });
         let newer = changes.filter(|(_, version)| *version > publish.base);
-        let lost = newer.map(|(key, version)| Lost {
+        let lost = newer.map(|(key, version)| RowConflict {
             key: key.clone(),
             version,
             author: self.state.recent.author(version).to_owned(),
@@ -233,7 +234,7 @@
         self.state.version = version;
         self.remember(Decision {
             id: publish.id.0,
-            earlier: Earlier::Accepted(version),
+            earlier: PriorDecision::Accepted(version),
             author: publish.author,
         });
         Verdict::Accepted(version)
@@ -258,7 +259,7 @@
     fn reject(&mut self, id: PublishId, rejection: Rejection) -> Verdict {
         self.remember(Decision {
             id: id.0,
-            earlier: Earlier::Rejected {
+            earlier: PriorDecision::Rejected {
                 offset: self.state.position,
                 kind: rejection.kind(),
             },
--- a/crates/swiftcart-core/src/config/image.rs
+++ b/crates/swiftcart-core/src/config/image.rs
@@ -8,7 +8,7 @@
 use super::recent::Recent;
 use super::removed::Removed;
 use super::{
-    Checkpoint, CheckpointError, Digest, Offset, RULE, Row, RowKey, Table, Version, check,
+    Checkpoint, CheckpointError, Digest, LATEST_RULE, Offset, Row, RowKey, Table, Version, check,
 };
 
 /// Greatest position that is believed; it keeps the arithmetic far from overflow.
@@ -81,7 +81,7 @@
         }
         // The rule comes first, so that a state of a later form can still be told.
         match checkpoint.rule() {
-            Some(rule) if rule > RULE => return Err(CheckpointError::UnknownRule(rule)),
+            Some(rule) if rule > LATEST_RULE => return Err(CheckpointError::UnknownRule(rule)),
             _ => {}
         }
         let malformed = CheckpointError::Malformed(position);
--- a/crates/swiftcart-core/src/config/record.rs
+++ b/crates/swiftcart-core/src/config/record.rs
@@ -12,7 +12,7 @@
 ///
 /// A reader that meets a greater number keeps its version and reports it; it
 /// never applies such a record in part.
-pub const RULE: u16 = 3;
+pub const LATEST_RULE: u16 = 3;
 
 /// Names one publish, chosen by the operator's tool; a repeat is harmless.
 #[derive(
@@ -57,7 +57,7 @@
         match self {
             Self::Service(_) | Self::Route(..) => 1,
             Self::Account(_) | Self::Access(_) | Self::ColdStart(_) => 2,
-            Self::PrefixHomes(_) | Self::AccountHomes(_) => RULE,
+            Self::PrefixHomes(_) | Self::AccountHomes(_) => LATEST_RULE,
         }
     }
 }
--- a/crates/swiftcart-core/src/config/removed.rs
+++ b/crates/swiftcart-core/src/config/removed.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{RowKey, Version, row_cost};
+use super::{RowKey, Version, row_size_bound};
 
 /// Bytes of removed rows that are remembered; an older one raises the horizon
 /// when it is forgotten.
@@ -53,6 +53,6 @@
     }
 
     fn bytes(&self) -> usize {
-        self.0.keys().map(row_cost).sum()
+        self.0.keys().map(row_size_bound).sum()
     }
 }
--- a/crates/swiftcart-core/src/config/snapshot.rs
+++ b/crates/swiftcart-core/src/config/snapshot.rs
@@ -18,7 +18,7 @@
 ///     .with_service("booking", Limits::default())
 ///     .with_route("//book.example/crew/", "booking", 1);
 /// let snapshot = Snapshot::new(Version(7), table);
-/// assert!(snapshot.is_closed());
+/// assert!(snapshot.has_all_services());
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
@@ -53,14 +53,14 @@
 
     /// Sets what callers may send.
     #[must_use]
-    pub const fn with_requests(mut self, requests: RequestLimits) -> Self {
+    pub const fn with_request_limits(mut self, requests: RequestLimits) -> Self {
         self.requests = Some(requests);
         self
     }
 
     /// Tells whether every route leads to a service of the same version.
     #[must_use]
-    pub fn is_closed(&self) -> bool {
+    pub fn has_all_services(&self) -> bool {
         let known = |name| self.table.0.contains_key(&RowKey::Service(name));
         let mut routes = self.table.routes();
         routes.all(|(_, name, _)| known(name.clone()))
--- a/crates/swiftcart-core/src/config/verdict.rs
+++ b/crates/swiftcart-core/src/config/verdict.rs
@@ -45,7 +45,7 @@
 
 /// A row that changed between a publish's base and the publish.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Lost {
+pub struct RowConflict {
     /// The row.
     pub key: RowKey,
     /// The version that changed it.
@@ -75,7 +75,7 @@
 /// The first decision on a publish, as remembered for repeats of its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Earlier {
+pub enum PriorDecision {
     /// It was accepted as this version.
     Accepted(Version),
     /// It was rejected.
@@ -93,7 +93,7 @@
     #[serde(rename_all = "kebab-case")]
     pub enum Rejection {
         /// Rows that it edits changed since its base.
-        Conflict(lost: Vec<Lost>) {
+        Conflict(lost: Vec<RowConflict>) {
             display("{}; pull and edit again", List(lost))
         }
         /// The publish or the resulting table breaks these rules.
@@ -113,7 +113,7 @@
             display("the base is ahead of the current version {version}; pull and edit again")
         }
         /// A publish with its id was decided before.
-        Repeated(earlier: Earlier) {
+        Repeated(earlier: PriorDecision) {
             display("repeats an id that was {earlier}")
         }
     }
@@ -149,7 +149,7 @@
     }
 }
 
-impl Earlier {
+impl PriorDecision {
     /// Returns the offset of the record that was decided first.
     #[must_use]
     pub const fn offset(self) -> Offset {
@@ -166,7 +166,7 @@
     }
 }
 
-impl fmt::Display for Earlier {
+impl fmt::Display for PriorDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Accepted(version) => write!(f, "accepted as version {version}"),
@@ -177,7 +177,7 @@
     }
 }
 
-impl fmt::Display for Lost {
+impl fmt::Display for RowConflict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             key,
--- a/crates/swiftcart-core/src/wire/sync.rs
+++ b/crates/swiftcart-core/src/wire/sync.rs
@@ -5,7 +5,7 @@
 
 use super::seal::{Frame, Kind};
 use super::{MeshKey, WireError};
-use crate::{Compact, Member, NodeId, Offset, PullAnswer};
+use crate::{CompactSnapshot, Member, NodeId, Offset, PullAnswer};
 
 /// The greatest length of a sealed message of a state pull in bytes.
 pub const MAX_SYNC: usize = 8 << 20;
@@ -52,7 +52,7 @@
     /// The place behind the version.
     pub next: u64,
     /// The version.
-    pub compact: Compact,
+    pub compact: CompactSnapshot,
 }
 
 /// Encodes and authenticates a message of a state pull.
--- a/crates/swiftcart-core/tests/compact.rs
+++ b/crates/swiftcart-core/tests/compact.rs
@@ -39,15 +39,15 @@
 
     #[test]
     fn a_version_expands_to_itself(snapshot in snapshot()) {
-        let compact = Compact::new(&snapshot).unwrap();
+        let compact = CompactSnapshot::new(&snapshot).unwrap();
         let bytes = postcard::to_stdvec(&compact).unwrap();
-        let read: Compact = postcard::from_bytes(&bytes).unwrap();
+        let read: CompactSnapshot = postcard::from_bytes(&bytes).unwrap();
         prop_assert_eq!(read.expand(), Ok(snapshot));
     }
 
     #[test]
     fn arbitrary_bytes_expand_or_are_refused(bytes in vec(any::<u8>(), 0..200)) {
-        if let Ok(compact) = postcard::from_bytes::<Compact>(&bytes) {
+        if let Ok(compact) = postcard::from_bytes::<CompactSnapshot>(&bytes) {
             drop(compact.expand());
         }
     }
@@ -56,7 +56,10 @@
 #[test]
 fn a_version_with_a_route_to_nowhere_has_no_compact_form() {
     let table = Table::new().with_route("/a", "nowhere", 1);
-    assert_eq!(Compact::new(&Snapshot::new(Version(1), table)), None);
+    assert_eq!(
+        CompactSnapshot::new(&Snapshot::new(Version(1), table)),
+        None
+    );
 }
 
 #[test]
@@ -84,7 +87,7 @@
     }
     let snapshot = Snapshot::new(Version(7), table).with_policies(policies);
     let plain = postcard::to_stdvec(&snapshot).unwrap().len();
-    let compact = postcard::to_stdvec(&Compact::new(&snapshot).unwrap())
+    let compact = postcard::to_stdvec(&CompactSnapshot::new(&snapshot).unwrap())
         .unwrap()
         .len();
     assert!(compact * 3 <= plain, "{compact} of {plain} bytes");
--- a/crates/swiftcart-core/tests/config.rs
+++ b/crates/swiftcart-core/tests/config.rs
@@ -2,10 +2,10 @@
 
 use rstest::rstest;
 use swiftcart_core::{
-    Agreement, Body, Checkpoint, CheckpointError, Digest, Earlier, Edit, Entry, Envelope, Fold,
-    FoldError, Limits, Lost, MAX_BODY, MAX_RECENT, MAX_TABLE_BYTES, Offset, Publish, PublishId,
-    RecordError, Rejection, RejectionKind, Row, RowKey, ServiceName, Table, Verdict, Version,
-    Violation, check, diff, row_cost,
+    Agreement, Body, Checkpoint, CheckpointError, Digest, Edit, Entry, Envelope, Fold, FoldError,
+    Limits, MAX_RECENT_DECISIONS, MAX_RECORD_BYTES, MAX_TABLE_BYTES, Offset, PriorDecision,
+    Publish, PublishId, RecordError, Rejection, RejectionKind, Row, RowConflict, RowKey,
+    ServiceName, Table, Verdict, Version, Violation, check, diff, row_size_bound,
 };
 
 fn service(name: &str) -> RowKey {
@@ -69,8 +69,8 @@
     fold
 }
 
-fn lost(key: RowKey, version: u64) -> Lost {
-    Lost {
+fn lost(key: RowKey, version: u64) -> RowConflict {
+    RowConflict {
         key,
         version: Version(version),
         author: format!("op{version}"),
@@ -115,7 +115,7 @@
 )]
 #[case::a_repeat_of_an_accepted_id(
     publish(2, 3, vec![set("/x", "a", 7)]),
-    Err(Rejection::Repeated(Earlier::Accepted(Version(2))))
+    Err(Rejection::Repeated(PriorDecision::Accepted(Version(2))))
 )]
 fn a_publish_is_judged(#[case] publish: Publish, #[case] expected: Result<u64, Rejection>) {
     let mut fold = history();
@@ -268,20 +268,20 @@
 fn a_forgotten_id_is_never_accepted_again() {
     let mut fold = history();
     let again = publish(2, 1, vec![set("/x", "a", 5)]);
-    for id in 0..MAX_RECENT as u128 {
+    for id in 0..MAX_RECENT_DECISIONS as u128 {
         send(&mut fold, publish(100 + id, 3, vec![]));
     }
-    assert_eq!(fold.verdict_of(PublishId(2)), None);
+    assert_eq!(fold.prior_decision(PublishId(2)), None);
     let stale = Verdict::Rejected(Rejection::StaleBase(Version(3)));
     assert_eq!(send(&mut fold, again), stale);
     let next = fold.position().next().0;
     let fresh = publish(10, 3, vec![set("/x", "a", 6)]);
     assert_eq!(send(&mut fold, fresh), Verdict::Accepted(Version(next)));
-    let earlier = Earlier::Rejected {
+    let earlier = PriorDecision::Rejected {
         offset: Offset(3),
         kind: RejectionKind::Empty,
     };
-    assert_ne!(fold.verdict_of(PublishId(100)), Some(earlier));
+    assert_ne!(fold.prior_decision(PublishId(100)), Some(earlier));
 }
 
 /// More removed rows than are remembered leave no edit of one from an older base.
@@ -306,7 +306,7 @@
 fn the_greatest_checkpoint_fits_into_a_record() {
     let name = "s".repeat(63);
     let mut table = Table::new().with_service(&name, Limits::default());
-    let cost = |table: &Table| table.0.keys().map(row_cost).sum::<usize>();
+    let cost = |table: &Table| table.0.keys().map(row_size_bound).sum::<usize>();
     for i in 0.. {
         let more = table.clone().with_route(format!("/{i}"), &name, 1000);
         match cost(&more) {
@@ -344,5 +344,5 @@
     let checkpoint = fold.checkpoint();
     assert_eq!(Fold::from_checkpoint(&checkpoint), Ok(fold));
     let body = Envelope::new(Body::Checkpoint(checkpoint)).encode();
-    assert!(body.len() <= MAX_BODY, "{} bytes", body.len());
+    assert!(body.len() <= MAX_RECORD_BYTES, "{} bytes", body.len());
 }
--- a/crates/swiftcart-core/tests/config_rules.rs
+++ b/crates/swiftcart-core/tests/config_rules.rs
@@ -104,7 +104,7 @@
     let delta = Delta::between(&old, &new, new.digest());
     assert_eq!(delta.edits(), 1);
     assert_eq!(delta.apply(&old).unwrap(), new);
-    assert_eq!(Compact::new(&new).unwrap().expand().unwrap(), new);
+    assert_eq!(CompactSnapshot::new(&new).unwrap().expand().unwrap(), new);
 }
 
 #[rstest]
--- a/crates/swiftcart-node/src/control/placed.rs
+++ b/crates/swiftcart-node/src/control/placed.rs
@@ -4,7 +4,7 @@
 
 use slog::info;
 use swiftcart_core::{
-    Compact, Instant, NodeId, Placed, PullAnswer, SyncAdmit, SyncGate, SyncReply, Version,
+    CompactSnapshot, Instant, NodeId, Placed, PullAnswer, SyncAdmit, SyncGate, SyncReply, Version,
 };
 
 use super::control_loop::Control;
@@ -88,7 +88,7 @@
                 .reader
                 .whole()
                 .and_then(|whole| whole.place(newest.version));
-            let compact = place.and_then(|_| Compact::new(&newest));
+            let compact = place.and_then(|_| CompactSnapshot::new(&newest));
             let placed = place.zip(compact);
             let placed = placed.map(|(next, compact)| Placed { next, compact });
             self.wholes.put(now, newest.version, placed);
