--- a/crates/swiftcart-core/src/config/fold.rs
+++ b/crates/swiftcart-core/src/config/fold.rs
@@ -54,7 +54,7 @@
 }
 
 quick_error! {
-    /// The reason why a record cannot be applied. The fold is unchanged in this case.
+    /// The reason why a record cannot be applied. The error leaves the fold unchanged.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum FoldError {
         /// The offset of the record is not the next offset.
@@ -136,7 +136,7 @@
 
     /// Returns the version that last changed the row, or `None` when the row is not in the table.
     #[must_use]
-    pub fn changed(&self, key: &RowKey) -> Option<Version> {
+    pub fn last_changed(&self, key: &RowKey) -> Option<Version> {
         self.state.changed.get(key).copied()
     }
 
@@ -219,7 +219,7 @@
 
     fn conflicts(&self, publish: &Publish) -> Vec<RowConflict> {
         let changes = publish.edits.iter().filter_map(|edit| {
-            let changed = self.changed(&edit.key);
+            let changed = self.last_changed(&edit.key);
             let version = changed.or_else(|| self.state.removed.version(&edit.key))?;
             Some((&edit.key, version))
         });
--- a/crates/swiftcart-core/src/config/verdict.rs
+++ b/crates/swiftcart-core/src/config/verdict.rs
@@ -7,7 +7,8 @@
 
 use super::{Offset, RowKey, Version, Violation};
 
-/// Maximum number of conflicts or violations that a message lists. It only counts the others.
+/// Maximum number of conflicts or violations that a message lists. The message only counts
+/// the others.
 const MAX_LISTED_ITEMS: usize = 8;
 
 /// The result of folding one record.
