--- a/crates/swiftcart-core/examples/claim_cost.rs
+++ b/crates/swiftcart-core/examples/claim_cost.rs
@@ -77,7 +77,7 @@
         for n in chunk.iter().copied() {
             let (key, attempt) = (key_of(n), AttemptId(n));
             batch.claims.push(ClaimRecord { key, hash, attempt });
-            let body = body.filter(|size| size * BATCH < MAX_RECORD_BYTES / 2);
+            let body = body.filter(|size| size * BATCH < MAX_CLAIM_RECORD_BYTES / 2);
             if let Some(size) = body {
                 batch.answers.push(answer_record(key, attempt, size));
             }
@@ -85,7 +85,7 @@
         batch
     });
     let mut bodies: Vec<String> = batches.flat_map(|b| b.encode()).collect();
-    if let Some(size) = body.filter(|size| size * BATCH >= MAX_RECORD_BYTES / 2) {
+    if let Some(size) = body.filter(|size| size * BATCH >= MAX_CLAIM_RECORD_BYTES / 2) {
         let answers = all
             .iter()
             .map(|n| answer_record(key_of(*n), AttemptId(*n), size));
--- a/crates/swiftcart-core/src/claim/append_queue.rs
+++ b/crates/swiftcart-core/src/claim/append_queue.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     AbandonRecord, AnswerRecord, AttemptId, ClaimBatch, ClaimKey, ClaimRecord, ClaimSettings,
-    Instant, MAX_RECORD_BYTES,
+    Instant, MAX_CLAIM_RECORD_BYTES,
 };
 
 /// Bytes of a record that are reserved for everything except its items.
@@ -82,7 +82,7 @@
             Self::Answer(r) => serde_json::to_string(r),
             Self::Abandon(r) => serde_json::to_string(r),
         };
-        json.map_or(MAX_RECORD_BYTES, |s| s.len() + 1)
+        json.map_or(MAX_CLAIM_RECORD_BYTES, |s| s.len() + 1)
     }
 }
 
@@ -172,7 +172,7 @@
         let mut batch = ClaimBatch::default();
         let mut bytes = RECORD_OVERHEAD_BYTES;
         while self.in_flight.len() < self.max_batch {
-            let fits = |queued: &QueuedItem| bytes + queued.bytes <= MAX_RECORD_BYTES;
+            let fits = |queued: &QueuedItem| bytes + queued.bytes <= MAX_CLAIM_RECORD_BYTES;
             let Some(queued_item) = pop_front_if(&mut self.queue, fits) else {
                 break;
             };
--- a/crates/swiftcart-core/src/claim/claimant.rs
+++ b/crates/swiftcart-core/src/claim/claimant.rs
@@ -7,8 +7,8 @@
 use crate::{
     AbandonRecord, Answer, AnswerRecord, AppendResult, Claim, ClaimAction, ClaimBatch, ClaimKey,
     ClaimLedger, ClaimPage, ClaimRecord, ClaimRecordError, ClaimSettings, ClaimTicket,
-    ClaimVerdict, Decision, ExecutionResult, Instant, KeyState, MAX_RECORD_BYTES, Offset, Outcome,
-    Reason, Refusal, Reply, StartPermit,
+    ClaimVerdict, Decision, ExecutionResult, Instant, KeyState, MAX_CLAIM_RECORD_BYTES, Offset,
+    Outcome, Reason, Refusal, Reply, StartPermit,
 };
 
 /// Shortest `Retry-After` of a refusal.
@@ -453,7 +453,7 @@
 fn limit_reply(reply: Reply, limit: usize) -> Reply {
     match reply {
         Reply::Whole(Answer { ref body, .. }) if body.len() > limit => Reply::TooLarge,
-        Reply::Whole(ref answer) if answer.size() > MAX_RECORD_BYTES => Reply::TooLarge,
+        Reply::Whole(ref answer) if answer.size() > MAX_CLAIM_RECORD_BYTES => Reply::TooLarge,
         reply => reply,
     }
 }
--- a/crates/swiftcart-core/src/claim/record.rs
+++ b/crates/swiftcart-core/src/claim/record.rs
@@ -17,7 +17,7 @@
 pub const CLAIM_RULE: u16 = 1;
 
 /// Maximum size of a record in bytes; the platform refuses larger records.
-pub const MAX_RECORD_BYTES: usize = 256 * 1024;
+pub const MAX_CLAIM_RECORD_BYTES: usize = 256 * 1024;
 
 /// Declares a 128-bit identifier that is written as 32 hexadecimal digits.
 macro_rules! hex_id {
@@ -230,7 +230,7 @@
         }
         /// The record is larger than the platform allows; all readers skip it.
         Oversize(bytes: usize) {
-            display("claim record of {bytes} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")
+            display("claim record of {bytes} bytes exceeds the limit of {MAX_CLAIM_RECORD_BYTES} bytes")
         }
     }
 }
@@ -268,7 +268,7 @@
             rule: u16,
         }
         let malformed = |e: serde_json::Error| ClaimRecordError::Malformed(e.line(), e.column());
-        if body.len() > MAX_RECORD_BYTES {
+        if body.len() > MAX_CLAIM_RECORD_BYTES {
             return Err(ClaimRecordError::Oversize(body.len()));
         }
         let Rule { rule } = serde_json::from_str(body).map_err(malformed)?;
@@ -282,12 +282,12 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ClaimRecordError::Oversize`] if the body would exceed [`MAX_RECORD_BYTES`].
+    /// Returns [`ClaimRecordError::Oversize`] if the body would exceed [`MAX_CLAIM_RECORD_BYTES`].
     pub fn encode(&self) -> Result<String, ClaimRecordError> {
         let body = serde_json::to_string(self)
             .map_err(|e| ClaimRecordError::Malformed(e.line(), e.column()))?;
         match body.len() {
-            len if len > MAX_RECORD_BYTES => Err(ClaimRecordError::Oversize(len)),
+            len if len > MAX_CLAIM_RECORD_BYTES => Err(ClaimRecordError::Oversize(len)),
             _ => Ok(body),
         }
     }
