--- a/crates/swiftcart-core/examples/call_cost/policy.rs
+++ b/crates/swiftcart-core/examples/call_cost/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use swiftcart_core::{AdmissionSettings, BalanceSettings, LimitRule, Order};
+use swiftcart_core::{AdmissionSettings, BalanceSettings, LimitRule, QueueOrder};
 
 /// The age at which the product counts a reported load 1/e.
 const AGE: Duration = Duration::from_millis(500);
@@ -109,15 +109,15 @@
                 .with_admission(|a| a.limit.tolerance = 2.0)
                 .named("tolerance-2"),
             product
-                .with_admission(|a| a.limit.patience = 1024)
+                .with_admission(|a| a.limit.probe_after = 1024)
                 .named("patience-1024"),
             product
-                .with_admission(|a| a.order = Order::AdaptiveLifo)
+                .with_admission(|a| a.order = QueueOrder::AdaptiveLifo)
                 .named("lifo"),
             product.with_admission(|a| a.depth = 4.0).named("depth-4"),
             product
                 .with_admission(|a| a.depth = 4.0)
-                .with_admission(|a| a.order = Order::AdaptiveLifo)
+                .with_admission(|a| a.order = QueueOrder::AdaptiveLifo)
                 .named("depth-4-lifo"),
             product
                 .with_admission(|a| a.depth = 0.5)
--- a/crates/swiftcart-core/examples/call_cost/run/guard.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/guard.rs
@@ -45,7 +45,7 @@
 
     fn set_alarm(&mut self, guard: usize) {
         let state = &mut self.guards[guard];
-        let next = state.admission.as_ref().and_then(Admission::wake_at);
+        let next = state.admission.as_ref().and_then(Admission::next_expiry_at);
         match (next, state.alarm) {
             (Some(at), alarm) if alarm.is_none_or(|alarm| at < alarm) => {
                 state.alarm = Some(at);
--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -1,11 +1,11 @@
 //! Admission at the guard of one backend server: how much runs, waits or is refused.
 
-mod bid;
-mod gate;
+mod admission_state;
+mod egress_limiter;
 mod gauge;
 mod limit;
-mod outflow;
 mod queue;
+mod request;
 mod running;
 mod settings;
 mod targets;
@@ -20,15 +20,15 @@
 
 use crate::rate::Promises;
 use crate::{CallResult, Instant, Limits, Load, Pace, Reason, Refusal, Sample, ServerRate};
-use bid::Urgency;
-pub use bid::{AnswerLength, Bid, Patience};
-pub use gate::Gate;
+pub use admission_state::AdmissionState;
+pub use egress_limiter::EgressLimiter;
 use gauge::PaceGauge;
 use limit::AdaptiveLimit;
 pub use limit::{LimitRule, LimitSettings};
-pub use outflow::Outflow;
-pub use queue::Order;
+pub use queue::QueueOrder;
 use queue::{Queue, Waiting};
+use request::Urgency;
+pub use request::{AdmissionRequest, QueueWait, ResponseLength};
 use running::Running;
 pub use settings::AdmissionSettings;
 use targets::Targets;
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Admission {
     settings: AdmissionSettings,
-    gate: Gate,
+    admission_state: AdmissionState,
     /// The announced slots, cut to the table's concurrency.
     slots: u32,
     limit: AdaptiveLimit,
@@ -90,7 +90,7 @@
     next: u64,
     times: Times,
     gauge: PaceGauge,
-    outflow: Outflow,
+    egress_limiter: EgressLimiter,
     /// How long what leaves the instance waits for its link.
     delay: Duration,
     targets: Targets,
@@ -105,7 +105,7 @@
     pub fn new(now: Instant, settings: AdmissionSettings) -> Self {
         Self {
             settings,
-            gate: Gate::Open,
+            admission_state: AdmissionState::Open,
             slots: 0,
             limit: AdaptiveLimit::new(0, settings.limit),
             throttle: Throttle::default(),
@@ -114,7 +114,7 @@
             next: 0,
             times: Times::default(),
             gauge: PaceGauge::default(),
-            outflow: Outflow::new(settings.link),
+            egress_limiter: EgressLimiter::new(settings.link),
             delay: Duration::ZERO,
             targets: Targets::default(),
             promises: Promises::new(now),
@@ -144,12 +144,12 @@
     /// Opens or closes for new work; returns the waiting requests that are refused for it.
     ///
     /// What runs goes on in any case.
-    pub fn set_gate(&mut self, gate: Gate) -> Vec<Refused> {
-        self.gate = gate;
-        let reason = match gate {
-            Gate::Open | Gate::Stopping => return Vec::new(),
-            Gate::Warming => Reason::Warming,
-            Gate::Draining => Reason::Draining,
+    pub fn set_admission_state(&mut self, admission_state: AdmissionState) -> Vec<Refused> {
+        self.admission_state = admission_state;
+        let reason = match admission_state {
+            AdmissionState::Open | AdmissionState::Stopping => return Vec::new(),
+            AdmissionState::Warming => Reason::Warming,
+            AdmissionState::Draining => Reason::Draining,
         };
         let refusal = Refusal::new(reason).with_retry(ELSEWHERE);
         let refuse = |ticket| Refused { ticket, refusal };
@@ -162,40 +162,44 @@
     pub fn offer<R: Rng + ?Sized>(
         &mut self,
         now: Instant,
-        bid: impl Into<Bid>,
+        request: impl Into<AdmissionRequest>,
         rng: &mut R,
     ) -> Admit {
-        let bid = bid.into();
-        let urgency = self.urgency(now, &bid);
-        self.targets.note(bid.target);
-        let patience = self.patience(&bid);
+        let request = request.into();
+        let urgency = self.urgency(now, &request);
+        self.targets.note(request.target);
+        let queue_wait = self.queue_wait(&request);
         let wait = self.expected_wait(now, self.queue.ahead_of(urgency));
         let crowd = match self.running() < self.limit() {
             true => Reason::Throttled,
             false => Reason::Overloaded,
         };
-        let due = bid.due;
-        match self.gate {
-            Gate::Warming => self.elsewhere(Reason::Warming, rng),
-            Gate::Draining => self.elsewhere(Reason::Draining, rng),
-            Gate::Stopping => self.elsewhere(Reason::Stopping, rng),
-            Gate::Open if self.limit() == 0 => self.elsewhere(Reason::NotReady, rng),
-            Gate::Open if due.misses(now, self.times.quickest()) => {
+        let due = request.due;
+        match self.admission_state {
+            AdmissionState::Warming => self.elsewhere(Reason::Warming, rng),
+            AdmissionState::Draining => self.elsewhere(Reason::Draining, rng),
+            AdmissionState::Stopping => self.elsewhere(Reason::Stopping, rng),
+            AdmissionState::Open if self.limit() == 0 => self.elsewhere(Reason::NotReady, rng),
+            AdmissionState::Open if due.misses(now, self.times.quickest()) => {
                 Admit::Refuse(Refusal::new(Reason::DeadlinePassed))
             }
-            Gate::Open if !self.may_leave(bid.answer) => match self.link_wait() <= patience {
-                true if self.has_room(urgency) => Admit::Queue(self.wait(now, bid, rng)),
-                true | false => Admit::Refuse(self.link_busy()),
-            },
+            AdmissionState::Open if !self.may_leave(request.response_length) => {
+                match self.link_wait() <= queue_wait {
+                    true if self.has_room(urgency) => Admit::Queue(self.wait(now, request, rng)),
+                    true | false => Admit::Refuse(self.link_busy()),
+                }
+            }
             // What waits was started as long as there was a place; the rest has expired.
-            Gate::Open if self.has_place(now) => Admit::Run(self.run(now, &bid)),
-            Gate::Open if !self.has_room(urgency) => {
-                Admit::Refuse(self.crowded(Reason::QueueFull, bid.patience, now, rng))
+            AdmissionState::Open if self.has_place(now) => Admit::Run(self.run(now, &request)),
+            AdmissionState::Open if !self.has_room(urgency) => {
+                Admit::Refuse(self.crowded(Reason::QueueFull, request.queue_wait, now, rng))
             }
-            Gate::Open if wait > patience || due.misses(now, wait + self.times.quickest()) => {
-                Admit::Refuse(self.crowded(crowd, bid.patience, now, rng))
+            AdmissionState::Open
+                if wait > queue_wait || due.misses(now, wait + self.times.quickest()) =>
+            {
+                Admit::Refuse(self.crowded(crowd, request.queue_wait, now, rng))
             }
-            Gate::Open => Admit::Queue(self.wait(now, bid, rng)),
+            AdmissionState::Open => Admit::Queue(self.wait(now, request, rng)),
         }
     }
 
@@ -222,15 +226,15 @@
     /// none when the head does not tell.
     pub fn head(&mut self, ticket: Ticket, now: Instant, bytes: u64) {
         match self.running.get(&ticket) {
-            Some(running) if running.answer == AnswerLength::Long => {
-                self.outflow.head(now.since(running.start), bytes);
+            Some(running) if running.response_length == ResponseLength::Long => {
+                self.egress_limiter.head(now.since(running.start), bytes);
             }
             Some(_) | None => {}
         }
     }
 
     /// Takes in how long what leaves the instance waits for its link.
-    pub const fn set_delay(&mut self, delay: Duration) {
+    pub const fn set_link_delay(&mut self, delay: Duration) {
         self.delay = delay;
     }
 
@@ -266,13 +270,13 @@
 
     /// Returns when [`Admission::expire`] has to be called next.
     #[must_use]
-    pub fn wake_at(&self) -> Option<Instant> {
+    pub fn next_expiry_at(&self) -> Option<Instant> {
         self.queue.next_expiry()
     }
 
     /// Returns when a waiting request's wait ends, or `None` when it does not wait.
     #[must_use]
-    pub fn waits_until(&self, ticket: Ticket) -> Option<Instant> {
+    pub fn wait_deadline(&self, ticket: Ticket) -> Option<Instant> {
         self.queue.until(ticket)
     }
 
@@ -296,7 +300,7 @@
 
     /// Returns when a waiting request may start although none ends before: when the rate lets it.
     #[must_use]
-    pub fn starts_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_start_at(&self, now: Instant) -> Option<Instant> {
         let held = self.throttle.wait(now, 0);
         let waits = self.queue.len() > 0 && self.running() < self.limit();
         (waits && !held.is_zero()).then(|| now + held)
@@ -350,9 +354,9 @@
         Ticket(self.next)
     }
 
-    fn run(&mut self, now: Instant, bid: &Bid) -> Ticket {
+    fn run(&mut self, now: Instant, request: &AdmissionRequest) -> Ticket {
         let ticket = self.ticket();
-        self.hand_over(now, ticket, bid.target, bid.answer);
+        self.hand_over(now, ticket, request.target, request.response_length);
         ticket
     }
 
@@ -361,25 +365,25 @@
         now: Instant,
         ticket: Ticket,
         target: Option<Duration>,
-        answer: AnswerLength,
+        response_length: ResponseLength,
     ) {
-        if answer == AnswerLength::Long {
-            self.outflow.begin();
+        if response_length == ResponseLength::Long {
+            self.egress_limiter.begin();
         }
         self.throttle.take(now);
         let running = Running {
             among: self.running() + 1,
             start: now,
             target,
-            answer,
+            response_length,
         };
         self.running.insert(ticket, running);
     }
 
     fn remove(&mut self, ticket: Ticket) -> Option<Running> {
         let running = self.running.remove(&ticket)?;
-        if running.answer == AnswerLength::Long {
-            self.outflow.end();
+        if running.response_length == ResponseLength::Long {
+            self.egress_limiter.end();
         }
         Some(running)
     }
@@ -390,16 +394,16 @@
     }
 
     /// Tells whether the way out has room for an answer of this length.
-    fn may_leave(&self, answer: AnswerLength) -> bool {
-        match answer {
-            AnswerLength::Short => true,
-            AnswerLength::Long => self.outflow.has_room(self.delay),
+    fn may_leave(&self, response_length: ResponseLength) -> bool {
+        match response_length {
+            ResponseLength::Short => true,
+            ResponseLength::Long => self.egress_limiter.has_room(self.delay),
         }
     }
 
     /// Returns when the link has room for one more long answer, behind those that wait for it.
     fn link_wait(&self) -> Duration {
-        let each = self.outflow.each().unwrap_or(Duration::ZERO);
+        let each = self.egress_limiter.each().unwrap_or(Duration::ZERO);
         self.delay + each * (to_u32(self.queue.long()) + 1)
     }
 
@@ -426,33 +430,38 @@
         }
     }
 
-    fn urgency(&self, now: Instant, bid: &Bid) -> Urgency {
+    fn urgency(&self, now: Instant, request: &AdmissionRequest) -> Urgency {
         let usual = self.settings.wait;
-        bid.urgency(now, usual, self.targets.long().unwrap_or(usual))
+        request.urgency(now, usual, self.targets.long().unwrap_or(usual))
     }
 
-    fn patience(&self, bid: &Bid) -> Duration {
+    fn queue_wait(&self, request: &AdmissionRequest) -> Duration {
         let usual = self.settings.wait;
-        bid.longest_wait(usual, self.targets.long().unwrap_or(usual))
+        request.longest_wait(usual, self.targets.long().unwrap_or(usual))
     }
 
     /// Has a request wait, in the place of a less urgent one if need be.
-    fn wait<R: Rng + ?Sized>(&mut self, now: Instant, bid: Bid, rng: &mut R) -> Ticket {
-        self.make_room(now, self.urgency(now, &bid), rng);
+    fn wait<R: Rng + ?Sized>(
+        &mut self,
+        now: Instant,
+        request: AdmissionRequest,
+        rng: &mut R,
+    ) -> Ticket {
+        self.make_room(now, self.urgency(now, &request), rng);
         let ticket = self.ticket();
-        let latest = bid.due.less(self.times.quickest()).at();
-        let patience = now + self.patience(&bid);
-        let reason = match patience < latest {
+        let latest = request.due.less(self.times.quickest()).at();
+        let queue_wait = now + self.queue_wait(&request);
+        let reason = match queue_wait < latest {
             true => Reason::Overloaded,
             false => Reason::DeadlinePassed,
         };
         self.queue.push(Waiting {
             ticket,
-            urgency: self.urgency(now, &bid),
-            until: latest.min(patience),
+            urgency: self.urgency(now, &request),
+            until: latest.min(queue_wait),
             reason,
-            target: bid.target,
-            answer: bid.answer,
+            target: request.target,
+            response_length: request.response_length,
         });
         ticket
     }
@@ -462,11 +471,11 @@
         let mut started = Vec::new();
         while self.has_place(now) {
             let capacity = self.capacity();
-            let room = self.outflow.has_room(self.delay);
+            let room = self.egress_limiter.has_room(self.delay);
             let Some(next) = self.queue.pop(now, self.settings.order, capacity, room) else {
                 break;
             };
-            self.hand_over(now, next.ticket, next.target, next.answer);
+            self.hand_over(now, next.ticket, next.target, next.response_length);
             started.push(next.ticket);
         }
         started
@@ -520,13 +529,13 @@
     fn crowded<R: Rng + ?Sized>(
         &mut self,
         reason: Reason,
-        patience: Patience,
+        queue_wait: QueueWait,
         now: Instant,
         rng: &mut R,
     ) -> Refusal {
-        match (patience, reason) {
-            (Patience::Full, _) | (_, Reason::Throttled) => self.later(reason, now, rng),
-            (Patience::Short, _) => Refusal::new(reason),
+        match (queue_wait, reason) {
+            (QueueWait::Full, _) | (_, Reason::Throttled) => self.later(reason, now, rng),
+            (QueueWait::Short, _) => Refusal::new(reason),
         }
     }
 
--- a/crates/swiftcart-core/src/admission/gate.rs
+++ b/crates/swiftcart-core/src/admission/admission_state.rs
@@ -2,7 +2,7 @@
 
 /// Tells whether new work is taken.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Gate {
+pub enum AdmissionState {
     /// New work is taken.
     #[default]
     Open,
--- a/crates/swiftcart-core/src/admission/outflow.rs
+++ b/crates/swiftcart-core/src/admission/egress_limiter.rs
@@ -28,9 +28,9 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{LinkRate, Outflow};
+/// use swiftcart_core::{LinkRate, EgressLimiter};
 ///
-/// let mut out = Outflow::new(Some(LinkRate { kbit_s: 8_000 }));
+/// let mut out = EgressLimiter::new(Some(LinkRate { kbit_s: 8_000 }));
 /// assert!(out.has_room(Duration::ZERO), "nothing is known yet");
 /// out.begin();
 /// out.head(Duration::from_millis(200), 50_000);
@@ -44,7 +44,7 @@
 /// assert!(!out.has_room(Duration::from_millis(60)), "what was sent is still on the link");
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Outflow {
+pub struct EgressLimiter {
     link: Option<LinkRate>,
     /// Long answers that are being made or passed on.
     under_way: u32,
@@ -54,7 +54,7 @@
     length: Option<f64>,
 }
 
-impl Outflow {
+impl EgressLimiter {
     /// Creates the bound for a link, which does not bind when its rate is not known.
     #[must_use]
     pub const fn new(link: Option<LinkRate>) -> Self {
--- a/crates/swiftcart-core/src/admission/limit.rs
+++ b/crates/swiftcart-core/src/admission/limit.rs
@@ -37,7 +37,7 @@
     /// The loaded samples of one window.
     pub window: u32,
     /// The most loaded samples without an unloaded one before the load is lowered for a moment.
-    pub patience: u32,
+    pub probe_after: u32,
     /// The unloaded samples of one window, which also end such a moment.
     pub probe: u32,
 }
@@ -48,7 +48,7 @@
             rule: LimitRule::default(),
             tolerance: 1.5,
             window: 32,
-            patience: 4096,
+            probe_after: 4096,
             probe: 16,
         }
     }
@@ -101,7 +101,7 @@
             unloaded: Window::default(),
             loaded: Window::default(),
             dry: 0,
-            pause: settings.patience >> PAUSES,
+            pause: settings.probe_after >> PAUSES,
             probing: 0,
         }
     }
@@ -147,7 +147,7 @@
 
     /// Takes in a window of unloaded samples.
     fn renew(&mut self, latest: f64) {
-        let longest = self.settings.patience;
+        let longest = self.settings.probe_after;
         let base = self.base.get_or_insert(latest);
         self.pause = match latest < *base * NEWS {
             true => (self.pause / 2).max(longest >> PAUSES),
--- a/crates/swiftcart-core/src/admission/queue.rs
+++ b/crates/swiftcart-core/src/admission/queue.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use super::Ticket;
-use super::bid::{AnswerLength, Urgency};
+use super::request::{ResponseLength, Urgency};
 use crate::{Instant, Reason};
 
 /// Chooses which waiting request goes next.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Order {
+pub enum QueueOrder {
     /// The most urgent one, the oldest among equals.
     #[default]
     Fifo,
@@ -30,7 +30,7 @@
     /// The time within which its answer is worth most.
     pub(super) target: Option<Duration>,
     /// How much its answer takes of the way out.
-    pub(super) answer: AnswerLength,
+    pub(super) response_length: ResponseLength,
 }
 
 /// Holds the waiting requests, the most urgent first and the oldest first among equals.
@@ -69,7 +69,7 @@
 
     /// Counts those that wait with a long answer.
     pub(super) fn long(&self) -> usize {
-        let long = |w: &&Waiting| w.answer == AnswerLength::Long;
+        let long = |w: &&Waiting| w.response_length == ResponseLength::Long;
         self.waiting.iter().filter(long).count()
     }
 
@@ -78,15 +78,16 @@
     pub(super) fn pop(
         &mut self,
         now: Instant,
-        order: Order,
+        order: QueueOrder,
         capacity: usize,
         room: bool,
     ) -> Option<Waiting> {
         let mut live = self.waiting.iter();
-        let fits = |w: &Waiting| w.until > now && (room || w.answer == AnswerLength::Short);
+        let fits =
+            |w: &Waiting| w.until > now && (room || w.response_length == ResponseLength::Short);
         let i = match order {
-            Order::AdaptiveLifo if self.waiting.len() * 2 > capacity => live.rposition(fits),
-            Order::AdaptiveLifo | Order::Fifo => live.position(fits),
+            QueueOrder::AdaptiveLifo if self.waiting.len() * 2 > capacity => live.rposition(fits),
+            QueueOrder::AdaptiveLifo | QueueOrder::Fifo => live.position(fits),
         };
         self.waiting.remove(i?)
     }
--- a/crates/swiftcart-core/src/admission/bid.rs
+++ b/crates/swiftcart-core/src/admission/request.rs
@@ -34,7 +34,7 @@
 
 /// Tells how long a request may wait for a slot.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Patience {
+pub enum QueueWait {
     /// Hardly at all: another guard may have a place.
     Short,
     /// As long as waiting is worth it.
@@ -44,7 +44,7 @@
 
 /// Tells how much an answer takes of the way out of its instance.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum AnswerLength {
+pub enum ResponseLength {
     /// Some kilobytes.
     #[default]
     Short,
@@ -54,7 +54,7 @@
 
 /// Says when an answer is due at the latest, when it should be there, and its rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Bid {
+pub struct AdmissionRequest {
     /// When the answer is due.
     pub due: Deadline,
     /// The time within which it is worth most, where the configuration says so.
@@ -62,11 +62,11 @@
     /// Its rank among the requests of the same service.
     pub priority: Priority,
     /// How long it may wait.
-    pub patience: Patience,
+    pub queue_wait: QueueWait,
     /// For how long its caller has been trying to get an answer.
     pub age: Duration,
     /// How long its answer is expected to be.
-    pub answer: AnswerLength,
+    pub response_length: ResponseLength,
 }
 
 /// Tells whether an answer can still come within the time in which it is worth most.
@@ -90,7 +90,7 @@
     until: Instant,
 }
 
-impl Bid {
+impl AdmissionRequest {
     /// Creates the bid of a request whose answer is due by `due`.
     #[must_use]
     pub const fn new(due: Deadline) -> Self {
@@ -98,16 +98,16 @@
             due,
             target: None,
             priority: Priority(0),
-            patience: Patience::Full,
+            queue_wait: QueueWait::Full,
             age: Duration::ZERO,
-            answer: AnswerLength::Short,
+            response_length: ResponseLength::Short,
         }
     }
 
     /// Sets how long the answer is expected to be.
     #[must_use]
-    pub const fn with_answer(mut self, answer: AnswerLength) -> Self {
-        self.answer = answer;
+    pub const fn with_response_length(mut self, response_length: ResponseLength) -> Self {
+        self.response_length = response_length;
         self
     }
 
@@ -120,8 +120,8 @@
 
     /// Sets how long it may wait.
     #[must_use]
-    pub const fn with_patience(mut self, patience: Patience) -> Self {
-        self.patience = patience;
+    pub const fn with_queue_wait(mut self, queue_wait: QueueWait) -> Self {
+        self.queue_wait = queue_wait;
         self
     }
 
@@ -153,15 +153,15 @@
     /// target that most requests at the guard do not exceed.
     pub(super) fn longest_wait(&self, usual: Duration, long: Duration) -> Duration {
         let target = self.target.unwrap_or(usual);
-        match (self.patience, self.target) {
-            (Patience::Short, _) => target.mul_f64(ASKING_PATIENCE).min(usual),
-            (Patience::Full, Some(target)) => {
+        match (self.queue_wait, self.target) {
+            (QueueWait::Short, _) => target.mul_f64(ASKING_PATIENCE).min(usual),
+            (QueueWait::Full, Some(target)) => {
                 let among_longer = long.mul_f64(PATIENCE);
                 let own = target.mul_f64(OWN_PATIENCE);
                 let wait = among_longer.min(own).max(target.mul_f64(PATIENCE));
                 wait.min(usual)
             }
-            (Patience::Full, None) => usual,
+            (QueueWait::Full, None) => usual,
         }
     }
 
@@ -169,7 +169,7 @@
     /// most requests at the guard do not exceed.
     pub(super) fn urgency(&self, now: Instant, usual: Duration, long: Duration) -> Urgency {
         let full = Self {
-            patience: Patience::Full,
+            queue_wait: QueueWait::Full,
             ..*self
         };
         Urgency {
@@ -187,7 +187,7 @@
     }
 }
 
-impl From<Deadline> for Bid {
+impl From<Deadline> for AdmissionRequest {
     fn from(due: Deadline) -> Self {
         Self::new(due)
     }
--- a/crates/swiftcart-core/src/admission/running.rs
+++ b/crates/swiftcart-core/src/admission/running.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::AnswerLength;
+use super::ResponseLength;
 use super::gauge::in_targets;
 use crate::Instant;
 
@@ -14,7 +14,7 @@
     pub(super) start: Instant,
     /// The time within which its answer is worth most.
     pub(super) target: Option<Duration>,
-    pub(super) answer: AnswerLength,
+    pub(super) response_length: ResponseLength,
 }
 
 impl Running {
--- a/crates/swiftcart-core/src/admission/settings.rs
+++ b/crates/swiftcart-core/src/admission/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{LimitSettings, Order};
+use super::{LimitSettings, QueueOrder};
 use crate::LinkRate;
 
 /// Sets how much may wait.
@@ -15,7 +15,7 @@
     /// The longest wait.
     pub wait: Duration,
     /// Which waiting request goes next.
-    pub order: Order,
+    pub order: QueueOrder,
     /// How the limit follows the latency.
     pub limit: LimitSettings,
     /// The rate of the instance's link, where it is known.
@@ -28,7 +28,7 @@
             queue: 128,
             depth: 1.0,
             wait: Duration::from_millis(500),
-            order: Order::default(),
+            order: QueueOrder::default(),
             limit: LimitSettings::default(),
             link: None,
         }
--- a/crates/swiftcart-core/src/asking.rs
+++ b/crates/swiftcart-core/src/asking.rs
@@ -1,6 +1,6 @@
 //! The search of one request for a guard that has a place.
 
-use crate::{NodeId, Patience, Payload, Pick, PickRule, Reason};
+use crate::{NodeId, Payload, Pick, PickRule, QueueWait, Reason};
 
 /// Guards that are asked for a place before the request waits at one of them. Of three that
 /// are chosen by their load, one has a place as long as a tenth of the slots are free.
@@ -27,18 +27,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Asking, Payload, NodeId, Patience, Pick, PickRule, Reason};
+/// use swiftcart_core::{Asking, Payload, NodeId, QueueWait, Pick, PickRule, Reason};
 ///
 /// let guard = |n| NodeId(([10, 0, 0, n], 7000).into());
 /// let pick = |n| Pick { id: guard(n), peer: guard(n).0, rule: PickRule::Near, free: true };
 /// let mut asking = Asking::new(2, Payload::Light);
 /// for n in 1..=2 {
 ///     assert!(!asking.turns(Some(&pick(n))));
-///     assert_eq!(asking.patience(), Patience::Short);
+///     assert_eq!(asking.queue_wait(), QueueWait::Short);
 ///     asking.failed(guard(n), Reason::Overloaded);
 /// }
 /// assert!(asking.turns(None), "nobody is left to ask");
-/// assert_eq!((asking.patience(), asking.excluded()), (Patience::Full, &[][..]));
+/// assert_eq!((asking.queue_wait(), asking.excluded()), (QueueWait::Full, &[][..]));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asking {
@@ -78,10 +78,10 @@
 
     /// Tells how long the next guard may let the request wait.
     #[must_use]
-    pub const fn patience(&self) -> Patience {
+    pub const fn queue_wait(&self) -> QueueWait {
         match self.stage {
-            Stage::Ask | Stage::Rest => Patience::Short,
-            Stage::Wait => Patience::Full,
+            Stage::Ask | Stage::Rest => QueueWait::Short,
+            Stage::Wait => QueueWait::Full,
         }
     }
 
--- a/crates/swiftcart-core/tests/admission.rs
+++ b/crates/swiftcart-core/tests/admission.rs
@@ -39,25 +39,25 @@
 }
 
 #[rstest]
-#[case::free(0, 1000, Gate::Open, "run")]
-#[case::busy(2, 1000, Gate::Open, "queue")]
-#[case::queue_is_full(4, 1000, Gate::Open, "queue-full")]
-#[case::wait_is_too_long(3, 199, Gate::Open, "overloaded")]
-#[case::deadline_cannot_be_met(0, 99, Gate::Open, "deadline-passed")]
-#[case::draining(0, 1000, Gate::Draining, "draining")]
-#[case::warming(0, 1000, Gate::Warming, "warming")]
-#[case::stopping(0, 1000, Gate::Stopping, "stopping")]
+#[case::free(0, 1000, AdmissionState::Open, "run")]
+#[case::busy(2, 1000, AdmissionState::Open, "queue")]
+#[case::queue_is_full(4, 1000, AdmissionState::Open, "queue-full")]
+#[case::wait_is_too_long(3, 199, AdmissionState::Open, "overloaded")]
+#[case::deadline_cannot_be_met(0, 99, AdmissionState::Open, "deadline-passed")]
+#[case::draining(0, 1000, AdmissionState::Draining, "draining")]
+#[case::warming(0, 1000, AdmissionState::Warming, "warming")]
+#[case::stopping(0, 1000, AdmissionState::Stopping, "stopping")]
 fn an_offer_after(
     #[case] earlier: u32,
     #[case] left: u64,
-    #[case] gate: Gate,
+    #[case] admission_state: AdmissionState,
     #[case] expected: &str,
 ) {
     let (mut guard, mut rng) = guard();
     for _ in 0..earlier {
         guard.offer(START, due(START, 1000), &mut rng);
     }
-    guard.set_gate(gate);
+    guard.set_admission_state(admission_state);
     let admit = guard.offer(START, due(START, left), &mut rng);
     assert_eq!(name(admit), expected);
 }
@@ -78,9 +78,13 @@
 }
 
 #[rstest]
-#[case::draining_refuses_what_waits(Gate::Draining, 2, 0)]
-#[case::stopping_keeps_what_waits(Gate::Stopping, 0, 1)]
-fn closing_the_gate(#[case] gate: Gate, #[case] refused: usize, #[case] started: usize) {
+#[case::draining_refuses_what_waits(AdmissionState::Draining, 2, 0)]
+#[case::stopping_keeps_what_waits(AdmissionState::Stopping, 0, 1)]
+fn closing_the_gate(
+    #[case] admission_state: AdmissionState,
+    #[case] refused: usize,
+    #[case] started: usize,
+) {
     let (mut guard, mut rng) = guard();
     let offers: Vec<_> = (0..4)
         .map(|_| guard.offer(START, due(START, 1000), &mut rng))
@@ -88,7 +92,7 @@
     let Admit::Run(first) = offers[0] else {
         panic!("a free slot runs")
     };
-    assert_eq!(guard.set_gate(gate).len(), refused);
+    assert_eq!(guard.set_admission_state(admission_state).len(), refused);
     assert_eq!(guard.running(), 2, "what runs goes on");
     assert_eq!(guard.done(first, START, &success(100)).len(), started);
 }
@@ -211,7 +215,7 @@
     Cancel(usize),
     Expire,
     Slots(u32, u32),
-    Gate(Gate),
+    AdmissionState(AdmissionState),
     Wait(u64),
 }
 
@@ -220,11 +224,11 @@
         4 => Just(CallResult::Success),
         1 => Just(CallResult::Failure),
     ];
-    let gate = prop_oneof![
-        3 => Just(Gate::Open),
-        1 => Just(Gate::Warming),
-        1 => Just(Gate::Draining),
-        1 => Just(Gate::Stopping),
+    let admission_state = prop_oneof![
+        3 => Just(AdmissionState::Open),
+        1 => Just(AdmissionState::Warming),
+        1 => Just(AdmissionState::Draining),
+        1 => Just(AdmissionState::Stopping),
     ];
     prop_oneof![
         20 => (0..400_u64).prop_map(Event::Offer),
@@ -232,7 +236,7 @@
         3 => any::<usize>().prop_map(Event::Cancel),
         3 => Just(Event::Expire),
         1 => (0..6_u32, 0..4_u32).prop_map(|(slots, most)| Event::Slots(slots, most)),
-        1 => gate.prop_map(Event::Gate),
+        1 => admission_state.prop_map(Event::AdmissionState),
         8 => (0..40_u64).prop_map(Event::Wait),
     ]
 }
@@ -243,7 +247,7 @@
     rng: SmallRng,
     settings: AdmissionSettings,
     now: Instant,
-    gate: Gate,
+    admission_state: AdmissionState,
     most: u32,
     running: Vec<Ticket>,
     waiting: BTreeMap<Ticket, (Instant, Deadline)>,
@@ -275,11 +279,11 @@
     fn offer(&mut self, left: u64) -> Result<(), TestCaseError> {
         let due = due(self.now, left);
         // One in three has no target; the others are more urgent than those.
-        let bid = match left % 3 {
-            0 => Bid::new(due),
-            n => Bid::new(due).with_target(Duration::from_millis(40 * n)),
+        let request = match left % 3 {
+            0 => AdmissionRequest::new(due),
+            n => AdmissionRequest::new(due).with_target(Duration::from_millis(40 * n)),
         };
-        let admit = self.guard.offer(self.now, bid, &mut self.rng);
+        let admit = self.guard.offer(self.now, request, &mut self.rng);
         let displaced = self.guard.displaced();
         self.refuse(&displaced)?;
         match admit {
@@ -293,7 +297,7 @@
                 let most = f64::from(self.guard.limit()) * self.settings.depth;
                 prop_assert!(f64::from(self.guard.queued()) <= most.ceil());
                 prop_assert!(self.guard.queued() <= self.settings.queue);
-                prop_assert!(self.guard.wake_at().is_some_and(|at| at <= due.at()));
+                prop_assert!(self.guard.next_expiry_at().is_some_and(|at| at <= due.at()));
             }
             Admit::Refuse(refusal) => {
                 let helps = refusal.reason != Reason::DeadlinePassed;
@@ -302,7 +306,7 @@
         }
         let refused = matches!(admit, Admit::Refuse(_));
         prop_assert!(
-            self.gate == Gate::Open || refused,
+            self.admission_state == AdmissionState::Open || refused,
             "a closed gate took work"
         );
         Ok(())
@@ -352,9 +356,9 @@
                 let started = self.guard.set_slots(self.now, slots, limits);
                 self.start(&started)?;
             }
-            Event::Gate(gate) => {
-                self.gate = gate;
-                let refused = self.guard.set_gate(gate);
+            Event::AdmissionState(admission_state) => {
+                self.admission_state = admission_state;
+                let refused = self.guard.set_admission_state(admission_state);
                 self.refuse(&refused)?;
             }
             Event::Wait(ms) => self.now = self.now + Duration::from_millis(ms),
@@ -375,17 +379,17 @@
 
     #[test]
     fn whatever_happens_each_request_ends_in_one_way(
-        order in prop_oneof![Just(Order::Fifo), Just(Order::AdaptiveLifo)],
+        order in prop_oneof![Just(QueueOrder::Fifo), Just(QueueOrder::AdaptiveLifo)],
         events in prop::collection::vec(event(), 1..300),
     ) {
-        let limit = LimitSettings { window: 4, patience: 16, probe: 2, ..LimitSettings::default() };
+        let limit = LimitSettings { window: 4, probe_after: 16, probe: 2, ..LimitSettings::default() };
         let settings = AdmissionSettings { order, limit, queue: 5, ..AdmissionSettings::default() };
         let mut model = Model {
             guard: Admission::new(START, settings).with_slots(3),
             rng: SmallRng::seed_from_u64(1),
             settings,
             now: START,
-            gate: Gate::Open,
+            admission_state: AdmissionState::Open,
             most: 3,
             running: Vec::new(),
             waiting: BTreeMap::new(),
--- a/crates/swiftcart-core/tests/admission_order.rs
+++ b/crates/swiftcart-core/tests/admission_order.rs
@@ -12,11 +12,11 @@
 /// The time that a call takes at the guard of these tests, in milliseconds.
 const CALL_MS: u64 = 20;
 
-fn bid(target_ms: Option<u64>) -> Bid {
-    let bid = Bid::new(Deadline::new(START, Duration::from_secs(5)));
+fn request(target_ms: Option<u64>) -> AdmissionRequest {
+    let request = AdmissionRequest::new(Deadline::new(START, Duration::from_secs(5)));
     match target_ms {
-        Some(ms) => bid.with_target(Duration::from_millis(ms)),
-        None => bid,
+        Some(ms) => request.with_target(Duration::from_millis(ms)),
+        None => request,
     }
 }
 
@@ -24,7 +24,7 @@
 fn busy(slots: u32) -> (Admission, SmallRng, Vec<Ticket>) {
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(slots);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut run = |guard: &mut Admission| match guard.offer(START, bid(None), &mut rng) {
+    let mut run = |guard: &mut Admission| match guard.offer(START, request(None), &mut rng) {
         Admit::Run(ticket) => ticket,
         other => panic!("a free slot runs, not {other:?}"),
     };
@@ -44,10 +44,12 @@
     let (mut guard, mut rng, running) = busy(2);
     let waiting: Vec<Ticket> = targets
         .iter()
-        .map(|target| match guard.offer(START, bid(*target), &mut rng) {
-            Admit::Queue(ticket) => ticket,
-            other => panic!("it waits, not {other:?}"),
-        })
+        .map(
+            |target| match guard.offer(START, request(*target), &mut rng) {
+                Admit::Queue(ticket) => ticket,
+                other => panic!("it waits, not {other:?}"),
+            },
+        )
         .collect();
     let sample = Sample::new(Duration::from_millis(CALL_MS), CallResult::Success);
     let started: Vec<Ticket> = running
@@ -99,8 +101,9 @@
                 next[kind] += EVERY_MS[kind];
                 came[kind] += 1.0;
                 let due = Deadline::new(now, Duration::from_millis(1_500));
-                let bid = Bid::new(due).with_target(Duration::from_millis(TARGET_MS[kind]));
-                match guard.offer(now, bid, &mut rng) {
+                let request =
+                    AdmissionRequest::new(due).with_target(Duration::from_millis(TARGET_MS[kind]));
+                match guard.offer(now, request, &mut rng) {
                     Admit::Run(ticket) => {
                         kinds.insert(ticket, kind);
                         started.push(ticket);
@@ -127,12 +130,12 @@
 #[test]
 fn the_lower_priority_number_goes_before_the_earlier_wanted_answer() {
     let (mut guard, mut rng, running) = busy(2);
-    let mut wait = |bid: Bid| match guard.offer(START, bid, &mut rng) {
+    let mut wait = |request: AdmissionRequest| match guard.offer(START, request, &mut rng) {
         Admit::Queue(ticket) => ticket,
         other => panic!("it waits, not {other:?}"),
     };
-    let short = wait(bid(Some(120)).with_priority(Priority(2)));
-    let urgent = wait(bid(Some(1000)).with_priority(Priority(0)));
+    let short = wait(request(Some(120)).with_priority(Priority(2)));
+    let urgent = wait(request(Some(1000)).with_priority(Priority(0)));
     let sample = Sample::new(Duration::from_millis(CALL_MS), CallResult::Success);
     let started: Vec<Ticket> = running
         .into_iter()
@@ -145,8 +148,8 @@
 fn what_can_be_in_time_goes_before_what_is_late_in_any_case() {
     let (mut guard, mut rng, running) = busy(2);
     let mut wait = |age_ms| {
-        let bid = bid(Some(200)).with_age(Duration::from_millis(age_ms));
-        match guard.offer(START, bid, &mut rng) {
+        let request = request(Some(200)).with_age(Duration::from_millis(age_ms));
+        match guard.offer(START, request, &mut rng) {
             Admit::Queue(ticket) => ticket,
             other => panic!("it waits, not {other:?}"),
         }
@@ -164,9 +167,9 @@
 #[test]
 fn a_first_try_is_never_turned_away_for_one_that_is_late() {
     let (mut guard, mut rng, _running) = busy(2);
-    let late = bid(Some(200)).with_age(Duration::from_millis(400));
+    let late = request(Some(200)).with_age(Duration::from_millis(400));
     let waiting = [(); 2].map(|()| guard.offer(START, late, &mut rng));
-    let admit = guard.offer(START, bid(Some(200)), &mut rng);
+    let admit = guard.offer(START, request(Some(200)), &mut rng);
     assert!(matches!(admit, Admit::Queue(_)), "{admit:?}");
     let [_, Admit::Queue(last)] = waiting else {
         panic!("both wait, not {waiting:?}")
@@ -180,8 +183,8 @@
 #[case::nobody_for_a_request_that_is_no_more_urgent(Some(500), false)]
 fn a_full_queue_sends_away(#[case] target: Option<u64>, #[case] gives_way: bool) {
     let (mut guard, mut rng, _running) = busy(2);
-    let waiting = [Some(400), Some(500)].map(|t| guard.offer(START, bid(t), &mut rng));
-    let admit = guard.offer(START, bid(target), &mut rng);
+    let waiting = [Some(400), Some(500)].map(|t| guard.offer(START, request(t), &mut rng));
+    let admit = guard.offer(START, request(target), &mut rng);
     let displaced: Vec<Ticket> = guard.displaced().iter().map(|r| r.ticket).collect();
     match (admit, gives_way) {
         (Admit::Queue(_), true) => {
@@ -203,7 +206,7 @@
 #[case::the_usual_time_at_most(Some(60_000), 500)]
 fn the_longest_wait_is(#[case] target: Option<u64>, #[case] expected_ms: u64) {
     let usual = AdmissionSettings::default().wait;
-    let until = bid(target).until(START, usual);
+    let until = request(target).until(START, usual);
     assert_eq!(until, Instant::from_millis(expected_ms));
 }
 
@@ -219,15 +222,15 @@
 ) {
     let (mut guard, mut rng, _running) = busy(2);
     for _ in 0..40 {
-        let Admit::Queue(long) = guard.offer(START, bid(Some(longest_ms)), &mut rng) else {
+        let Admit::Queue(long) = guard.offer(START, request(Some(longest_ms)), &mut rng) else {
             panic!("the queue has places for two")
         };
         guard.cancel(long, START);
     }
-    let Admit::Queue(short) = guard.offer(START, bid(Some(target_ms)), &mut rng) else {
+    let Admit::Queue(short) = guard.offer(START, request(Some(target_ms)), &mut rng) else {
         panic!("the queue has places for two")
     };
-    let until = guard.waits_until(short).map(Instant::elapsed);
+    let until = guard.wait_deadline(short).map(Instant::elapsed);
     let expected = Duration::from_millis(expected_ms);
     let lag = until.map(|until| until.abs_diff(expected));
     assert!(lag <= Some(Duration::from_millis(2)), "{until:?}");
@@ -238,13 +241,13 @@
     let (mut guard, mut rng, _running) = busy(2);
     for i in 0..2_000 {
         let target = if i % 50 == 0 { 1000 } else { 200 };
-        if let Admit::Queue(ticket) = guard.offer(START, bid(Some(target)), &mut rng) {
+        if let Admit::Queue(ticket) = guard.offer(START, request(Some(target)), &mut rng) {
             guard.cancel(ticket, START);
         }
     }
-    let Admit::Queue(usual) = guard.offer(START, bid(Some(200)), &mut rng) else {
+    let Admit::Queue(usual) = guard.offer(START, request(Some(200)), &mut rng) else {
         panic!("the queue has places for two")
     };
-    let until = guard.waits_until(usual).map(Instant::elapsed);
+    let until = guard.wait_deadline(usual).map(Instant::elapsed);
     assert!(until <= Some(Duration::from_millis(30)), "{until:?}");
 }
--- a/crates/swiftcart-core/tests/asking.rs
+++ b/crates/swiftcart-core/tests/asking.rs
@@ -27,11 +27,11 @@
 }
 
 #[rstest]
-#[case::many_candidates(Asking::new(5, Payload::Light), Patience::Short)]
-#[case::a_single_candidate(Asking::new(1, Payload::Light), Patience::Full)]
-#[case::a_route_without_a_policy(Asking::waiting(), Patience::Full)]
-fn the_first_guard(#[case] asking: Asking, #[case] expected: Patience) {
-    assert_eq!(asking.patience(), expected);
+#[case::many_candidates(Asking::new(5, Payload::Light), QueueWait::Short)]
+#[case::a_single_candidate(Asking::new(1, Payload::Light), QueueWait::Full)]
+#[case::a_route_without_a_policy(Asking::waiting(), QueueWait::Full)]
+fn the_first_guard(#[case] asking: Asking, #[case] expected: QueueWait) {
+    assert_eq!(asking.queue_wait(), expected);
 }
 
 #[rstest]
@@ -41,7 +41,7 @@
 fn without_a_refusal_the_request_waits_at(#[case] next: Option<Pick>, #[case] waits: bool) {
     let mut asking = Asking::new(5, Payload::Light);
     assert_eq!(asking.turns(next.as_ref()), waits);
-    assert_eq!(asking.patience() == Patience::Full, waits);
+    assert_eq!(asking.queue_wait() == QueueWait::Full, waits);
 }
 
 #[rstest]
@@ -79,21 +79,21 @@
 }
 
 #[rstest]
-#[case::light_waits_at_the_next(Payload::Light, Patience::Full)]
-#[case::heavy_only_asks(Payload::Heavy, Patience::Short)]
-fn after_waiting_in_vain(#[case] payload: Payload, #[case] expected: Patience) {
+#[case::light_waits_at_the_next(Payload::Light, QueueWait::Full)]
+#[case::heavy_only_asks(Payload::Heavy, QueueWait::Short)]
+fn after_waiting_in_vain(#[case] payload: Payload, #[case] expected: QueueWait) {
     let mut asking = Asking::new(3, payload);
     asking.failed(guard(1), Reason::Overloaded);
     assert!(asking.turns(None));
     asking.failed(guard(1), Reason::Overloaded);
-    assert_eq!(asking.patience(), expected);
+    assert_eq!(asking.queue_wait(), expected);
 }
 
 #[rstest]
 fn a_request_that_may_go_nowhere_else_waits() {
     let mut asking = Asking::new(9, Payload::Light);
     asking.settle();
-    assert_eq!(asking.patience(), Patience::Full);
+    assert_eq!(asking.queue_wait(), QueueWait::Full);
 }
 
 /// A guard with one slot taken by a call that takes 100 ms.
@@ -113,14 +113,14 @@
 }
 
 #[rstest]
-#[case::that_asks_on_is_refused_without_a_time(Patience::Short, None)]
-#[case::that_may_wait_is_queued(Patience::Full, Some(()))]
-fn at_a_busy_guard_a_request(#[case] patience: Patience, #[case] queued: Option<()>) {
+#[case::that_asks_on_is_refused_without_a_time(QueueWait::Short, None)]
+#[case::that_may_wait_is_queued(QueueWait::Full, Some(()))]
+fn at_a_busy_guard_a_request(#[case] queue_wait: QueueWait, #[case] queued: Option<()>) {
     let (mut guard, mut rng) = busy();
-    let bid = Bid::new(Deadline::new(START, Duration::from_secs(5)))
+    let admission_request = AdmissionRequest::new(Deadline::new(START, Duration::from_secs(5)))
         .with_target(Duration::from_millis(1000))
-        .with_patience(patience);
-    match guard.offer(START, bid, &mut rng) {
+        .with_queue_wait(queue_wait);
+    match guard.offer(START, admission_request, &mut rng) {
         Admit::Queue(_) => assert_eq!(queued, Some(())),
         Admit::Refuse(refusal) => assert_eq!((refusal.retry_after, queued), (None, None)),
         Admit::Run(_) => unreachable!("no slot is free"),
--- a/crates/swiftcart-core/tests/outflow.rs
+++ b/crates/swiftcart-core/tests/outflow.rs
@@ -64,7 +64,7 @@
                 played.short += 1;
             }
             let sample = Sample::new(Duration::from_millis(MADE_MS), CallResult::Success);
-            guard.set_delay(link.delay(now));
+            guard.set_link_delay(link.delay(now));
             for started in guard.done(ticket, now, &sample) {
                 let long = waiting.remove(&started).expect("it waited");
                 ending.push(Reverse((ms + MADE_MS, started, long)));
@@ -78,15 +78,15 @@
             if rng.random::<f64>() >= rate / 1000.0 {
                 continue;
             }
-            guard.set_delay(link.delay(now));
-            let bid = Bid::new(Deadline::new(now, Duration::from_secs(5)))
+            guard.set_link_delay(link.delay(now));
+            let request = AdmissionRequest::new(Deadline::new(now, Duration::from_secs(5)))
                 .with_target(Duration::from_millis(if long { 1000 } else { 600 }))
-                .with_answer(if long {
-                    AnswerLength::Long
+                .with_response_length(if long {
+                    ResponseLength::Long
                 } else {
-                    AnswerLength::Short
+                    ResponseLength::Short
                 });
-            match guard.offer(now, bid, &mut rng) {
+            match guard.offer(now, request, &mut rng) {
                 Admit::Run(ticket) => ending.push(Reverse((ms + MADE_MS, ticket, long))),
                 Admit::Queue(ticket) => {
                     waiting.insert(ticket, long);
@@ -128,7 +128,7 @@
 #[case::over_a_fast_link(Some(LinkRate { kbit_s: 1_000_000 }))]
 #[case::over_a_link_of_unknown_rate(None)]
 fn nothing_is_bound(#[case] known: Option<LinkRate>) {
-    let mut guard = Outflow::new(known);
+    let mut guard = EgressLimiter::new(known);
     for _ in 0..40 {
         assert!(guard.has_room(Duration::ZERO));
         guard.begin();
@@ -152,21 +152,21 @@
         ..AdmissionSettings::default()
     };
     let mut guard = Admission::new(at(0), settings).with_slots(18);
-    let bid = |now| {
-        Bid::new(Deadline::new(now, Duration::from_secs(5)))
+    let request = |now| {
+        AdmissionRequest::new(Deadline::new(now, Duration::from_secs(5)))
             .with_target(ms(1000))
-            .with_answer(AnswerLength::Long)
+            .with_response_length(ResponseLength::Long)
     };
-    let Admit::Run(first) = guard.offer(at(0), bid(at(0)), &mut rng) else {
+    let Admit::Run(first) = guard.offer(at(0), request(at(0)), &mut rng) else {
         panic!("there is room")
     };
     guard.head(first, at(10), LONG_BYTES);
-    guard.set_delay(ms(60));
-    let Admit::Queue(waiting) = guard.offer(at(10), bid(at(10)), &mut rng) else {
+    guard.set_link_delay(ms(60));
+    let Admit::Queue(waiting) = guard.offer(at(10), request(at(10)), &mut rng) else {
         panic!("the link is busy")
     };
     assert_eq!(guard.resume(at(20)), []);
     guard.done(first, at(30), &Sample::new(ms(30), CallResult::Success));
-    guard.set_delay(Duration::ZERO);
+    guard.set_link_delay(Duration::ZERO);
     assert_eq!(guard.resume(at(70)), [waiting]);
 }
--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -17,8 +17,8 @@
     Instant::from_millis(ms)
 }
 
-fn bid() -> Bid {
-    Bid::new(Deadline::new(START, Duration::from_secs(60))).with_target(TARGET)
+fn admission_request() -> AdmissionRequest {
+    AdmissionRequest::new(Deadline::new(START, Duration::from_secs(60))).with_target(TARGET)
 }
 
 /// A guard whose calls have taken a quarter of their target.
@@ -26,7 +26,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(12);
     for _ in 0..8 {
-        let Admit::Run(ticket) = guard.offer(START, bid(), &mut rng) else {
+        let Admit::Run(ticket) = guard.offer(START, admission_request(), &mut rng) else {
             unreachable!("slots are free");
         };
         let mut sample = Sample::new(Duration::from_millis(100), CallResult::Success);
@@ -45,7 +45,10 @@
 fn the_pace_with(#[case] running: usize, #[case] age_ms: u64, #[case] expected: Pace) {
     let (mut guard, mut rng) = guard();
     for _ in 0..running {
-        assert!(matches!(guard.offer(START, bid(), &mut rng), Admit::Run(_)));
+        assert!(matches!(
+            guard.offer(START, admission_request(), &mut rng),
+            Admit::Run(_)
+        ));
     }
     assert_eq!(guard.pace(at(age_ms)), Some(expected));
 }
@@ -55,7 +58,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(12);
     for ms in [4_000, 100, 100, 100] {
-        let Admit::Run(ticket) = guard.offer(START, bid(), &mut rng) else {
+        let Admit::Run(ticket) = guard.offer(START, admission_request(), &mut rng) else {
             unreachable!("slots are free");
         };
         let mut sample = Sample::new(Duration::from_millis(ms), CallResult::Success);
--- a/crates/swiftcart-core/tests/regions.rs
+++ b/crates/swiftcart-core/tests/regions.rs
@@ -92,7 +92,7 @@
     assert!(!asking.turns(Some(&pick(2, PickRule::Spill))));
     asking.failed(node(2), Reason::Overloaded);
     assert!(asking.turns(Some(&pick(5, PickRule::Remote))));
-    assert_eq!(asking.patience(), Patience::Full);
+    assert_eq!(asking.queue_wait(), QueueWait::Full);
 }
 
 fn homes(regions: &[&str]) -> Homes {
--- a/crates/swiftcart-core/tests/support/mesh_load.rs
+++ b/crates/swiftcart-core/tests/support/mesh_load.rs
@@ -263,13 +263,13 @@
     }
 
     fn offer(&mut self, call: usize, id: NodeId) {
-        let bid = Bid::new(self.due(call))
+        let request = AdmissionRequest::new(self.due(call))
             .with_target(TARGET)
-            .with_patience(self.calls[call].asking.patience());
+            .with_queue_wait(self.calls[call].asking.queue_wait());
         let now = self.now;
         let guard = self.guards.get_mut(&id).expect("a guard");
         let started = guard.admission.resume(now);
-        let admit = guard.admission.offer(now, bid, &mut self.rng);
+        let admit = guard.admission.offer(now, request, &mut self.rng);
         let displaced = guard.admission.displaced();
         self.start_all(id, started);
         for Refused { ticket, refusal } in displaced {
@@ -280,7 +280,7 @@
             Admit::Queue(ticket) => {
                 let guard = self.guards.get_mut(&id).expect("a guard");
                 guard.waiting.insert(ticket, call);
-                let until = guard.admission.waits_until(ticket).unwrap_or(now);
+                let until = guard.admission.wait_deadline(ticket).unwrap_or(now);
                 self.push(until.since(now), Event::Wake(id));
                 self.wake_later(id);
             }
@@ -348,7 +348,7 @@
     }
 
     fn wake_later(&mut self, id: NodeId) {
-        if let Some(at) = self.guards[&id].admission.starts_at(self.now) {
+        if let Some(at) = self.guards[&id].admission.next_start_at(self.now) {
             let after = at.since(self.now).max(Duration::from_millis(1));
             self.push(after, Event::Wake(id));
         }
--- a/crates/swiftcart-node/src/calls/admissions.rs
+++ b/crates/swiftcart-node/src/calls/admissions.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    Admission, AdmissionSettings, Admit, Bid, CallResult, Gate, Instant, Limits, Load, Pace,
-    RateShare, Reason, Refusal, Refused, Sample, ServerRate, Ticket,
+    Admission, AdmissionRequest, AdmissionSettings, AdmissionState, Admit, CallResult, Instant,
+    Limits, Load, Pace, RateShare, Reason, Refusal, Refused, Sample, ServerRate, Ticket,
 };
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
@@ -120,9 +120,9 @@
     }
 
     /// Opens or closes for new work.
-    pub fn set_gate(&self, gate: Gate) {
+    pub fn set_admission_state(&self, admission_state: AdmissionState) {
         let mut state = self.lock();
-        let refused = state.admission.set_gate(gate);
+        let refused = state.admission.set_admission_state(admission_state);
         state.refuse(refused);
     }
 
@@ -143,9 +143,12 @@
     /// # Errors
     ///
     /// Returns why the request is not run.
-    pub async fn enter(self: &Arc<Self>, bid: Bid) -> Result<Slot, Refusal> {
+    pub async fn enter(
+        self: &Arc<Self>,
+        admission_request: AdmissionRequest,
+    ) -> Result<Slot, Refusal> {
         let now = self.clock.now();
-        let offered = self.offer(now, bid, Rate::Taken)?;
+        let offered = self.offer(now, admission_request, Rate::Taken)?;
         self.wait(offered).await
     }
 
@@ -154,9 +157,9 @@
     /// # Errors
     ///
     /// Returns why the request would not be run.
-    pub fn probe(self: &Arc<Self>, bid: Bid) -> Result<(), Refusal> {
+    pub fn probe(self: &Arc<Self>, admission_request: AdmissionRequest) -> Result<(), Refusal> {
         let now = self.clock.now();
-        let (slot, _) = self.offer(now, bid, Rate::Taken)?;
+        let (slot, _) = self.offer(now, admission_request, Rate::Taken)?;
         slot.withdraw();
         Ok(())
     }
@@ -166,9 +169,12 @@
     /// # Errors
     ///
     /// Returns why the request is not run.
-    pub async fn enter_probed(self: &Arc<Self>, bid: Bid) -> Result<Slot, Refusal> {
+    pub async fn enter_probed(
+        self: &Arc<Self>,
+        admission_request: AdmissionRequest,
+    ) -> Result<Slot, Refusal> {
         let now = self.clock.now();
-        let offered = self.offer(now, bid, Rate::Free)?;
+        let offered = self.offer(now, admission_request, Rate::Free)?;
         self.wait(offered).await
     }
 
@@ -179,7 +185,7 @@
             return Ok(slot);
         };
         let news = loop {
-            let start = self.starts_at().unwrap_or(wait.until);
+            let start = self.next_start_at().unwrap_or(wait.until);
             let until = self.clock.tokio(start.min(wait.until));
             match timeout_at(until, &mut wait.news).await {
                 Ok(news) => break news.ok(),
@@ -202,12 +208,17 @@
     }
 
     /// Returns the slot, and whom to wait for when it is not free yet.
-    fn offer(self: &Arc<Self>, now: Instant, bid: Bid, rate: Rate) -> Result<Offered, Refusal> {
+    fn offer(
+        self: &Arc<Self>,
+        now: Instant,
+        admission_request: AdmissionRequest,
+        rate: Rate,
+    ) -> Result<Offered, Refusal> {
         let mut state = self.lock();
-        state.admission.set_delay(self.link.delay());
+        state.admission.set_link_delay(self.link.delay());
         let started = state.admission.resume(now);
         state.wake(started);
-        let admit = with_rng(|rng| state.admission.offer(now, bid, rng));
+        let admit = with_rng(|rng| state.admission.offer(now, admission_request, rng));
         let displaced = state.admission.displaced();
         state.refuse(displaced);
         let (ticket, waits) = match admit {
@@ -228,14 +239,14 @@
             admissions: Arc::clone(self),
             ticket,
             start: now,
-            target: bid.target,
+            target: admission_request.target,
             open: true,
             running: None,
         };
         let wait = waits.then(|| {
             let (tx, news) = oneshot::channel();
             state.waiting.insert(ticket, tx);
-            let until = state.admission.waits_until(ticket);
+            let until = state.admission.wait_deadline(ticket);
             // What is not in the queue any more has its news already.
             let until = until.unwrap_or(now);
             Wait { news, until }
@@ -244,9 +255,9 @@
     }
 
     /// Returns when a waiting request may start although none ends before.
-    fn starts_at(&self) -> Option<Instant> {
+    fn next_start_at(&self) -> Option<Instant> {
         let now = self.clock.now();
-        let start = self.lock().admission.starts_at(now)?;
+        let start = self.lock().admission.next_start_at(now)?;
         Some(start.max(now + LEAST_WAIT))
     }
 
@@ -329,7 +340,7 @@
         sample.target = self.target;
         let delay = self.admissions.link.delay();
         let mut state = self.admissions.lock();
-        state.admission.set_delay(delay);
+        state.admission.set_link_delay(delay);
         let started = state.admission.done(self.ticket, now, &sample);
         state.wake(started);
     }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -351,7 +351,7 @@
         original: &Original,
         state: &CallState,
     ) -> Result<Response<Answer>, Failed> {
-        let call = &call.attempt(state.under_policy.is_repeat(), state.asking.patience());
+        let call = &call.attempt(state.under_policy.is_repeat(), state.asking.queue_wait());
         let tries = state.tries;
         let mut in_flight = InFlight::new(&self.shared, &self.balancer, pick.id);
         let service = entry.name().as_str();
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -7,9 +7,9 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Version};
 use swiftcart_core::{
-    AllowedRegions, AnswerLength, Attempt, Bid, BodyPrint, CallerPrint, Deadline, Fingerprint,
-    HeadFields, HeadPrint, Instant, Patience, Payload, Priority, Reason, RequestClass,
-    RequestPrint, RouteProfile, RouteTag, Routed, Timing,
+    AdmissionRequest, AllowedRegions, Attempt, BodyPrint, CallerPrint, Deadline, Fingerprint,
+    HeadFields, HeadPrint, Instant, Payload, Priority, QueueWait, Reason, RequestClass,
+    RequestPrint, ResponseLength, RouteProfile, RouteTag, Routed, Timing,
 };
 
 use super::headers::{
@@ -158,8 +158,8 @@
             self.due = limit(self.due, policy.timeout_ms);
             let terms = CallTerms::from(policy).with_age(age);
             let answer = match (terms.class, profile.payload()) {
-                (RequestClass::Download, _) | (_, Payload::Heavy) => AnswerLength::Long,
-                (_, Payload::Light) => AnswerLength::Short,
+                (RequestClass::Download, _) | (_, Payload::Heavy) => ResponseLength::Long,
+                (_, Payload::Light) => ResponseLength::Short,
             };
             let route = routed.route.into();
             self.take_terms(CallTerms {
@@ -170,7 +170,7 @@
         }
         self.payload = match self.terms {
             Some(terms) if terms.class == RequestClass::Upload => Payload::Heavy,
-            Some(terms) if terms.answer == AnswerLength::Long => Payload::Heavy,
+            Some(terms) if terms.answer == ResponseLength::Long => Payload::Heavy,
             Some(_) => Payload::Light,
             None => profile.payload(),
         };
@@ -202,14 +202,15 @@
 
     /// Returns what the request asks of a guard.
     #[must_use]
-    pub fn bid(&self) -> Bid {
-        let bid = Bid::new(self.due);
-        self.terms.map_or(bid, |terms| {
-            bid.with_target(terms.target())
+    pub fn admission_request(&self) -> AdmissionRequest {
+        let admission_request = AdmissionRequest::new(self.due);
+        self.terms.map_or(admission_request, |terms| {
+            admission_request
+                .with_target(terms.target())
                 .with_priority(terms.priority)
-                .with_patience(terms.patience)
+                .with_queue_wait(terms.queue_wait)
                 .with_age(terms.age())
-                .with_answer(terms.answer)
+                .with_response_length(terms.answer)
         })
     }
 
@@ -256,10 +257,10 @@
     /// Returns the request as one try: whether it follows one that reached a backend server,
     /// and how long it may wait.
     #[must_use]
-    pub fn attempt(&self, repeat: bool, patience: Patience) -> Self {
+    pub fn attempt(&self, repeat: bool, queue_wait: QueueWait) -> Self {
         let terms = self.terms.map(|terms| CallTerms {
             repeat,
-            patience,
+            queue_wait,
             ..terms
         });
         Self {
--- a/crates/swiftcart-node/src/calls/service.rs
+++ b/crates/swiftcart-node/src/calls/service.rs
@@ -9,7 +9,7 @@
 use http::request::Parts;
 use http::{Request, Response};
 use hyper::body::{Body, Incoming};
-use swiftcart_core::{Patience, Reason, Refusal};
+use swiftcart_core::{QueueWait, Reason, Refusal};
 use tokio::sync::Semaphore;
 use tokio::time::timeout_at;
 use tokio_util::task::AbortOnDropHandle;
@@ -158,14 +158,14 @@
     async fn receive(&self, call: &Call, body: Incoming) -> Result<Outgoing, Refusal> {
         let limits = &self.shared.settings.limits;
         let now = self.shared.clock.now();
-        let until = call.bid().until(now, limits.queue_timeout());
-        let turn = match call.bid().patience {
-            Patience::Full => {
+        let until = call.admission_request().until(now, limits.queue_timeout());
+        let turn = match call.admission_request().queue_wait {
+            QueueWait::Full => {
                 let until = self.shared.clock.tokio(until);
                 let turn = timeout_at(until, self.bodies.acquire()).await;
                 turn.ok().and_then(Result::ok)
             }
-            Patience::Short => self.bodies.try_acquire().ok(),
+            QueueWait::Short => self.bodies.try_acquire().ok(),
         };
         let Some(_turn) = turn else {
             return Err(Refusal::new(Reason::Overloaded).with_retry(BODY_TURN));
--- a/crates/swiftcart-node/src/calls/terms.rs
+++ b/crates/swiftcart-node/src/calls/terms.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http::HeaderValue;
-use swiftcart_core::{AnswerLength, Patience, Policy, Priority, Reason, RequestClass, RouteTag};
+use swiftcart_core::{Policy, Priority, QueueWait, Reason, RequestClass, ResponseLength, RouteTag};
 
 /// What a guard has to know of the policy of a request's route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,11 +20,11 @@
     /// Whether a backend server got the request before.
     pub repeat: bool,
     /// How long it may wait at the guard.
-    pub patience: Patience,
+    pub queue_wait: QueueWait,
     /// For how long its caller has been trying, in milliseconds.
     pub age_ms: u32,
     /// How long its answer is expected to be.
-    pub answer: AnswerLength,
+    pub answer: ResponseLength,
     /// Its route.
     pub route: RouteTag,
 }
@@ -50,14 +50,14 @@
             priority: Priority(next(&mut parts)?),
             target_ms: next(&mut parts)?,
             repeat: next::<u8>(&mut parts)? > 0,
-            patience: match next::<u8>(&mut parts)? {
-                0 => Patience::Short,
-                _ => Patience::Full,
+            queue_wait: match next::<u8>(&mut parts)? {
+                0 => QueueWait::Short,
+                _ => QueueWait::Full,
             },
             age_ms: next(&mut parts)?,
             answer: match next::<u8>(&mut parts)? {
-                0 => AnswerLength::Short,
-                _ => AnswerLength::Long,
+                0 => ResponseLength::Short,
+                _ => ResponseLength::Long,
             },
             // The release before does not tell it.
             route: parts.next().map_or(Ok(RouteTag::OTHERS), |part| {
@@ -104,8 +104,8 @@
             ..
         } = self;
         let repeat = u8::from(*repeat);
-        let long = u8::from(self.answer == AnswerLength::Long);
-        let waits = u8::from(self.patience == Patience::Full);
+        let long = u8::from(self.answer == ResponseLength::Long);
+        let waits = u8::from(self.queue_wait == QueueWait::Full);
         let text = format!(
             "{class} {attempts} {priority} {target_ms} {repeat} {waits} {age_ms} {long} {route}"
         );
@@ -122,9 +122,9 @@
             priority: policy.priority,
             target_ms: policy.target_ms,
             repeat: false,
-            patience: Patience::Full,
+            queue_wait: QueueWait::Full,
             age_ms: 0,
-            answer: AnswerLength::Short,
+            answer: ResponseLength::Short,
             route: RouteTag::OTHERS,
         }
     }
--- a/crates/swiftcart-node/src/calls/upstream.rs
+++ b/crates/swiftcart-node/src/calls/upstream.rs
@@ -5,8 +5,8 @@
 use http::{HeaderMap, HeaderValue, Request, Response};
 use hyper::body::Incoming;
 use swiftcart_core::{
-    AdmissionSettings, Backend, Deadline, Gate, Instant, LimitRule, LimitSettings, Limits, Load,
-    Notice, Outcome, Pace, ProcessNotice, Readiness, Reason, Refusal, ServiceName,
+    AdmissionSettings, AdmissionState, Backend, Deadline, Instant, LimitRule, LimitSettings,
+    Limits, Load, Notice, Outcome, Pace, ProcessNotice, Readiness, Reason, Refusal, ServiceName,
 };
 
 use super::admissions::{Admissions, Slot};
@@ -109,7 +109,7 @@
     /// Takes over the table's limits, the number of the service's guards and the gate.
     pub fn adopt(&self, limits: Limits, guards: usize, stopping: bool) {
         self.admissions
-            .set_gate(gate(self.backend.readiness, stopping));
+            .set_admission_state(admission_state(self.backend.readiness, stopping));
         self.admissions.resize(self.backend.slots, limits, guards);
         if self.backend.readiness == Readiness::Draining {
             self.runs.leaves();
@@ -118,7 +118,8 @@
 
     /// Takes no new work any more; what waits is refused, since it has not run.
     pub fn close(&self) {
-        self.admissions.set_gate(Gate::Draining);
+        self.admissions
+            .set_admission_state(AdmissionState::Draining);
     }
 
     /// Makes way for `next`, which has taken this backend server's place.
@@ -188,7 +189,7 @@
     ///
     /// Returns why the request is not run.
     pub async fn enter(&self, call: &Call) -> Result<Slot, Refusal> {
-        self.admissions.enter(call.bid()).await
+        self.admissions.enter(call.admission_request()).await
     }
 
     /// Tells whether a request would be let in now, and takes its part of the rate.
@@ -197,7 +198,7 @@
     ///
     /// Returns why the request would not be run.
     pub fn probe(&self, call: &Call) -> Result<(), Refusal> {
-        self.admissions.probe(call.bid())
+        self.admissions.probe(call.admission_request())
     }
 
     /// Waits for the right to run a request after [`probe`](Self::probe).
@@ -206,7 +207,7 @@
     ///
     /// Returns why the request is not run.
     pub async fn enter_probed(&self, call: &Call) -> Result<Slot, Refusal> {
-        self.admissions.enter_probed(call.bid()).await
+        self.admissions.enter_probed(call.admission_request()).await
     }
 
     /// Hands `request` over, to be started before `until`, and waits for the answer's head.
@@ -284,11 +285,11 @@
     }
 }
 
-const fn gate(readiness: Readiness, stopping: bool) -> Gate {
+const fn admission_state(readiness: Readiness, stopping: bool) -> AdmissionState {
     match readiness {
-        _ if stopping => Gate::Stopping,
-        Readiness::Warming => Gate::Warming,
-        Readiness::Ready | Readiness::OnTrial => Gate::Open,
-        Readiness::Draining => Gate::Draining,
+        _ if stopping => AdmissionState::Stopping,
+        Readiness::Warming => AdmissionState::Warming,
+        Readiness::Ready | Readiness::OnTrial => AdmissionState::Open,
+        Readiness::Draining => AdmissionState::Draining,
     }
 }
