--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -1,17 +1,20 @@
-//! Admission at the guard of one backend server: how much runs, waits or is refused.
+//! Admission control at the guard of one backend server.
+//!
+//! The guard runs, queues or refuses each request. A concurrency limit, the rate named by the
+//! backend server and the rate of the instance's link bound what runs.
 
 mod admission_state;
 mod egress_limiter;
-mod gauge;
 mod limit;
+mod pace_estimator;
 mod queue;
 mod request;
 mod running;
+mod service_times;
 mod settings;
-mod targets;
+mod target_estimator;
 mod throttle;
 mod ticket;
-mod times;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,39 +25,39 @@
 use crate::{CallResult, Instant, Limits, Load, Pace, Reason, Refusal, Sample, ServerRate};
 pub use admission_state::AdmissionState;
 pub use egress_limiter::EgressLimiter;
-use gauge::PaceGauge;
 use limit::AdaptiveLimit;
 pub use limit::{LimitRule, LimitSettings};
+use pace_estimator::PaceEstimator;
 pub use queue::QueueOrder;
 use queue::{Queue, Waiting};
 use request::Urgency;
 pub use request::{AdmissionRequest, QueueWait, ResponseLength};
 use running::Running;
+use service_times::ServiceTimes;
 pub use settings::AdmissionSettings;
-use targets::Targets;
+use target_estimator::TargetEstimator;
 use throttle::Throttle;
 pub use ticket::{Admit, Refused, Ticket};
-use times::Times;
 
-/// The slots that are believed at most, so that no announcement grows the state without bound.
-const MOST_SLOTS: u32 = 4096;
+/// Maximum number of slots taken from an announcement, so that the state of a guard stays bounded.
+const MAX_SLOTS: u32 = 4096;
 
-/// The weight of one sample in the mean time that a call runs.
-const TIME_WEIGHT: f64 = 1.0 / 32.0;
+/// Weight of one sample in the moving averages of service time and pace.
+const EWMA_WEIGHT: f64 = 1.0 / 32.0;
 
-/// The time to come back after, when another backend server has to be found.
-const ELSEWHERE: Duration = Duration::from_millis(500);
+/// Minimum retry delay of a refusal whose caller should use another backend server.
+const FAILOVER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Decides at a guard what its backend server is given.
+/// Admission control of one backend server.
 ///
-/// At most `min(announced slots, the table's concurrency, the adaptive limit)`
-/// requests run, and no more start in a second than the backend server has named. A short queue takes what is expected to start in time; all else
-/// is refused at once, with a time to come back that follows from the expected
-/// drain of the queue and of those refused before, so that callers do not come
-/// back in step.
+/// At most `min(announced slots, the table's concurrency, the adaptive limit)` requests run
+/// concurrently. The rate that the backend server has named bounds the requests that start in a
+/// second. A short queue holds requests that are expected to start in time. All other requests are
+/// refused at once. The retry delay of a refusal follows from the expected time to drain the queue
+/// and to serve the callers refused before. It therefore spreads the retries.
 ///
-/// Every ticket ends in exactly one way: by [`Admission::done`], by
-/// [`Admission::cancel`], or by being returned as [`Refused`].
+/// Every ticket ends in exactly one way: by [`Admission::done`], by [`Admission::cancel`], by
+/// [`Admission::withdraw`], or by being returned as [`Refused`].
 ///
 /// # Examples
 ///
@@ -80,85 +83,86 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Admission {
     settings: AdmissionSettings,
-    admission_state: AdmissionState,
-    /// The announced slots, cut to the table's concurrency.
+    state: AdmissionState,
+    /// Announced slots, bounded by the table's concurrency and [`MAX_SLOTS`].
     slots: u32,
     limit: AdaptiveLimit,
     throttle: Throttle,
     running: HashMap<Ticket, Running>,
     queue: Queue,
-    next: u64,
-    times: Times,
-    gauge: PaceGauge,
+    next_ticket: u64,
+    service_times: ServiceTimes,
+    pace_estimator: PaceEstimator,
     egress_limiter: EgressLimiter,
-    /// How long what leaves the instance waits for its link.
-    delay: Duration,
-    targets: Targets,
+    /// Current queueing delay of the instance's link.
+    link_delay: Duration,
+    targets: TargetEstimator,
     promises: Promises,
-    /// Requests that had to make room for more urgent ones.
+    /// Requests displaced from the queue by more urgent requests and not yet returned.
     displaced: Vec<Refused>,
 }
 
 impl Admission {
-    /// Creates an admission without slots.
+    /// Creates an admission control without slots, which refuses every request.
     #[must_use]
     pub fn new(now: Instant, settings: AdmissionSettings) -> Self {
         Self {
             settings,
-            admission_state: AdmissionState::Open,
+            state: AdmissionState::Open,
             slots: 0,
             limit: AdaptiveLimit::new(0, settings.limit),
             throttle: Throttle::default(),
             running: HashMap::new(),
             queue: Queue::default(),
-            next: 0,
-            times: Times::default(),
-            gauge: PaceGauge::default(),
+            next_ticket: 0,
+            service_times: ServiceTimes::default(),
+            pace_estimator: PaceEstimator::default(),
             egress_limiter: EgressLimiter::new(settings.link),
-            delay: Duration::ZERO,
-            targets: Targets::default(),
+            link_delay: Duration::ZERO,
+            targets: TargetEstimator::default(),
             promises: Promises::new(now),
             displaced: Vec::new(),
         }
     }
 
-    /// Sets the slots that the backend server announces.
+    /// Sets the slots that the backend server announces, with the default limits of the table.
     #[must_use]
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.resize(slots, Limits::default());
         self
     }
 
-    /// Takes over an announcement and the table's limits; returns the requests to start.
+    /// Applies an announcement and the table's limits, and returns the requests to start.
     pub fn set_slots(&mut self, now: Instant, slots: u32, limits: Limits) -> Vec<Ticket> {
         self.resize(slots, limits);
-        self.start(now)
+        self.start_queued(now)
     }
 
-    /// Takes over the rate that the backend server names in its answers; returns the requests to start.
+    /// Applies the rate that the backend server names in its responses, and returns the requests
+    /// to start.
     pub fn set_rate(&mut self, now: Instant, rate: Option<ServerRate>) -> Vec<Ticket> {
         self.throttle.set_rate(now, rate);
-        self.start(now)
+        self.start_queued(now)
     }
 
-    /// Opens or closes for new work; returns the waiting requests that are refused for it.
+    /// Sets the admission state, and returns the queued requests that are refused because of it.
     ///
-    /// What runs goes on in any case.
-    pub fn set_admission_state(&mut self, admission_state: AdmissionState) -> Vec<Refused> {
-        self.admission_state = admission_state;
-        let reason = match admission_state {
+    /// Running requests are not affected.
+    pub fn set_admission_state(&mut self, state: AdmissionState) -> Vec<Refused> {
+        self.state = state;
+        let reason = match state {
             AdmissionState::Open | AdmissionState::Stopping => return Vec::new(),
             AdmissionState::Warming => Reason::Warming,
             AdmissionState::Draining => Reason::Draining,
         };
-        let refusal = Refusal::new(reason).with_retry(ELSEWHERE);
+        let refusal = Refusal::new(reason).with_retry(FAILOVER_RETRY_DELAY);
         let refuse = |ticket| Refused { ticket, refusal };
         self.queue.drain().into_iter().map(refuse).collect()
     }
 
     /// Decides on a new request.
     ///
-    /// It may make a waiting request give way, see [`Admission::displaced`].
+    /// The new request may displace a queued one, which [`Admission::displaced`] then returns.
     pub fn offer<R: Rng + ?Sized>(
         &mut self,
         now: Instant,
@@ -167,63 +171,70 @@
     ) -> Admit {
         let request = request.into();
         let urgency = self.urgency(now, &request);
-        self.targets.note(request.target);
+        self.targets.record(request.target);
         let queue_wait = self.queue_wait(&request);
         let wait = self.expected_wait(now, self.queue.ahead_of(urgency));
-        let crowd = match self.running() < self.limit() {
+        let busy_reason = match self.running() < self.limit() {
             true => Reason::Throttled,
             false => Reason::Overloaded,
         };
         let due = request.due;
-        match self.admission_state {
-            AdmissionState::Warming => self.elsewhere(Reason::Warming, rng),
-            AdmissionState::Draining => self.elsewhere(Reason::Draining, rng),
-            AdmissionState::Stopping => self.elsewhere(Reason::Stopping, rng),
-            AdmissionState::Open if self.limit() == 0 => self.elsewhere(Reason::NotReady, rng),
-            AdmissionState::Open if due.misses(now, self.times.quickest()) => {
+        match self.state {
+            AdmissionState::Warming => self.refuse_elsewhere(Reason::Warming, rng),
+            AdmissionState::Draining => self.refuse_elsewhere(Reason::Draining, rng),
+            AdmissionState::Stopping => self.refuse_elsewhere(Reason::Stopping, rng),
+            AdmissionState::Open if self.limit() == 0 => {
+                self.refuse_elsewhere(Reason::NotReady, rng)
+            }
+            AdmissionState::Open if due.misses(now, self.service_times.min_service_time()) => {
                 Admit::Refuse(Refusal::new(Reason::DeadlinePassed))
             }
-            AdmissionState::Open if !self.may_leave(request.response_length) => {
+            AdmissionState::Open if !self.egress_has_room(request.response_length) => {
                 match self.link_wait() <= queue_wait {
-                    true if self.has_room(urgency) => Admit::Queue(self.wait(now, request, rng)),
-                    true | false => Admit::Refuse(self.link_busy()),
+                    true if self.has_room(urgency) => Admit::Queue(self.enqueue(now, request, rng)),
+                    true | false => Admit::Refuse(self.link_busy_refusal()),
                 }
             }
-            // What waits was started as long as there was a place; the rest has expired.
-            AdmissionState::Open if self.has_place(now) => Admit::Run(self.run(now, &request)),
+            // Queued requests do not have to go first: they were started while capacity was free.
+            // Those still queued have expired or wait for the link.
+            AdmissionState::Open if self.can_start(now) => {
+                Admit::Run(self.start_now(now, &request))
+            }
             AdmissionState::Open if !self.has_room(urgency) => {
-                Admit::Refuse(self.crowded(Reason::QueueFull, request.queue_wait, now, rng))
+                Admit::Refuse(self.refuse_busy(Reason::QueueFull, request.queue_wait, now, rng))
             }
             AdmissionState::Open
-                if wait > queue_wait || due.misses(now, wait + self.times.quickest()) =>
+                if wait > queue_wait
+                    || due.misses(now, wait + self.service_times.min_service_time()) =>
             {
-                Admit::Refuse(self.crowded(crowd, request.queue_wait, now, rng))
+                Admit::Refuse(self.refuse_busy(busy_reason, request.queue_wait, now, rng))
             }
-            AdmissionState::Open => Admit::Queue(self.wait(now, request, rng)),
+            AdmissionState::Open => Admit::Queue(self.enqueue(now, request, rng)),
         }
     }
 
-    /// Starts what waits and has a place by now: the link may have cleared since. Returns the
-    /// requests to start.
+    /// Returns the queued requests that can start now, for instance because the link has capacity
+    /// again or the rate limiter has a token.
     pub fn resume(&mut self, now: Instant) -> Vec<Ticket> {
-        self.start(now)
+        self.start_queued(now)
     }
 
-    /// Returns the waiting requests that had to make room since the last call.
+    /// Returns the requests displaced from the queue since the last call.
     pub fn displaced(&mut self) -> Vec<Refused> {
         std::mem::take(&mut self.displaced)
     }
 
-    /// Takes in a finished request; returns the waiting requests to start.
+    /// Records a finished request, and returns the queued requests to start.
     pub fn done(&mut self, ticket: Ticket, now: Instant, sample: &Sample) -> Vec<Ticket> {
         if let Some(running) = self.remove(ticket) {
-            self.learn(sample, running.among);
+            self.record(sample, running.in_flight);
         }
-        self.start(now)
+        self.start_queued(now)
     }
 
-    /// Notes that the head of a running request's answer is there, and how many bytes follow;
-    /// none when the head does not tell.
+    /// Records that the response head of a running request has arrived.
+    ///
+    /// `bytes` is the length of the response body, or 0 if the head does not state it.
     pub fn head(&mut self, ticket: Ticket, now: Instant, bytes: u64) {
         match self.running.get(&ticket) {
             Some(running) if running.response_length == ResponseLength::Long => {
@@ -233,72 +244,77 @@
         }
     }
 
-    /// Takes in how long what leaves the instance waits for its link.
+    /// Sets the current queueing delay of the instance's link.
     pub const fn set_link_delay(&mut self, delay: Duration) {
-        self.delay = delay;
+        self.link_delay = delay;
     }
 
-    /// Takes out a request whose caller went away; returns the waiting requests to start.
+    /// Removes a request whose caller has disconnected, and returns the queued requests to start.
     pub fn cancel(&mut self, ticket: Ticket, now: Instant) -> Vec<Ticket> {
         if self.remove(ticket).is_none() {
             self.queue.remove(ticket);
         }
-        self.start(now)
+        self.start_queued(now)
     }
 
-    /// Takes out a request that is not handed over after all, so that it does not count against the rate;
-    /// returns the waiting requests to start.
+    /// Removes a request that was admitted but not forwarded to the backend server, and returns the
+    /// queued requests to start.
+    ///
+    /// Unlike [`Admission::cancel`], this method gives the request's rate token back.
     pub fn withdraw(&mut self, ticket: Ticket, now: Instant) -> Vec<Ticket> {
         if self.running.contains_key(&ticket) {
-            self.throttle.give_back();
+            self.throttle.refund();
         }
         self.cancel(ticket, now)
     }
 
-    /// Returns the waiting requests that are refused, since they cannot be answered in time.
+    /// Removes and returns the queued requests whose wait has ended, with their refusals.
     pub fn expire<R: Rng + ?Sized>(&mut self, now: Instant, rng: &mut R) -> Vec<Refused> {
         let late = self.queue.expire(now);
         let refuse = |w: Waiting| Refused {
             ticket: w.ticket,
             refusal: match w.reason {
                 Reason::DeadlinePassed => Refusal::new(w.reason),
-                reason => self.later(reason, now, rng),
+                reason => self.refuse_with_retry(reason, now, rng),
             },
         };
         late.into_iter().map(refuse).collect()
     }
 
-    /// Returns when [`Admission::expire`] has to be called next.
+    /// Returns the time at which [`Admission::expire`] has to be called next.
     #[must_use]
     pub fn next_expiry_at(&self) -> Option<Instant> {
         self.queue.next_expiry()
     }
 
-    /// Returns when a waiting request's wait ends, or `None` when it does not wait.
+    /// Returns the time at which the wait of a queued request ends, or `None` if it is not queued.
     #[must_use]
     pub fn wait_deadline(&self, ticket: Ticket) -> Option<Instant> {
         self.queue.until(ticket)
     }
 
-    /// Returns the requests that may run at once.
+    /// Returns the current concurrency limit.
     #[must_use]
     pub fn limit(&self) -> u32 {
         self.limit.value().min(self.slots)
     }
 
-    /// Returns the requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> u32 {
         to_u32(self.running.len())
     }
 
-    /// Returns the requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn queued(&self) -> u32 {
         to_u32(self.queue.len())
     }
 
-    /// Returns when a waiting request may start although none ends before: when the rate lets it.
+    /// Returns the time at which the rate limit lets a queued request start.
+    ///
+    /// Returns `None` if no request is queued, if all slots are in use, or if the rate limit does
+    /// not delay a start.
     #[must_use]
     pub fn next_start_at(&self, now: Instant) -> Option<Instant> {
         let held = self.throttle.wait(now, 0);
@@ -306,19 +322,22 @@
         (waits && !held.is_zero()).then(|| now + held)
     }
 
-    /// Returns the load to carry back on an answer.
+    /// Returns the load to report with a response.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
             running: self.running(),
             queued: self.queued(),
-            limit: self.places(),
+            limit: self.effective_limit(),
         }
     }
 
-    /// Returns the requests that run at once on average when as many are given as are taken.
-    fn places(&self) -> u32 {
-        let mean = self.times.mean();
+    /// Returns the concurrency that the backend server can sustain.
+    ///
+    /// With a named rate, the concurrency is the rate times the mean service time (Little's law),
+    /// bounded by the limit. Otherwise it is the limit.
+    fn effective_limit(&self) -> u32 {
+        let mean = self.service_times.mean();
         let busy = self
             .throttle
             .rate()
@@ -329,15 +348,14 @@
         })
     }
 
-    /// Returns the backend server's pace, once calls with a target have ended.
+    /// Returns the backend server's pace, once calls with a latency target have ended.
     ///
-    /// Calls that run for long show a backend server that became slow before one of them
-    /// ends.
+    /// The ages of running calls reveal a slow backend server before any of these calls ends.
     #[must_use]
     pub fn pace(&self, now: Instant) -> Option<Pace> {
         let ages = self.running.values();
-        self.gauge
-            .pace(ages.filter_map(|running| running.quotient(now)))
+        self.pace_estimator
+            .pace(ages.filter_map(|running| running.target_ratio(now)))
     }
 
     fn resize(&mut self, slots: u32, limits: Limits) {
@@ -345,22 +363,22 @@
             0 => u32::MAX,
             n => n,
         };
-        self.slots = slots.min(concurrency).min(MOST_SLOTS);
+        self.slots = slots.min(concurrency).min(MAX_SLOTS);
         self.limit.set_ceiling(self.slots);
     }
 
-    fn ticket(&mut self) -> Ticket {
-        self.next += 1;
-        Ticket(self.next)
+    fn new_ticket(&mut self) -> Ticket {
+        self.next_ticket += 1;
+        Ticket(self.next_ticket)
     }
 
-    fn run(&mut self, now: Instant, request: &AdmissionRequest) -> Ticket {
-        let ticket = self.ticket();
-        self.hand_over(now, ticket, request.target, request.response_length);
+    fn start_now(&mut self, now: Instant, request: &AdmissionRequest) -> Ticket {
+        let ticket = self.new_ticket();
+        self.dispatch(now, ticket, request.target, request.response_length);
         ticket
     }
 
-    fn hand_over(
+    fn dispatch(
         &mut self,
         now: Instant,
         ticket: Ticket,
@@ -372,7 +390,7 @@
         }
         self.throttle.take(now);
         let running = Running {
-            among: self.running() + 1,
+            in_flight: self.running() + 1,
             start: now,
             target,
             response_length,
@@ -388,68 +406,74 @@
         Some(running)
     }
 
-    /// Tells whether a request may start now.
-    fn has_place(&self, now: Instant) -> bool {
-        self.running() < self.limit() && self.throttle.is_open(now)
+    /// Returns `true` if a slot is free and the rate limit allows a request to start now.
+    fn can_start(&self, now: Instant) -> bool {
+        self.running() < self.limit() && self.throttle.has_token(now)
     }
 
-    /// Tells whether the way out has room for an answer of this length.
-    fn may_leave(&self, response_length: ResponseLength) -> bool {
+    /// Returns `true` if the instance's link has capacity for a response of this length.
+    fn egress_has_room(&self, response_length: ResponseLength) -> bool {
         match response_length {
             ResponseLength::Short => true,
-            ResponseLength::Long => self.egress_limiter.has_room(self.delay),
+            ResponseLength::Long => self.egress_limiter.has_room(self.link_delay),
         }
     }
 
-    /// Returns when the link has room for one more long answer, behind those that wait for it.
+    /// Returns the expected time until the link has capacity for one more long response, behind the
+    /// queued long ones.
     fn link_wait(&self) -> Duration {
-        let each = self.egress_limiter.each().unwrap_or(Duration::ZERO);
-        self.delay + each * (to_u32(self.queue.long()) + 1)
+        let send_time = self.egress_limiter.send_time().unwrap_or(Duration::ZERO);
+        self.link_delay + send_time * (to_u32(self.queue.long_responses()) + 1)
     }
 
-    /// Refuses a request whose answer would only wait.
-    fn link_busy(&self) -> Refusal {
+    /// Creates the refusal of a request with a long response, for which the link is too busy.
+    fn link_busy_refusal(&self) -> Refusal {
         Refusal::new(Reason::LinkBusy).with_retry(self.link_wait())
     }
 
-    /// Tells whether a request would be within the queue's places, if need be in that of a
-    /// less urgent one.
+    /// Returns `true` if the queue has a place for a request of this urgency, which may be the
+    /// place of a less urgent request.
     fn has_room(&self, urgency: Urgency) -> bool {
-        self.queue.ahead_of(urgency) < self.capacity()
+        self.queue.ahead_of(urgency) < self.queue_capacity()
     }
 
-    /// Sends the least urgent requests away until there is a place.
+    /// Displaces the least urgent requests until the queue has a free place or holds no request
+    /// that is less urgent than `urgency`.
     fn make_room<R: Rng + ?Sized>(&mut self, now: Instant, urgency: Urgency, rng: &mut R) {
-        while self.queue.len() >= self.capacity() {
+        while self.queue.len() >= self.queue_capacity() {
             let Some(least) = self.queue.displace(urgency) else {
                 return;
             };
-            let refusal = self.later(Reason::QueueFull, now, rng);
+            let refusal = self.refuse_with_retry(Reason::QueueFull, now, rng);
             let ticket = least.ticket;
             self.displaced.push(Refused { ticket, refusal });
         }
     }
 
     fn urgency(&self, now: Instant, request: &AdmissionRequest) -> Urgency {
-        let usual = self.settings.wait;
-        request.urgency(now, usual, self.targets.long().unwrap_or(usual))
+        let default_wait = self.settings.wait;
+        request.urgency(
+            now,
+            default_wait,
+            self.targets.p90().unwrap_or(default_wait),
+        )
     }
 
     fn queue_wait(&self, request: &AdmissionRequest) -> Duration {
-        let usual = self.settings.wait;
-        request.longest_wait(usual, self.targets.long().unwrap_or(usual))
+        let default_wait = self.settings.wait;
+        request.longest_wait(default_wait, self.targets.p90().unwrap_or(default_wait))
     }
 
-    /// Has a request wait, in the place of a less urgent one if need be.
-    fn wait<R: Rng + ?Sized>(
+    /// Queues a request, displacing a less urgent one if the queue is full.
+    fn enqueue<R: Rng + ?Sized>(
         &mut self,
         now: Instant,
         request: AdmissionRequest,
         rng: &mut R,
     ) -> Ticket {
         self.make_room(now, self.urgency(now, &request), rng);
-        let ticket = self.ticket();
-        let latest = request.due.less(self.times.quickest()).at();
+        let ticket = self.new_ticket();
+        let latest = request.due.less(self.service_times.min_service_time()).at();
         let queue_wait = now + self.queue_wait(&request);
         let reason = match queue_wait < latest {
             true => Reason::Overloaded,
@@ -466,51 +490,55 @@
         ticket
     }
 
-    /// Starts waiting requests while there is a place.
-    fn start(&mut self, now: Instant) -> Vec<Ticket> {
+    /// Starts queued requests while capacity is free, and returns their tickets.
+    fn start_queued(&mut self, now: Instant) -> Vec<Ticket> {
         let mut started = Vec::new();
-        while self.has_place(now) {
-            let capacity = self.capacity();
-            let room = self.egress_limiter.has_room(self.delay);
-            let Some(next) = self.queue.pop(now, self.settings.order, capacity, room) else {
+        while self.can_start(now) {
+            let queue_capacity = self.queue_capacity();
+            let link_room = self.egress_limiter.has_room(self.link_delay);
+            let Some(next) = self
+                .queue
+                .pop(now, self.settings.order, queue_capacity, link_room)
+            else {
                 break;
             };
-            self.hand_over(now, next.ticket, next.target, next.response_length);
+            self.dispatch(now, next.ticket, next.target, next.response_length);
             started.push(next.ticket);
         }
         started
     }
 
-    fn learn(&mut self, sample: &Sample, running: u32) {
+    fn record(&mut self, sample: &Sample, running: u32) {
         if sample.result != CallResult::Success {
             return;
         }
-        self.times.learn(sample.latency);
-        self.gauge.learn(sample);
-        self.limit.learn(sample.latency, running);
+        self.service_times.record(sample.latency);
+        self.pace_estimator.record(sample);
+        self.limit.record(sample.latency, running);
     }
 
-    /// Returns the requests that may wait.
-    fn capacity(&self) -> usize {
+    /// Returns the maximum number of queued requests.
+    fn queue_capacity(&self) -> usize {
         let most = f64::from(self.limit()) * self.settings.depth;
         (most.ceil() as usize).min(self.settings.queue as usize)
     }
 
-    /// Returns the calls that the backend server finishes in a second, no more than it has named.
+    /// Returns the calls per second that the backend server finishes, bounded by the named rate.
     fn throughput(&self) -> Option<f64> {
-        let done = self.times.throughput(self.limit());
+        let done = self.service_times.throughput(self.limit());
         match (done, self.throttle.rate()) {
             (Some(done), Some(rate)) => Some(done.min(rate)),
             (done, rate) => done.or(rate),
         }
     }
 
-    /// Returns the wait to expect for a request that joins the queue behind `ahead` others: for a slot,
-    /// and for the rate to let it start.
+    /// Returns the expected wait of a request that is queued behind `ahead` others.
+    ///
+    /// The request waits for the rate limit and, if all slots are in use, for a free slot.
     fn expected_wait(&self, now: Instant, ahead: usize) -> Duration {
-        let places = f64::from(to_u32(ahead)) + 1.0;
-        let done = self.times.throughput(self.limit());
-        let secs = done.map_or(0.0, |done| places / done);
+        let effective_limit = f64::from(to_u32(ahead)) + 1.0;
+        let done = self.service_times.throughput(self.limit());
+        let secs = done.map_or(0.0, |done| effective_limit / done);
         let slot = Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX);
         match self.running() < self.limit() {
             true => self.throttle.wait(now, ahead),
@@ -518,15 +546,18 @@
         }
     }
 
-    fn elsewhere<R: Rng + ?Sized>(&self, reason: Reason, rng: &mut R) -> Admit {
-        let after = ELSEWHERE.mul_f64(1.0 + rng.random::<f64>());
+    fn refuse_elsewhere<R: Rng + ?Sized>(&self, reason: Reason, rng: &mut R) -> Admit {
+        let after = FAILOVER_RETRY_DELAY.mul_f64(1.0 + rng.random::<f64>());
         Admit::Refuse(Refusal::new(reason).with_retry(after))
     }
 
-    /// Refuses a request for want of a place; one that asks on elsewhere needs no time to
-    /// come back, and keeps none from others. Its ingress leaves the guard alone until a rate
-    /// lets in what it sends next.
-    fn crowded<R: Rng + ?Sized>(
+    /// Creates the refusal of a request that neither a slot nor the queue can take.
+    ///
+    /// A request with a short queue wait goes on to another guard. It gets no retry delay, so that
+    /// it does not lengthen the retry delays of other requests. The exception is a throttled
+    /// request: its ingress sends this guard no requests until the named rate admits the next
+    /// one.
+    fn refuse_busy<R: Rng + ?Sized>(
         &mut self,
         reason: Reason,
         queue_wait: QueueWait,
@@ -534,12 +565,19 @@
         rng: &mut R,
     ) -> Refusal {
         match (queue_wait, reason) {
-            (QueueWait::Full, _) | (_, Reason::Throttled) => self.later(reason, now, rng),
+            (QueueWait::Full, _) | (_, Reason::Throttled) => {
+                self.refuse_with_retry(reason, now, rng)
+            }
             (QueueWait::Short, _) => Refusal::new(reason),
         }
     }
 
-    fn later<R: Rng + ?Sized>(&mut self, reason: Reason, now: Instant, rng: &mut R) -> Refusal {
+    fn refuse_with_retry<R: Rng + ?Sized>(
+        &mut self,
+        reason: Reason,
+        now: Instant,
+        rng: &mut R,
+    ) -> Refusal {
         let wait = self.expected_wait(now, self.queue.len());
         let rate = self.throughput().unwrap_or(1.0);
         let after = self.promises.next(now, wait, rate, rng);
--- a/crates/swiftcart-core/src/admission/admission_state.rs
+++ b/crates/swiftcart-core/src/admission/admission_state.rs
@@ -1,15 +1,16 @@
-//! Whether a guard takes new work.
+//! Admission state of a guard.
 
-/// Tells whether new work is taken.
+/// Admission state of a guard, which decides about new and queued requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AdmissionState {
-    /// New work is taken.
+    /// New requests are admitted.
     #[default]
     Open,
-    /// The backend server is starting.
+    /// The backend server is starting. New and queued requests are refused.
     Warming,
-    /// The backend server takes no new work; what waits is refused, since it is new to it.
+    /// The backend server accepts no new requests. Queued requests are refused, too, since the
+    /// backend server has not received them yet.
     Draining,
-    /// The node is stopping; what waits was accepted and is still run.
+    /// The node is stopping. New requests are refused. Queued requests were accepted and still run.
     Stopping,
 }
--- a/crates/swiftcart-core/src/admission/egress_limiter.rs
+++ b/crates/swiftcart-core/src/admission/egress_limiter.rs
@@ -1,110 +1,119 @@
-//! Long answers on their way out of one guard.
+//! Limit of the long responses that a guard has in flight.
 
 use std::time::Duration;
 
 use crate::LinkRate;
 
-/// Long answers that may be under way beyond those that the link carries while one is made.
+/// Number of long responses allowed in flight beyond those that the link carries while the backend
+/// server produces one.
 ///
-/// Each one more keeps the link a little busier and makes the others wait for its length, 48 ms for
-/// 90 kB over 15 Mbit/s, and what is shorter for a part of that. With five more documents were not
-/// served more often, and 705 in place of 229 of 6,985 charges were late; with one 159 were.
-const SPARE: f64 = 1.0;
+/// Each extra response uses the link slightly better, but delays the other long responses by its
+/// send time (48 ms for 90 kB over 15 Mbit/s) and short responses by a part of the send time. With
+/// five extra responses, 705 of 6,985 short calls are late instead of 229, and no more long
+/// responses are served. With one extra response, 159 short calls are late.
+const EXTRA_RESPONSES: f64 = 1.0;
 
-/// The weight of one answer in the means.
-const WEIGHT: f64 = 1.0 / 16.0;
+/// Weight of one response in the moving averages.
+const MEAN_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Bounds the long answers that a guard has under way by what its instance's link carries.
+/// Limiter that bounds the long responses in flight by the capacity of the instance's link.
 ///
-/// It answers a load that fills a short link long before the slots: twenty answers of 90 kB a
-/// second fill 15 Mbit/s, and whatever else leaves the instance waits behind them, new connections
-/// included. As many as the link carries while one answer is made keep it busy. Over a fast
-/// link these are more than there are slots, and nothing is bound; nor is it where the link's rate
-/// is not known.
+/// Long responses can saturate a slow link long before all slots are in use: twenty responses of
+/// 90 kB per second fill 15 Mbit/s. All other egress traffic of the instance then waits behind the
+/// long responses, including new connections.
+///
+/// The limit is the number of responses that the link carries while the backend server produces
+/// one, which is enough to keep the link busy. On a fast link the limit exceeds the slots and has
+/// no effect. If the link's rate is unknown, there is no limit.
 ///
 /// # Examples
 ///
-/// Answers that take 200 ms to make and 50 ms on the link: four are made while one is sent.
+/// A response takes 200 ms to produce and 50 ms to send, so the link carries four responses while
+/// one is produced. One extra response is allowed.
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{LinkRate, EgressLimiter};
+/// use swiftcart_core::{EgressLimiter, LinkRate};
 ///
-/// let mut out = EgressLimiter::new(Some(LinkRate { kbit_s: 8_000 }));
-/// assert!(out.has_room(Duration::ZERO), "nothing is known yet");
-/// out.begin();
-/// out.head(Duration::from_millis(200), 50_000);
+/// let mut limiter = EgressLimiter::new(Some(LinkRate { kbit_s: 8_000 }));
+/// assert!(limiter.has_room(Duration::ZERO), "no response has been recorded yet");
+/// limiter.begin();
+/// limiter.head(Duration::from_millis(200), 50_000);
 /// for _ in 0..4 {
-///     assert!(out.has_room(Duration::ZERO));
-///     out.begin();
+///     assert!(limiter.has_room(Duration::ZERO));
+///     limiter.begin();
 /// }
-/// assert!(!out.has_room(Duration::ZERO));
-/// out.end();
-/// assert!(out.has_room(Duration::ZERO));
-/// assert!(!out.has_room(Duration::from_millis(60)), "what was sent is still on the link");
+/// assert!(!limiter.has_room(Duration::ZERO));
+/// limiter.end();
+/// assert!(limiter.has_room(Duration::ZERO));
+/// assert!(!limiter.has_room(Duration::from_millis(60)), "the link still sends earlier responses");
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct EgressLimiter {
     link: Option<LinkRate>,
-    /// Long answers that are being made or passed on.
-    under_way: u32,
-    /// The mean time until the head of a long answer is there, in seconds.
-    made: Option<f64>,
-    /// The mean length, in bytes.
-    length: Option<f64>,
+    /// Number of long responses that are being produced or forwarded.
+    in_flight: u32,
+    /// Moving average of the time until the head of a long response arrives, in seconds.
+    head_secs: Option<f64>,
+    /// Moving average of the length of a long response, in bytes.
+    length_bytes: Option<f64>,
 }
 
 impl EgressLimiter {
-    /// Creates the bound for a link, which does not bind when its rate is not known.
+    /// Creates a limiter for a link. Without a known rate the limiter has no effect.
     #[must_use]
     pub const fn new(link: Option<LinkRate>) -> Self {
         Self {
             link,
-            under_way: 0,
-            made: None,
-            length: None,
+            in_flight: 0,
+            head_secs: None,
+            length_bytes: None,
         }
     }
 
-    /// Notes that a request with a long answer is handed over.
+    /// Records that a request with a long response is forwarded to the backend server.
     pub const fn begin(&mut self) {
-        self.under_way = self.under_way.saturating_add(1);
+        self.in_flight = self.in_flight.saturating_add(1);
     }
 
-    /// Notes that the head of a long answer is there `after` the hand-over, and how many bytes
-    /// follow; none when the head does not tell.
+    /// Records that the head of a long response arrived `after` this time since the request was
+    /// forwarded.
+    ///
+    /// `bytes` is the length of the response body, or 0 if the head does not state it.
     pub fn head(&mut self, after: Duration, bytes: u64) {
-        learn(&mut self.made, after.as_secs_f64());
+        update_mean(&mut self.head_secs, after.as_secs_f64());
         if bytes > 0 {
-            learn(&mut self.length, bytes as f64);
+            update_mean(&mut self.length_bytes, bytes as f64);
         }
     }
 
-    /// Notes that a request with a long answer has ended.
+    /// Records that a request with a long response has ended.
     pub const fn end(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Tells whether one more may be begun while the link has a queue of `delay`.
+    /// Returns `true` if one more long response may start while the link delays data by `delay`.
     #[must_use]
     pub fn has_room(&self, delay: Duration) -> bool {
-        let (Some(each), Some(made)) = (self.each(), self.made) else {
+        let (Some(send_time), Some(head_secs)) = (self.send_time(), self.head_secs) else {
             return true;
         };
-        let each = each.as_secs_f64();
-        let queued = f64::from(self.under_way) * each + delay.as_secs_f64();
-        queued + each <= made + SPARE * each
+        let send_time = send_time.as_secs_f64();
+        let queued = f64::from(self.in_flight) * send_time + delay.as_secs_f64();
+        queued + send_time <= head_secs + EXTRA_RESPONSES * send_time
     }
 
-    /// Returns the time that the link takes for one, once a long answer was seen.
+    /// Returns the mean send time of a long response.
+    ///
+    /// Returns `None` if the link's rate is unknown or no long response has been recorded.
     #[must_use]
-    pub fn each(&self) -> Option<Duration> {
-        let (link, length) = (self.link?, self.length?);
-        Some(link.time(length))
+    pub fn send_time(&self) -> Option<Duration> {
+        let (link, length_bytes) = (self.link?, self.length_bytes?);
+        Some(link.time(length_bytes))
     }
 }
 
-fn learn(mean: &mut Option<f64>, value: f64) {
+fn update_mean(mean: &mut Option<f64>, value: f64) {
     let mean = mean.get_or_insert(value);
-    *mean += WEIGHT * (value - *mean);
+    *mean += MEAN_WEIGHT * (value - *mean);
 }
--- a/crates/swiftcart-core/src/admission/limit.rs
+++ b/crates/swiftcart-core/src/admission/limit.rs
@@ -1,45 +1,48 @@
-//! The limit that follows what a backend server really bears.
+//! Adaptive concurrency limit of a backend server.
 
 use std::time::Duration;
 
-/// The weight of the latest unloaded window in the unloaded latency.
-const FRESH: f64 = 0.5;
+/// Weight of the latest unloaded window in the moving average of the unloaded latency.
+const BASE_WEIGHT: f64 = 0.5;
 
-/// The part of the unloaded latency below which a new window of it counts as news.
-const NEWS: f64 = 0.8;
+/// Ratio to the known unloaded latency below which a new window counts as a lower latency, so that
+/// probes become more frequent.
+const BASE_DROP_RATIO: f64 = 0.8;
 
-/// The doublings from the shortest to the longest time between two probes.
-const PAUSES: u32 = 4;
+/// Number of doublings from the shortest to the longest gap between two probes.
+const PROBE_DOUBLINGS: u32 = 4;
 
-/// The standard errors by which a slow window has to stand out.
-const SURE: f64 = 1.0;
+/// Number of standard errors by which the mean of a slow window has to exceed the bound.
+const MIN_STD_ERRORS: f64 = 1.0;
 
-/// The part that a slow window leaves of the limit.
-const BACK_OFF: f64 = 0.9;
+/// Factor by which a slow window lowers the limit.
+const DECREASE_FACTOR: f64 = 0.9;
 
-/// Chooses how the limit follows the latency.
+/// Rule by which the concurrency limit follows the latency.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LimitRule {
     /// The limit stays at the announced slots.
     Fixed,
-    /// A slow window takes a tenth off the limit, another one adds one.
+    /// Additive increase, multiplicative decrease: a slow window lowers the limit by a tenth, any
+    /// other window raises the limit by one.
     #[default]
     Aimd,
 }
 
-/// Sets how the limit follows the latency.
+/// Settings of the adaptive concurrency limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSettings {
-    /// How the limit follows the latency.
+    /// Rule by which the limit follows the latency.
     pub rule: LimitRule,
-    /// How many times the unloaded latency a loaded one may be.
+    /// Maximum ratio of the loaded to the unloaded latency. A window above this ratio is slow.
     pub tolerance: f64,
-    /// The loaded samples of one window.
+    /// Number of loaded samples in a window.
     pub window: u32,
-    /// The most loaded samples without an unloaded one before the load is lowered for a moment.
+    /// Maximum number of consecutive loaded samples before a probe, which lowers the load for a
+    /// short time.
     pub probe_after: u32,
-    /// The unloaded samples of one window, which also end such a moment.
-    pub probe: u32,
+    /// Number of unloaded samples in a window. A probe ends after the same number of samples.
+    pub probe_samples: u32,
 }
 
 impl Default for LimitSettings {
@@ -49,39 +52,42 @@
             tolerance: 1.5,
             window: 32,
             probe_after: 4096,
-            probe: 16,
+            probe_samples: 16,
         }
     }
 }
 
-/// Lowers the announced slots when latency grows with the requests in flight.
+/// Concurrency limit that falls below the announced slots when latency grows with the requests in
+/// flight.
 ///
-/// A backend server that announces more slots than it has answers slower the
-/// more it is given. Samples are told apart by the requests that ran when they
-/// started: up to half of the limit they are unloaded, above it loaded. What runs
-/// at their end must not count: a short call is likelier to end before more have
-/// come, so the unloaded ones would be the short ones. The comparison holds
-/// whatever the mix of short and long requests is, since the mix does not depend
-/// on the load; a latency's lowest value would not.
+/// The latency of a backend server that announces too many slots grows with the load. A sample is
+/// classified by the number of running requests at its start: up to half of the limit it is
+/// unloaded, above half of the limit it is loaded. The number at its end would bias the comparison.
+/// A short call is more likely to end before other calls arrive, so short calls would prevail among
+/// the unloaded samples.
 ///
-/// When the load never falls, there are no unloaded samples. The limit is then
-/// halved until a few were seen: at first soon, and later more seldom the less
-/// such probes tell, since each costs about half a round of calls.
+/// The two mean latencies are comparable for any mix of short and long requests, since the mix does
+/// not depend on the load. The minimum latency would depend on the mix.
+///
+/// Under constant load there are no unloaded samples. The limit is then halved for a probe, until
+/// enough unloaded samples have been recorded. The gap between probes doubles as long as the
+/// unloaded latency does not fall, since each probe costs about half of the slots for the time of a
+/// call.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct AdaptiveLimit {
     settings: LimitSettings,
     ceiling: u32,
     limit: f64,
-    /// The unloaded latency in seconds.
-    base: Option<f64>,
+    /// Moving average of the unloaded latency, in seconds.
+    base_secs: Option<f64>,
     unloaded: Window,
     loaded: Window,
-    /// Loaded samples since the last unloaded one.
-    dry: u32,
-    /// Loaded samples after which a probe begins.
-    pause: u32,
-    /// Unloaded samples still wanted while the limit is halved.
-    probing: u32,
+    /// Number of loaded samples since the last unloaded one.
+    since_unloaded: u32,
+    /// Number of consecutive loaded samples that start a probe.
+    probe_gap: u32,
+    /// Number of unloaded samples until the current probe ends, or 0 outside a probe.
+    probe_remaining: u32,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
@@ -97,94 +103,96 @@
             settings,
             ceiling,
             limit: f64::from(ceiling),
-            base: None,
+            base_secs: None,
             unloaded: Window::default(),
             loaded: Window::default(),
-            dry: 0,
-            pause: settings.probe_after >> PAUSES,
-            probing: 0,
+            since_unloaded: 0,
+            probe_gap: settings.probe_after >> PROBE_DOUBLINGS,
+            probe_remaining: 0,
         }
     }
 
-    /// Sets the greatest value; a changed announcement is believed until samples speak against it.
+    /// Sets the maximum of the limit.
+    ///
+    /// A changed maximum resets the limit to the maximum and discards all samples.
     pub(super) fn set_ceiling(&mut self, ceiling: u32) {
         if ceiling != self.ceiling {
             *self = Self::new(ceiling, self.settings);
         }
     }
 
-    /// Returns the requests that may run at once.
+    /// Returns the current concurrency limit, which a probe halves.
     pub(super) fn value(&self) -> u32 {
         let limit = self.floor_limit();
-        match self.probing {
+        match self.probe_remaining {
             0 => limit,
             _ => limit.div_ceil(2),
         }
     }
 
-    /// Takes in a call that started with `running` calls in flight, itself among them.
-    pub(super) fn learn(&mut self, latency: Duration, running: u32) {
+    /// Records a call that started with `running` calls in flight, including the call itself.
+    pub(super) fn record(&mut self, latency: Duration, running: u32) {
         if self.settings.rule == LimitRule::Fixed {
             return;
         }
         let secs = latency.as_secs_f64();
         if running <= self.floor_limit().div_ceil(2) {
-            self.learn_unloaded(secs);
+            self.record_unloaded(secs);
         } else {
-            self.learn_loaded(secs);
+            self.record_loaded(secs);
         }
     }
 
-    fn learn_unloaded(&mut self, secs: f64) {
-        self.dry = 0;
+    fn record_unloaded(&mut self, secs: f64) {
+        self.since_unloaded = 0;
         self.unloaded.add(secs);
-        self.probing = self.probing.saturating_sub(1);
-        if self.unloaded.count >= self.settings.probe {
+        self.probe_remaining = self.probe_remaining.saturating_sub(1);
+        if self.unloaded.count >= self.settings.probe_samples {
             let latest = std::mem::take(&mut self.unloaded).mean();
-            self.renew(latest);
+            self.update_base(latest);
         }
     }
 
-    /// Takes in a window of unloaded samples.
-    fn renew(&mut self, latest: f64) {
+    /// Updates the unloaded latency and the gap between probes from the mean of an unloaded window.
+    fn update_base(&mut self, latest: f64) {
         let longest = self.settings.probe_after;
-        let base = self.base.get_or_insert(latest);
-        self.pause = match latest < *base * NEWS {
-            true => (self.pause / 2).max(longest >> PAUSES),
-            false => self.pause.saturating_mul(2).min(longest),
+        let base_secs = self.base_secs.get_or_insert(latest);
+        self.probe_gap = match latest < *base_secs * BASE_DROP_RATIO {
+            true => (self.probe_gap / 2).max(longest >> PROBE_DOUBLINGS),
+            false => self.probe_gap.saturating_mul(2).min(longest),
         };
-        *base += FRESH * (latest - *base);
+        *base_secs += BASE_WEIGHT * (latest - *base_secs);
     }
 
-    fn learn_loaded(&mut self, secs: f64) {
+    fn record_loaded(&mut self, secs: f64) {
         self.loaded.add(secs);
-        self.dry += 1;
-        if self.dry >= self.pause {
-            self.dry = 0;
-            self.probing = self.settings.probe;
-            // What is in it may have started in the last probe and ended in the load after it.
+        self.since_unloaded += 1;
+        if self.since_unloaded >= self.probe_gap {
+            self.since_unloaded = 0;
+            self.probe_remaining = self.settings.probe_samples;
+            // Samples of the window may have started in the last probe and ended under load.
             self.unloaded = Window::default();
         }
         if self.loaded.count >= self.settings.window {
             let window = std::mem::take(&mut self.loaded);
-            if let Some(base) = self.base {
-                self.adjust(window, base);
+            if let Some(base_secs) = self.base_secs {
+                self.adjust(window, base_secs);
             }
         }
     }
 
-    fn adjust(&mut self, window: Window, base: f64) {
-        let bound = base * self.settings.tolerance;
-        let sure = window.mean() - SURE * window.error();
+    fn adjust(&mut self, window: Window, base_secs: f64) {
+        let bound = base_secs * self.settings.tolerance;
+        let lower_bound = window.mean() - MIN_STD_ERRORS * window.std_error();
         let limit = match self.settings.rule {
             LimitRule::Fixed => self.limit,
-            LimitRule::Aimd if sure > bound => self.limit * BACK_OFF,
+            LimitRule::Aimd if lower_bound > bound => self.limit * DECREASE_FACTOR,
             LimitRule::Aimd => self.limit + 1.0,
         };
         self.limit = limit.clamp(1.0, f64::from(self.ceiling.max(1)));
     }
 
-    /// Returns the limit in whole requests, leaving aside a probe.
+    /// Returns the limit rounded down to whole requests, regardless of a probe.
     fn floor_limit(&self) -> u32 {
         (self.limit as u32).clamp(1, self.ceiling.max(1))
     }
@@ -202,7 +210,7 @@
     }
 
     /// Returns the standard error of the mean.
-    fn error(&self) -> f64 {
+    fn std_error(&self) -> f64 {
         let n = f64::from(self.count.max(1));
         let variance = self.squares / n - self.mean() * self.mean();
         (variance.max(0.0) / n).sqrt()
--- a/crates/swiftcart-core/src/admission/queue.rs
+++ b/crates/swiftcart-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The short queue in front of one backend server.
+//! Bounded queue of the requests that wait for one backend server.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,33 +7,34 @@
 use super::request::{ResponseLength, Urgency};
 use crate::{Instant, Reason};
 
-/// Chooses which waiting request goes next.
+/// Order in which queued requests are started.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum QueueOrder {
-    /// The most urgent one, the oldest among equals.
+    /// The most urgent request goes first, and the oldest among equally urgent ones.
     #[default]
     Fifo,
-    /// The same, or the least urgent one while the queue is more than half full.
+    /// The least urgent request goes first while the queue is more than half full. Otherwise the
+    /// order is that of [`QueueOrder::Fifo`].
     AdaptiveLifo,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Waiting {
     pub(super) ticket: Ticket,
-    /// Its place in the order.
+    /// Key by which the queue is sorted.
     pub(super) urgency: Urgency,
-    /// The last instant at which starting it makes sense.
+    /// End of the wait. The request is not started at or after this time.
     pub(super) until: Instant,
-    /// Why it is refused after that.
+    /// Reason of the refusal after the end of the wait.
     pub(super) reason: Reason,
-    /// The time within which its answer is worth most.
+    /// Latency target.
     pub(super) target: Option<Duration>,
-    /// How much its answer takes of the way out.
+    /// Expected length of the response.
     pub(super) response_length: ResponseLength,
 }
 
-/// Holds the waiting requests, the most urgent first and the oldest first among equals.
+/// Queue of requests, sorted by urgency and, among equally urgent requests, by age.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Queue {
     waiting: VecDeque<Waiting>,
@@ -44,7 +45,7 @@
         self.waiting.len()
     }
 
-    /// Returns how many requests would go before one of this urgency.
+    /// Returns the number of queued requests that precede a new request of this urgency.
     pub(super) fn ahead_of(&self, urgency: Urgency) -> usize {
         self.waiting.partition_point(|w| w.urgency <= urgency)
     }
@@ -54,7 +55,7 @@
         self.waiting.insert(place, waiting);
     }
 
-    /// Takes the least urgent request out if it is less urgent than `urgency`.
+    /// Removes and returns the least urgent request if it is less urgent than `urgency`.
     pub(super) fn displace(&mut self, urgency: Urgency) -> Option<Waiting> {
         let less_urgent = self
             .waiting
@@ -67,24 +68,26 @@
         }
     }
 
-    /// Counts those that wait with a long answer.
-    pub(super) fn long(&self) -> usize {
-        let long = |w: &&Waiting| w.response_length == ResponseLength::Long;
-        self.waiting.iter().filter(long).count()
+    /// Returns the number of queued requests with a long response.
+    pub(super) fn long_responses(&self) -> usize {
+        let long_responses = |w: &&Waiting| w.response_length == ResponseLength::Long;
+        self.waiting.iter().filter(long_responses).count()
     }
 
-    /// Takes the next request that can still be started at `now`; those with a long answer only
-    /// when there is `room` for it on the link.
+    /// Removes and returns the next request that can still be started at `now`.
+    ///
+    /// Requests with a long response are passed over unless the link has capacity (`link_room`).
     pub(super) fn pop(
         &mut self,
         now: Instant,
         order: QueueOrder,
         capacity: usize,
-        room: bool,
+        link_room: bool,
     ) -> Option<Waiting> {
         let mut live = self.waiting.iter();
-        let fits =
-            |w: &Waiting| w.until > now && (room || w.response_length == ResponseLength::Short);
+        let fits = |w: &Waiting| {
+            w.until > now && (link_room || w.response_length == ResponseLength::Short)
+        };
         let i = match order {
             QueueOrder::AdaptiveLifo if self.waiting.len() * 2 > capacity => live.rposition(fits),
             QueueOrder::AdaptiveLifo | QueueOrder::Fifo => live.position(fits),
@@ -92,32 +95,32 @@
         self.waiting.remove(i?)
     }
 
-    /// Takes a request out; returns whether it was there.
+    /// Removes a request, and returns `true` if it was queued.
     pub(super) fn remove(&mut self, ticket: Ticket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|w| w.ticket != ticket);
         self.waiting.len() < before
     }
 
-    /// Returns until when a request waits, or `None` when it does not.
+    /// Returns the end of a request's wait, or `None` if the request is not queued.
     pub(super) fn until(&self, ticket: Ticket) -> Option<Instant> {
         let found = self.waiting.iter().find(|w| w.ticket == ticket);
         found.map(|w| w.until)
     }
 
-    /// Takes out the requests that it makes no sense to start any more.
+    /// Removes and returns the requests whose wait has ended.
     pub(super) fn expire(&mut self, now: Instant) -> VecDeque<Waiting> {
         let (late, live) = self.waiting.iter().partition(|w| w.until <= now);
         self.waiting = live;
         late
     }
 
-    /// Takes out every request.
+    /// Removes all requests and returns their tickets.
     pub(super) fn drain(&mut self) -> Vec<Ticket> {
         self.waiting.drain(..).map(|w| w.ticket).collect()
     }
 
-    /// Returns when the first request expires.
+    /// Returns the earliest end of a request's wait.
     pub(super) fn next_expiry(&self) -> Option<Instant> {
         self.waiting.iter().map(|w| w.until).min()
     }
--- a/crates/swiftcart-core/src/admission/request.rs
+++ b/crates/swiftcart-core/src/admission/request.rs
@@ -1,97 +1,99 @@
-//! What a request asks of a guard.
+//! Attributes of a request that decide about its admission.
 
 use std::time::Duration;
 
 use crate::{Deadline, Instant, Priority};
 
-/// The part of the time in which an answer is worth most that a request may wait for a slot.
+/// Share of the latency target that a request may wait for a slot.
 ///
-/// It answers a load above what a service can take. The queue is then always as long as it may
-/// be: whoever is served has waited for all of it, and as many are served with a short queue as
-/// with a long one. With a wait of 80 ms and a target of 200 ms the median answer of a full service
-/// took 150 ms and a quarter of the answers came late; with 25 ms it took 106 ms and an eighth did.
-/// A request that waited and is refused all the same has lost the chance to go elsewhere, too.
-const PATIENCE: f64 = 0.125;
-
-/// The part of its own target that a request may wait when others with longer targets may.
+/// Under overload the queue is always full, so every served request has waited for the whole queue.
+/// A short queue serves as many requests as a long one. With a target of 200 ms and a wait of
+/// 80 ms, an overloaded service has a median latency of 150 ms, and a quarter of the responses are
+/// late. With a wait of 25 ms the median is 106 ms, and an eighth of the responses are late. A
+/// request that is refused after its wait has also lost the chance to go to another guard.
+const QUEUE_WAIT_SHARE: f64 = 0.125;
+
+/// Maximum share of its own target that a request may wait beside requests with longer targets.
 ///
-/// It answers calls that running requests make. They have short targets, and one that is refused
-/// fails the request that made it, with all the work that was done for that. They go before
-/// requests with longer targets, so they may wait for as long as those do: an eighth of a
-/// long target, a quarter to a half of their own on all known meshes.
-const OWN_PATIENCE: f64 = 0.5;
-
-/// The part of the target that a request may wait while other guards may have a place: what a round
-/// trip to another failure domain and back takes, about 3 ms, is well below it for all routes.
-const ASKING_PATIENCE: f64 = 0.025;
-
-/// The part of its target for which a request's caller may have tried before, and the answer can
-/// still come within the target: calls take a third of it on average.
+/// Running requests make nested calls with short targets. A refused nested call fails its parent
+/// request and wastes the work done for the parent. Nested calls precede requests with longer
+/// targets, so they may wait as long as these requests: an eighth of a long target, which is a
+/// quarter to a half of the nested call's own target on all known meshes.
+const OWN_TARGET_SHARE: f64 = 0.5;
+
+/// Share of the latency target that a request may wait while other guards may have capacity.
+///
+/// A round trip to another failure domain takes about 3 ms, which is well below this wait on all
+/// routes.
+const SHORT_WAIT_SHARE: f64 = 0.025;
+
+/// Maximum age of a request that can still meet its latency target, as a share of the target.
 ///
-/// It answers callers that come back under overload. Their requests are late in any case, and
-/// with the earliest wanted answer alone as the order they took the places of first tries.
-const TOO_OLD: f64 = 0.6;
+/// Calls take a third of their target on average. Under overload, callers retry with requests that
+/// are already too late for the target. If the queue were ordered by target time alone, these
+/// retries would displace first attempts.
+const MAX_AGE_SHARE: f64 = 0.6;
 
-/// Tells how long a request may wait for a slot.
+/// Time that a request may spend in the queue.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum QueueWait {
-    /// Hardly at all: another guard may have a place.
+    /// A short wait, since another guard may have capacity.
     Short,
-    /// As long as waiting is worth it.
+    /// The full wait that the latency target permits.
     #[default]
     Full,
 }
 
-/// Tells how much an answer takes of the way out of its instance.
+/// Expected length of a response, as it matters for the instance's egress link.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ResponseLength {
-    /// Some kilobytes.
+    /// A few kilobytes.
     #[default]
     Short,
-    /// Enough that others wait behind it on a slow link.
+    /// Long enough to delay other responses on a slow link.
     Long,
 }
 
-/// Says when an answer is due at the latest, when it should be there, and its rank.
+/// Attributes of a request on which admission control decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AdmissionRequest {
-    /// When the answer is due.
+    /// Deadline of the response.
     pub due: Deadline,
-    /// The time within which it is worth most, where the configuration says so.
+    /// Latency target of the response, if the configuration sets a target.
     pub target: Option<Duration>,
-    /// Its rank among the requests of the same service.
+    /// Priority among the requests of the same service.
     pub priority: Priority,
-    /// How long it may wait.
+    /// Time that the request may spend in the queue.
     pub queue_wait: QueueWait,
-    /// For how long its caller has been trying to get an answer.
+    /// Time since the caller's first attempt.
     pub age: Duration,
-    /// How long its answer is expected to be.
+    /// Expected length of the response.
     pub response_length: ResponseLength,
 }
 
-/// Tells whether an answer can still come within the time in which it is worth most.
+/// Ability of a request to meet its latency target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Chance {
+enum Timeliness {
     InTime,
     Late,
 }
 
-/// Orders waiting requests: by rank, then those that can be in time before those that are late
-/// in any case, then by the end of their waits.
+/// Sort key of queued requests: by priority, then requests that can meet their target before late
+/// ones, then by the end of the wait.
 ///
-/// In a crowded service the order decides who is served at all, since the queue is always as long as
-/// requests wait at most. With half of the slots that are asked for, the earliest wanted answer first served all
-/// calls that running requests make and 0.21 of the orders beside them, which have the same rank
-/// and a longer target; by the end of the wait it is 0.36 and 0.63.
+/// Under overload the queue is always full, so the order decides which requests are served at all.
+/// With half of the slots that the load needs, an order by target time served all nested calls with
+/// short targets, but only 0.21 of the requests with the same priority and a longer target. The
+/// order by the end of the wait serves 0.36 of the nested calls and 0.63 of the other requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Urgency {
     priority: Priority,
-    chance: Chance,
+    timeliness: Timeliness,
     until: Instant,
 }
 
 impl AdmissionRequest {
-    /// Creates the bid of a request whose answer is due by `due`.
+    /// Creates the attributes of a request with the deadline `due`, and defaults otherwise.
     #[must_use]
     pub const fn new(due: Deadline) -> Self {
         Self {
@@ -104,85 +106,98 @@
         }
     }
 
-    /// Sets how long the answer is expected to be.
+    /// Sets the expected length of the response.
     #[must_use]
     pub const fn with_response_length(mut self, response_length: ResponseLength) -> Self {
         self.response_length = response_length;
         self
     }
 
-    /// Sets for how long the caller has been trying.
+    /// Sets the time since the caller's first attempt.
     #[must_use]
     pub const fn with_age(mut self, age: Duration) -> Self {
         self.age = age;
         self
     }
 
-    /// Sets how long it may wait.
+    /// Sets the time that the request may spend in the queue.
     #[must_use]
     pub const fn with_queue_wait(mut self, queue_wait: QueueWait) -> Self {
         self.queue_wait = queue_wait;
         self
     }
 
-    /// Sets the rank.
+    /// Sets the priority.
     #[must_use]
     pub const fn with_priority(mut self, priority: Priority) -> Self {
         self.priority = priority;
         self
     }
 
-    /// Sets the time within which the answer is worth most.
+    /// Sets the latency target of the response.
     ///
-    /// It says for how long the request may wait, and so its place among those of its rank.
+    /// The target determines the maximum wait, and thereby the order among requests of the same
+    /// priority.
     #[must_use]
     pub const fn with_target(mut self, target: Duration) -> Self {
         self.target = Some(target);
         self
     }
 
-    /// Returns when the wait for a slot ends, when no request beside it has a longer target;
-    /// `usual` is the longest wait without a target.
+    /// Returns the end of the wait for a slot, assuming that no other request has a longer target.
+    ///
+    /// `default_wait` is the maximum wait of a request without a target.
     #[must_use]
-    pub fn until(&self, now: Instant, usual: Duration) -> Instant {
-        let longest = self.target.unwrap_or(usual);
-        self.due.within(now, self.longest_wait(usual, longest)).at()
+    pub fn until(&self, now: Instant, default_wait: Duration) -> Instant {
+        let longest = self.target.unwrap_or(default_wait);
+        self.due
+            .within(now, self.longest_wait(default_wait, longest))
+            .at()
     }
 
-    /// Returns the longest wait; `usual` is that of a request without a target, `long` the
-    /// target that most requests at the guard do not exceed.
-    pub(super) fn longest_wait(&self, usual: Duration, long: Duration) -> Duration {
-        let target = self.target.unwrap_or(usual);
+    /// Returns the maximum wait in the queue.
+    ///
+    /// `default_wait` is the maximum wait of a request without a target. `p90_target` is the 90th
+    /// percentile of the targets at the guard.
+    pub(super) fn longest_wait(&self, default_wait: Duration, p90_target: Duration) -> Duration {
+        let target = self.target.unwrap_or(default_wait);
         match (self.queue_wait, self.target) {
-            (QueueWait::Short, _) => target.mul_f64(ASKING_PATIENCE).min(usual),
+            (QueueWait::Short, _) => target.mul_f64(SHORT_WAIT_SHARE).min(default_wait),
             (QueueWait::Full, Some(target)) => {
-                let among_longer = long.mul_f64(PATIENCE);
-                let own = target.mul_f64(OWN_PATIENCE);
-                let wait = among_longer.min(own).max(target.mul_f64(PATIENCE));
-                wait.min(usual)
+                let p90_wait = p90_target.mul_f64(QUEUE_WAIT_SHARE);
+                let own_wait = target.mul_f64(OWN_TARGET_SHARE);
+                let wait = p90_wait.min(own_wait).max(target.mul_f64(QUEUE_WAIT_SHARE));
+                wait.min(default_wait)
             }
-            (QueueWait::Full, None) => usual,
+            (QueueWait::Full, None) => default_wait,
         }
     }
 
-    /// Returns the place in the order; `usual` stands in for a target, `long` is the target that
-    /// most requests at the guard do not exceed.
-    pub(super) fn urgency(&self, now: Instant, usual: Duration, long: Duration) -> Urgency {
+    /// Returns the sort key in the queue.
+    ///
+    /// `default_wait` replaces a missing target. `p90_target` is the 90th percentile of the targets
+    /// at the guard.
+    pub(super) fn urgency(
+        &self,
+        now: Instant,
+        default_wait: Duration,
+        p90_target: Duration,
+    ) -> Urgency {
         let full = Self {
             queue_wait: QueueWait::Full,
             ..*self
         };
         Urgency {
             priority: self.priority,
-            chance: self.chance(),
-            until: now + full.longest_wait(usual, long),
+            timeliness: self.timeliness(),
+            until: now + full.longest_wait(default_wait, p90_target),
         }
     }
 
-    fn chance(&self) -> Chance {
+    fn timeliness(&self) -> Timeliness {
         match self.target {
-            Some(target) if self.age > target.mul_f64(TOO_OLD) => Chance::Late,
-            _ => Chance::InTime,
+            Some(target) if self.age > target.mul_f64(MAX_AGE_SHARE) => Timeliness::Late,
+            _ => Timeliness::InTime,
         }
     }
 }
--- a/crates/swiftcart-core/src/admission/running.rs
+++ b/crates/swiftcart-core/src/admission/running.rs
@@ -1,26 +1,26 @@
-//! A request that a backend server runs.
+//! State of a running request.
 
 use std::time::Duration;
 
 use super::ResponseLength;
-use super::gauge::in_targets;
+use super::pace_estimator::target_ratio;
 use crate::Instant;
 
-/// A request that runs.
+/// A request that the backend server is running.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Running {
-    /// How many ran when it started, itself included.
-    pub(super) among: u32,
+    /// Number of running requests when this request started, including itself.
+    pub(super) in_flight: u32,
     pub(super) start: Instant,
-    /// The time within which its answer is worth most.
+    /// Latency target.
     pub(super) target: Option<Duration>,
     pub(super) response_length: ResponseLength,
 }
 
 impl Running {
-    /// Returns for how many targets it has run.
-    pub(super) fn quotient(&self, now: Instant) -> Option<f64> {
+    /// Returns the age of the request as a multiple of its target.
+    pub(super) fn target_ratio(&self, now: Instant) -> Option<f64> {
         let ran = now.since(self.start);
-        self.target.map(|target| in_targets(ran, target))
+        self.target.map(|target| target_ratio(ran, target))
     }
 }
--- a/crates/swiftcart-core/src/admission/settings.rs
+++ b/crates/swiftcart-core/src/admission/settings.rs
@@ -1,24 +1,24 @@
-//! How much may wait at a guard.
+//! Settings of admission control.
 
 use std::time::Duration;
 
 use super::{LimitSettings, QueueOrder};
 use crate::LinkRate;
 
-/// Sets how much may wait.
+/// Settings of admission control at a guard.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that wait at most.
+    /// Maximum number of queued requests.
     pub queue: u32,
-    /// Requests that wait at most for each one that may run.
+    /// Maximum number of queued requests for each request that may run.
     pub depth: f64,
-    /// The longest wait.
+    /// Maximum wait in the queue.
     pub wait: Duration,
-    /// Which waiting request goes next.
+    /// Order in which queued requests are started.
     pub order: QueueOrder,
-    /// How the limit follows the latency.
+    /// Settings of the adaptive concurrency limit.
     pub limit: LimitSettings,
-    /// The rate of the instance's link, where it is known.
+    /// Rate of the instance's link, if known.
     pub link: Option<LinkRate>,
 }
 
--- a/crates/swiftcart-core/src/admission/ticket.rs
+++ b/crates/swiftcart-core/src/admission/ticket.rs
@@ -1,27 +1,27 @@
-//! What becomes of a request that is offered to a guard.
+//! Tickets of requests, and the results of admission.
 
 use crate::Refusal;
 
-/// Names one request inside one [`Admission`](crate::Admission).
+/// Identifier of a request within one [`Admission`](crate::Admission).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(super) u64);
 
-/// Tells what becomes of an offered request.
+/// Result of offering a request to admission control.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Admit {
-    /// It is handed over now.
+    /// The request is forwarded to the backend server now.
     Run(Ticket),
-    /// It waits until its ticket is returned as started or as refused.
+    /// The request is queued until its ticket is returned as started or as refused.
     Queue(Ticket),
-    /// It is answered at once.
+    /// The request is refused at once.
     Refuse(Refusal),
 }
 
-/// Names a waiting request that is refused after all.
+/// A queued request that is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Refused {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// What it is answered.
+    /// Refusal to send to the caller.
     pub refusal: Refusal,
 }
--- a/crates/swiftcart-core/src/link.rs
+++ b/crates/swiftcart-core/src/link.rs
@@ -1,4 +1,4 @@
-//! The way out of an instance: how much is queued on its link.
+//! Egress link of an instance, and the data queued for it.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::Instant;
 
-/// Bytes a second for each kilobit a second.
+/// Number of bytes per kilobit.
 const BYTES_PER_KBIT: f64 = 125.0;
 
-/// The rate of an instance's link.
+/// Rate of an instance's egress link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LinkRate {
-    /// Kilobits a second, at least 1.
+    /// Rate in kilobits per second. A rate of 0 counts as 1.
     pub kbit_s: u32,
 }
 
-/// Follows what an instance has handed to its link and the link has not carried yet.
+/// Model of an instance's egress link, which tracks the queueing delay.
 ///
-/// Nothing in a process tells how long a link's queue is: what it writes is buffered long before
-/// the link takes it. But the rate is known, and so is what was written.
+/// A process cannot observe the queue of a link, since written data is buffered long before the
+/// link sends it. The model computes the delay from the known rate and the bytes written.
 ///
 /// # Examples
 ///
@@ -37,12 +37,12 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Link {
     rate: LinkRate,
-    /// When the link will have carried everything.
-    clear: Instant,
+    /// Time at which the link has sent everything written so far.
+    idle_at: Instant,
 }
 
 impl LinkRate {
-    /// Returns the time that `bytes` take.
+    /// Returns the time to send `bytes`.
     #[must_use]
     pub fn time(self, bytes: f64) -> Duration {
         let secs = bytes / (f64::from(self.kbit_s.max(1)) * BYTES_PER_KBIT);
@@ -51,23 +51,23 @@
 }
 
 impl Link {
-    /// Creates a link with nothing queued.
+    /// Creates a link with an empty queue.
     #[must_use]
     pub const fn new(rate: LinkRate) -> Self {
         Self {
             rate,
-            clear: Instant::from_millis(0),
+            idle_at: Instant::from_millis(0),
         }
     }
 
-    /// Takes in `bytes` that were handed over now.
+    /// Records `bytes` that are written to the link now.
     pub fn sent(&mut self, now: Instant, bytes: u64) {
-        self.clear = self.clear.max(now) + self.rate.time(bytes as f64);
+        self.idle_at = self.idle_at.max(now) + self.rate.time(bytes as f64);
     }
 
-    /// Returns how long it takes until the link has carried what it has.
+    /// Returns the time until the link has sent everything written so far.
     #[must_use]
     pub fn delay(&self, now: Instant) -> Duration {
-        self.clear.since(now)
+        self.idle_at.since(now)
     }
 }
--- a/crates/swiftcart-core/tests/admission.rs
+++ b/crates/swiftcart-core/tests/admission.rs
@@ -382,7 +382,7 @@
         order in prop_oneof![Just(QueueOrder::Fifo), Just(QueueOrder::AdaptiveLifo)],
         events in prop::collection::vec(event(), 1..300),
     ) {
-        let limit = LimitSettings { window: 4, probe_after: 16, probe: 2, ..LimitSettings::default() };
+        let limit = LimitSettings { window: 4, probe_after: 16, probe_samples: 2, ..LimitSettings::default() };
         let settings = AdmissionSettings { order, limit, queue: 5, ..AdmissionSettings::default() };
         let mut model = Model {
             guard: Admission::new(START, settings).with_slots(3),
