--- a/crates/swiftcart-core/src/admission/limit.rs
+++ b/crates/swiftcart-core/src/admission/limit.rs
@@ -69,7 +69,7 @@
 /// The two mean latencies are comparable for any mix of short and long requests, since the mix does
 /// not depend on the load. The minimum latency would depend on the mix.
 ///
-/// Under constant load there are no unloaded samples. The limit is then halved for a probe, until
+/// If the load never falls, there are no unloaded samples. The limit is then halved for a probe, until
 /// enough unloaded samples have been recorded. The gap between probes doubles as long as the
 /// unloaded latency does not fall, since each probe costs about half of the slots for the time of a
 /// call.
--- a/crates/swiftcart-core/tests/admission.rs
+++ b/crates/swiftcart-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! A guard never gives its backend server too much, and every request ends in one way.
+//! Tests that a guard keeps its concurrency limit, and that every request ends in exactly one way.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,12 +19,12 @@
     Deadline::new(now, Duration::from_millis(ms))
 }
 
-/// A guard of two slots that has learnt that calls take 100 ms.
+/// Creates a guard with two slots that has recorded a service time of 100 ms.
 fn guard() -> (Admission, SmallRng) {
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(2);
     let mut rng = SmallRng::seed_from_u64(1);
     let Admit::Run(ticket) = guard.offer(START, due(START, 1000), &mut rng) else {
-        panic!("a free slot runs")
+        panic!("a free slot starts the request")
     };
     guard.done(ticket, START, &success(100));
     (guard, rng)
@@ -39,35 +39,39 @@
 }
 
 #[rstest]
-#[case::free(0, 1000, AdmissionState::Open, "run")]
-#[case::busy(2, 1000, AdmissionState::Open, "queue")]
-#[case::queue_is_full(4, 1000, AdmissionState::Open, "queue-full")]
-#[case::wait_is_too_long(3, 199, AdmissionState::Open, "overloaded")]
-#[case::deadline_cannot_be_met(0, 99, AdmissionState::Open, "deadline-passed")]
+#[case::free_slot(0, 1000, AdmissionState::Open, "run")]
+#[case::all_slots_in_use(2, 1000, AdmissionState::Open, "queue")]
+#[case::full_queue(4, 1000, AdmissionState::Open, "queue-full")]
+#[case::deadline_ends_before_a_slot_is_free(3, 199, AdmissionState::Open, "overloaded")]
+#[case::deadline_shorter_than_a_call(0, 99, AdmissionState::Open, "deadline-passed")]
 #[case::draining(0, 1000, AdmissionState::Draining, "draining")]
 #[case::warming(0, 1000, AdmissionState::Warming, "warming")]
 #[case::stopping(0, 1000, AdmissionState::Stopping, "stopping")]
-fn an_offer_after(
+fn offer_is_decided_by_load_deadline_and_state(
     #[case] earlier: u32,
     #[case] left: u64,
-    #[case] admission_state: AdmissionState,
+    #[case] state: AdmissionState,
     #[case] expected: &str,
 ) {
     let (mut guard, mut rng) = guard();
     for _ in 0..earlier {
         guard.offer(START, due(START, 1000), &mut rng);
     }
-    guard.set_admission_state(admission_state);
+    guard.set_admission_state(state);
     let admit = guard.offer(START, due(START, left), &mut rng);
     assert_eq!(name(admit), expected);
 }
 
 #[rstest]
-#[case::of_the_announcement(3, 0, 3)]
-#[case::of_the_table(10, 4, 4)]
-#[case::none(0, 0, 0)]
-#[case::beyond_belief(u32::MAX, 0, 4096)]
-fn the_limit_is_the_least(#[case] slots: u32, #[case] concurrency: u32, #[case] expected: u32) {
+#[case::announced_slots(3, 0, 3)]
+#[case::concurrency_of_the_table(10, 4, 4)]
+#[case::no_slots(0, 0, 0)]
+#[case::maximum_slots(u32::MAX, 0, 4096)]
+fn limit_is_the_minimum_of_its_bounds(
+    #[case] slots: u32,
+    #[case] concurrency: u32,
+    #[case] expected: u32,
+) {
     let (mut guard, _) = guard();
     let limits = Limits {
         concurrency,
@@ -78,10 +82,10 @@
 }
 
 #[rstest]
-#[case::draining_refuses_what_waits(AdmissionState::Draining, 2, 0)]
-#[case::stopping_keeps_what_waits(AdmissionState::Stopping, 0, 1)]
-fn closing_the_gate(
-    #[case] admission_state: AdmissionState,
+#[case::draining_refuses_them(AdmissionState::Draining, 2, 0)]
+#[case::stopping_keeps_them(AdmissionState::Stopping, 0, 1)]
+fn closing_refuses_or_keeps_queued_requests(
+    #[case] state: AdmissionState,
     #[case] refused: usize,
     #[case] started: usize,
 ) {
@@ -90,15 +94,15 @@
         .map(|_| guard.offer(START, due(START, 1000), &mut rng))
         .collect();
     let Admit::Run(first) = offers[0] else {
-        panic!("a free slot runs")
+        panic!("a free slot starts the request")
     };
-    assert_eq!(guard.set_admission_state(admission_state).len(), refused);
-    assert_eq!(guard.running(), 2, "what runs goes on");
+    assert_eq!(guard.set_admission_state(state).len(), refused);
+    assert_eq!(guard.running(), 2, "running requests are not affected");
     assert_eq!(guard.done(first, START, &success(100)).len(), started);
 }
 
 #[rstest]
-fn refused_callers_come_back_no_faster_than_they_can_be_served() {
+fn retry_delays_are_spread_over_the_time_to_serve_the_callers() {
     let (mut guard, mut rng) = guard();
     let mut offer = || guard.offer(START, due(START, 5000), &mut rng);
     let mut after: Vec<_> = (0..104)
@@ -109,7 +113,8 @@
         .collect();
     after.sort_unstable();
     assert_eq!(after.len(), 100);
-    // Two slots of 100 ms serve 20 a second; the 100 come back over at least 5 s.
+    // Two slots with calls of 100 ms serve 20 requests per second, so the retries of the 100 refused
+    // callers spread over at least 5 s.
     let in_second = |from: &Duration| {
         let to = *from + Duration::from_secs(1);
         after.iter().filter(|a| (*from..to).contains(*a)).count()
@@ -121,10 +126,12 @@
     );
 }
 
-/// Keeps a guard full whose backend server takes 10 ms up to `knee` calls, and longer above it.
+/// Keeps a guard at its limit. The backend server takes 10 ms per call with up to `knee` concurrent
+/// calls, and proportionally longer above `knee`.
 ///
-/// Returns the greatest limit of the last 100 calls; a lowered one may be a probe.
-fn steer(guard: &mut Admission, rng: &mut SmallRng, knee: u32, calls: u32) -> u32 {
+/// Returns the maximum limit during the last 100 calls, since a probe halves the limit for a short
+/// time.
+fn saturate(guard: &mut Admission, rng: &mut SmallRng, knee: u32, calls: u32) -> u32 {
     let mut now = START;
     let mut last = 0;
     let mut running = std::collections::VecDeque::new();
@@ -153,10 +160,10 @@
 }
 
 #[rstest]
-#[case::aimd_shrinks(LimitRule::Aimd, 4, 4..=8)]
-#[case::fixed_believes(LimitRule::Fixed, 4, 16..=16)]
-#[case::aimd_leaves_an_honest_one_alone(LimitRule::Aimd, 16, 16..=16)]
-fn announced_slots_that_lie(
+#[case::aimd_lowers_overstated_slots(LimitRule::Aimd, 4, 4..=8)]
+#[case::fixed_keeps_overstated_slots(LimitRule::Fixed, 4, 16..=16)]
+#[case::aimd_keeps_correct_slots(LimitRule::Aimd, 16, 16..=16)]
+fn limit_of_a_saturated_guard_follows_its_rule(
     #[case] rule: LimitRule,
     #[case] knee: u32,
     #[case] expected: std::ops::RangeInclusive<u32>,
@@ -171,16 +178,22 @@
         ..AdmissionSettings::default()
     };
     let mut guard = Admission::new(START, settings).with_slots(16);
-    // Always full: unloaded latencies are only seen where the guard lowers the load itself.
-    let limit = steer(&mut guard, &mut rng, knee, 10_000);
+    // The guard is always saturated, so unloaded samples come from its own probes only.
+    let limit = saturate(&mut guard, &mut rng, knee, 10_000);
     assert!(expected.contains(&limit), "{limit}");
-    let limit = steer(&mut guard, &mut rng, 16, 20_000);
-    assert!(limit >= 14, "recovers once the latency is good: {limit}");
+    let limit = saturate(&mut guard, &mut rng, 16, 20_000);
+    assert!(
+        limit >= 14,
+        "the limit must recover with the latency: {limit}"
+    );
 }
 
-/// Short calls are likelier to end before more have come; they must not pass for the unloaded ones.
+/// Short calls are more likely to end before other calls arrive.
+///
+/// If they prevailed among the unloaded samples, every loaded window would seem slow, and the limit
+/// would fall without overload.
 #[rstest]
-fn an_honest_one_with_short_and_long_calls_keeps_its_slots() {
+fn correct_slots_are_kept_with_a_mix_of_short_and_long_calls() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(10);
     let mut running = Vec::new();
@@ -215,7 +228,7 @@
     Cancel(usize),
     Expire,
     Slots(u32, u32),
-    AdmissionState(AdmissionState),
+    State(AdmissionState),
     Wait(u64),
 }
 
@@ -224,7 +237,7 @@
         4 => Just(CallResult::Success),
         1 => Just(CallResult::Failure),
     ];
-    let admission_state = prop_oneof![
+    let state = prop_oneof![
         3 => Just(AdmissionState::Open),
         1 => Just(AdmissionState::Warming),
         1 => Just(AdmissionState::Draining),
@@ -235,20 +248,21 @@
         12 => (any::<usize>(), 1..200_u64, result).prop_map(|(i, ms, r)| Event::Done(i, ms, r)),
         3 => any::<usize>().prop_map(Event::Cancel),
         3 => Just(Event::Expire),
-        1 => (0..6_u32, 0..4_u32).prop_map(|(slots, most)| Event::Slots(slots, most)),
-        1 => admission_state.prop_map(Event::AdmissionState),
+        1 => (0..6_u32, 0..4_u32).prop_map(|(slots, concurrency)| Event::Slots(slots, concurrency)),
+        1 => state.prop_map(Event::State),
         8 => (0..40_u64).prop_map(Event::Wait),
     ]
 }
 
-/// What the test knows of each open request: whether it runs, and what it was promised.
+/// Reference model of the open requests: the running ones, and the queued ones with the time at
+/// which they were queued and their deadlines.
 struct Model {
     guard: Admission,
     rng: SmallRng,
     settings: AdmissionSettings,
     now: Instant,
-    admission_state: AdmissionState,
-    most: u32,
+    state: AdmissionState,
+    max_limit: u32,
     running: Vec<Ticket>,
     waiting: BTreeMap<Ticket, (Instant, Deadline)>,
 }
@@ -257,7 +271,7 @@
     fn start(&mut self, tickets: &[Ticket]) -> Result<(), TestCaseError> {
         for ticket in tickets {
             let Some((_, due)) = self.waiting.remove(ticket) else {
-                return Err(TestCaseError::fail("started what did not wait"));
+                return Err(TestCaseError::fail("started a request that was not queued"));
             };
             prop_assert!(!due.misses(self.now, Duration::ZERO), "started too late");
             self.running.push(*ticket);
@@ -267,10 +281,10 @@
     }
 
     fn refuse(&mut self, refused: &[Refused]) -> Result<(), TestCaseError> {
-        for one in refused {
+        for refused in refused {
             prop_assert!(
-                self.waiting.remove(&one.ticket).is_some(),
-                "refused what did not wait"
+                self.waiting.remove(&refused.ticket).is_some(),
+                "refused a request that was not queued"
             );
         }
         Ok(())
@@ -278,7 +292,7 @@
 
     fn offer(&mut self, left: u64) -> Result<(), TestCaseError> {
         let due = due(self.now, left);
-        // One in three has no target; the others are more urgent than those.
+        // One request in three has no target. The others are more urgent.
         let request = match left % 3 {
             0 => AdmissionRequest::new(due),
             n => AdmissionRequest::new(due).with_target(Duration::from_millis(40 * n)),
@@ -300,14 +314,14 @@
                 prop_assert!(self.guard.next_expiry_at().is_some_and(|at| at <= due.at()));
             }
             Admit::Refuse(refusal) => {
-                let helps = refusal.reason != Reason::DeadlinePassed;
-                prop_assert_eq!(refusal.retry_after.is_some(), helps);
+                let has_delay = refusal.reason != Reason::DeadlinePassed;
+                prop_assert_eq!(refusal.retry_after.is_some(), has_delay);
             }
         }
         let refused = matches!(admit, Admit::Refuse(_));
         prop_assert!(
-            self.admission_state == AdmissionState::Open || refused,
-            "a closed gate took work"
+            self.state == AdmissionState::Open || refused,
+            "a request was admitted while not open"
         );
         Ok(())
     }
@@ -323,7 +337,9 @@
             }
             Event::Cancel(i) if !self.waiting.is_empty() => {
                 let mut tickets = self.waiting.keys().copied();
-                let ticket = tickets.nth(i % self.waiting.len()).expect("one waits");
+                let ticket = tickets
+                    .nth(i % self.waiting.len())
+                    .expect("a request is queued");
                 self.waiting.remove(&ticket);
                 let started = self.guard.cancel(ticket, self.now);
                 self.start(&started)?;
@@ -337,18 +353,21 @@
             Event::Expire => {
                 let refused = self.guard.expire(self.now, &mut self.rng);
                 self.refuse(&refused)?;
-                let held = |(since, due): &(Instant, Deadline)| {
+                let overdue = |(since, due): &(Instant, Deadline)| {
                     due.misses(self.now, Duration::ZERO)
                         || self.now.since(*since) >= self.settings.wait
                 };
-                prop_assert!(!self.waiting.values().any(held), "held back too long");
+                prop_assert!(
+                    !self.waiting.values().any(overdue),
+                    "a request stayed in the queue too long"
+                );
             }
             Event::Slots(slots, concurrency) => {
                 let limits = Limits {
                     concurrency,
                     ..Limits::default()
                 };
-                self.most = if concurrency == 0 {
+                self.max_limit = if concurrency == 0 {
                     slots
                 } else {
                     slots.min(concurrency)
@@ -356,20 +375,20 @@
                 let started = self.guard.set_slots(self.now, slots, limits);
                 self.start(&started)?;
             }
-            Event::AdmissionState(admission_state) => {
-                self.admission_state = admission_state;
-                let refused = self.guard.set_admission_state(admission_state);
+            Event::State(state) => {
+                self.state = state;
+                let refused = self.guard.set_admission_state(state);
                 self.refuse(&refused)?;
             }
             Event::Wait(ms) => self.now = self.now + Duration::from_millis(ms),
         }
-        self.agree()
+        self.check_counts()
     }
 
-    fn agree(&self) -> Result<(), TestCaseError> {
+    fn check_counts(&self) -> Result<(), TestCaseError> {
         prop_assert_eq!(self.guard.running() as usize, self.running.len());
         prop_assert_eq!(self.guard.queued() as usize, self.waiting.len());
-        prop_assert!(self.guard.limit() <= self.most);
+        prop_assert!(self.guard.limit() <= self.max_limit);
         Ok(())
     }
 }
@@ -378,7 +397,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn whatever_happens_each_request_ends_in_one_way(
+    fn each_request_ends_in_exactly_one_way(
         order in prop_oneof![Just(QueueOrder::Fifo), Just(QueueOrder::AdaptiveLifo)],
         events in prop::collection::vec(event(), 1..300),
     ) {
@@ -389,8 +408,8 @@
             rng: SmallRng::seed_from_u64(1),
             settings,
             now: START,
-            admission_state: AdmissionState::Open,
-            most: 3,
+            state: AdmissionState::Open,
+            max_limit: 3,
             running: Vec::new(),
             waiting: BTreeMap::new(),
         };
--- a/crates/swiftcart-core/tests/admission_order.rs
+++ b/crates/swiftcart-core/tests/admission_order.rs
@@ -1,4 +1,4 @@
-//! Which of the waiting requests goes first, and which one gives way.
+//! Tests of the order in which queued requests start and are displaced, and of their maximum waits.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const START: Instant = Instant::from_millis(0);
 
-/// The time that a call takes at the guard of these tests, in milliseconds.
+/// Service time of a call in milliseconds.
 const CALL_MS: u64 = 20;
 
 fn request(target_ms: Option<u64>) -> AdmissionRequest {
@@ -20,13 +20,13 @@
     }
 }
 
-/// A guard with so many slots, all taken, that has learnt how long a call takes.
-fn busy(slots: u32) -> (Admission, SmallRng, Vec<Ticket>) {
+/// Creates a guard whose `slots` are all in use and that has recorded the service time of a call.
+fn saturated_guard(slots: u32) -> (Admission, SmallRng, Vec<Ticket>) {
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(slots);
     let mut rng = SmallRng::seed_from_u64(1);
     let mut run = |guard: &mut Admission| match guard.offer(START, request(None), &mut rng) {
         Admit::Run(ticket) => ticket,
-        other => panic!("a free slot runs, not {other:?}"),
+        other => panic!("a free slot must start the request, got {other:?}"),
     };
     let first = run(&mut guard);
     let sample = Sample::new(Duration::from_millis(CALL_MS), CallResult::Success);
@@ -36,18 +36,18 @@
 }
 
 #[rstest]
-#[case::who_may_wait_for_the_shortest_time(&[Some(500), Some(120)], &[1, 0])]
-#[case::the_oldest_among_equals(&[Some(400), Some(400)], &[0, 1])]
-#[case::without_a_target_after_the_longest_wait(&[None, Some(400)], &[1, 0])]
-#[case::without_a_target_after_what_may_take_longer(&[Some(900), None], &[0, 1])]
-fn first_goes(#[case] targets: &[Option<u64>], #[case] order: &[usize]) {
-    let (mut guard, mut rng, running) = busy(2);
+#[case::shorter_wait_first(&[Some(500), Some(120)], &[1, 0])]
+#[case::oldest_first_among_equals(&[Some(400), Some(400)], &[0, 1])]
+#[case::no_target_after_a_target(&[None, Some(400)], &[1, 0])]
+#[case::no_target_after_a_longer_target(&[Some(900), None], &[0, 1])]
+fn queued_requests_start_by_urgency(#[case] targets: &[Option<u64>], #[case] order: &[usize]) {
+    let (mut guard, mut rng, running) = saturated_guard(2);
     let waiting: Vec<Ticket> = targets
         .iter()
         .map(
             |target| match guard.offer(START, request(*target), &mut rng) {
                 Admit::Queue(ticket) => ticket,
-                other => panic!("it waits, not {other:?}"),
+                other => panic!("the request must be queued, got {other:?}"),
             },
         )
         .collect();
@@ -60,17 +60,17 @@
     assert_eq!(started, expected);
 }
 
-/// A crowded service gets orders (0) and calls that other requests make (1) of one rank, and has half
-/// of the slots that they ask for.
+/// Simulates an overloaded service that gets orders (0) and nested calls (1) of equal priority, and
+/// has half of the slots that the load needs.
 ///
-/// Returns the parts of both that are served within 20 s. By the earliest wanted answer 0.21 of the
-/// orders and all calls were served; by who may wait for the shortest time it is 0.63 and 0.36.
-fn served_of_one_rank() -> [f64; 2] {
+/// Returns the served shares of both kinds within 20 s. An order by target time served 0.21 of the
+/// orders and all nested calls. The order by the end of the wait serves 0.63 and 0.36.
+fn served_shares_at_equal_priority() -> [f64; 2] {
     const SLOTS: u32 = 18;
     const TARGET_MS: [u64; 2] = [250, 60];
-    const WORK_MS: [u64; 2] = [82, 16];
-    /// Milliseconds between two of a kind: 250 orders and 860 calls a second.
-    const EVERY_MS: [f64; 2] = [4.0, 1.16];
+    const SERVICE_MS: [u64; 2] = [82, 16];
+    /// Milliseconds between two arrivals: 250 orders and 860 nested calls per second.
+    const INTERVAL_MS: [f64; 2] = [4.0, 1.16];
     let settings = AdmissionSettings {
         limit: LimitSettings {
             rule: LimitRule::Fixed,
@@ -82,24 +82,24 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut kinds = HashMap::new();
     let mut running: Vec<(u64, Ticket)> = Vec::new();
-    let (mut came, mut served, mut next) = ([0.0; 2], [0.0; 2], [0.0_f64; 2]);
+    let (mut offered, mut served, mut next) = ([0.0; 2], [0.0; 2], [0.0_f64; 2]);
     for ms in 0..20_000_u64 {
         let now = Instant::from_millis(ms);
-        let (over, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|run| run.0 <= ms);
+        let (ended, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|run| run.0 <= ms);
         running = rest;
         let mut started = Vec::new();
-        for (_, ticket) in over {
+        for (_, ticket) in ended {
             let kind: usize = kinds[&ticket];
             served[kind] += 1.0;
-            let latency = Duration::from_millis(WORK_MS[kind]);
+            let latency = Duration::from_millis(SERVICE_MS[kind]);
             let sample = Sample::new(latency, CallResult::Success);
             started.extend(guard.done(ticket, now, &sample));
         }
         guard.expire(now, &mut rng);
         for kind in [0, 1] {
             while next[kind] <= ms as f64 {
-                next[kind] += EVERY_MS[kind];
-                came[kind] += 1.0;
+                next[kind] += INTERVAL_MS[kind];
+                offered[kind] += 1.0;
                 let due = Deadline::new(now, Duration::from_millis(1_500));
                 let request =
                     AdmissionRequest::new(due).with_target(Duration::from_millis(TARGET_MS[kind]));
@@ -113,26 +113,26 @@
                 }
             }
         }
-        let runs = started.into_iter().map(|t| (ms + WORK_MS[kinds[&t]], t));
+        let runs = started.into_iter().map(|t| (ms + SERVICE_MS[kinds[&t]], t));
         running.extend(runs);
     }
-    [served[0] / came[0], served[1] / came[1]]
+    [served[0] / offered[0], served[1] / offered[1]]
 }
 
 #[test]
-fn no_request_of_one_rank_gets_less_than_half_of_an_equal_share_whatever_its_target() {
-    let [orders, calls] = served_of_one_rank();
+fn equal_priority_gets_at_least_half_of_a_fair_share_for_any_target() {
+    let [orders, calls] = served_shares_at_equal_priority();
     let least = 0.5 * 18.0 / 34.3;
     let both = orders.min(calls) >= least;
     assert!(both, "orders {orders:.2}, calls {calls:.2}");
 }
 
 #[test]
-fn the_lower_priority_number_goes_before_the_earlier_wanted_answer() {
-    let (mut guard, mut rng, running) = busy(2);
+fn lower_priority_number_starts_before_a_shorter_target() {
+    let (mut guard, mut rng, running) = saturated_guard(2);
     let mut wait = |request: AdmissionRequest| match guard.offer(START, request, &mut rng) {
         Admit::Queue(ticket) => ticket,
-        other => panic!("it waits, not {other:?}"),
+        other => panic!("the request must be queued, got {other:?}"),
     };
     let short = wait(request(Some(120)).with_priority(Priority(2)));
     let urgent = wait(request(Some(1000)).with_priority(Priority(0)));
@@ -145,13 +145,13 @@
 }
 
 #[test]
-fn what_can_be_in_time_goes_before_what_is_late_in_any_case() {
-    let (mut guard, mut rng, running) = busy(2);
+fn request_that_can_meet_its_target_starts_before_a_late_one() {
+    let (mut guard, mut rng, running) = saturated_guard(2);
     let mut wait = |age_ms| {
         let request = request(Some(200)).with_age(Duration::from_millis(age_ms));
         match guard.offer(START, request, &mut rng) {
             Admit::Queue(ticket) => ticket,
-            other => panic!("it waits, not {other:?}"),
+            other => panic!("the request must be queued, got {other:?}"),
         }
     };
     let late = wait(400);
@@ -165,31 +165,31 @@
 }
 
 #[test]
-fn a_first_try_is_never_turned_away_for_one_that_is_late() {
-    let (mut guard, mut rng, _running) = busy(2);
+fn first_attempt_displaces_a_late_request() {
+    let (mut guard, mut rng, _running) = saturated_guard(2);
     let late = request(Some(200)).with_age(Duration::from_millis(400));
     let waiting = [(); 2].map(|()| guard.offer(START, late, &mut rng));
     let admit = guard.offer(START, request(Some(200)), &mut rng);
     assert!(matches!(admit, Admit::Queue(_)), "{admit:?}");
     let [_, Admit::Queue(last)] = waiting else {
-        panic!("both wait, not {waiting:?}")
+        panic!("both requests must be queued, got {waiting:?}")
     };
     let displaced: Vec<Ticket> = guard.displaced().iter().map(|r| r.ticket).collect();
     assert_eq!(displaced, [last]);
 }
 
 #[rstest]
-#[case::the_least_urgent_one(Some(120), true)]
-#[case::nobody_for_a_request_that_is_no_more_urgent(Some(500), false)]
-fn a_full_queue_sends_away(#[case] target: Option<u64>, #[case] gives_way: bool) {
-    let (mut guard, mut rng, _running) = busy(2);
+#[case::the_least_urgent_request(Some(120), true)]
+#[case::nothing_for_a_request_that_is_not_more_urgent(Some(500), false)]
+fn full_queue_displaces(#[case] target: Option<u64>, #[case] displaces: bool) {
+    let (mut guard, mut rng, _running) = saturated_guard(2);
     let waiting = [Some(400), Some(500)].map(|t| guard.offer(START, request(t), &mut rng));
     let admit = guard.offer(START, request(target), &mut rng);
     let displaced: Vec<Ticket> = guard.displaced().iter().map(|r| r.ticket).collect();
-    match (admit, gives_way) {
+    match (admit, displaces) {
         (Admit::Queue(_), true) => {
             let [_, Admit::Queue(least)] = waiting else {
-                panic!("both wait, not {waiting:?}")
+                panic!("both requests must be queued, got {waiting:?}")
             };
             assert_eq!(displaced, [least]);
         }
@@ -202,25 +202,25 @@
 
 #[rstest]
 #[case::an_eighth_of_the_target(Some(400), 50)]
-#[case::the_usual_time_without_one(None, 500)]
-#[case::the_usual_time_at_most(Some(60_000), 500)]
-fn the_longest_wait_is(#[case] target: Option<u64>, #[case] expected_ms: u64) {
+#[case::the_default_wait_without_a_target(None, 500)]
+#[case::the_default_wait_at_most(Some(60_000), 500)]
+fn maximum_wait_is(#[case] target: Option<u64>, #[case] expected_ms: u64) {
     let usual = AdmissionSettings::default().wait;
     let until = request(target).until(START, usual);
     assert_eq!(until, Instant::from_millis(expected_ms));
 }
 
 #[rstest]
-#[case::as_long_as_those_with_long_targets(300, 1000, 125)]
-#[case::half_of_their_own_target_at_most(60, 1000, 30)]
-#[case::their_own_eighth_at_least(900, 1000, 125)]
-#[case::the_same_among_equals(200, 200, 25)]
-fn short_requests_beside_long_ones_wait(
+#[case::an_eighth_of_the_long_target(300, 1000, 125)]
+#[case::at_most_half_of_their_own_target(60, 1000, 30)]
+#[case::as_long_as_slightly_longer_targets(900, 1000, 125)]
+#[case::an_eighth_among_equal_targets(200, 200, 25)]
+fn requests_beside_longer_targets_wait(
     #[case] target_ms: u64,
     #[case] longest_ms: u64,
     #[case] expected_ms: u64,
 ) {
-    let (mut guard, mut rng, _running) = busy(2);
+    let (mut guard, mut rng, _running) = saturated_guard(2);
     for _ in 0..40 {
         let Admit::Queue(long) = guard.offer(START, request(Some(longest_ms)), &mut rng) else {
             panic!("the queue has places for two")
@@ -237,8 +237,8 @@
 }
 
 #[test]
-fn a_rare_request_with_a_target_out_of_proportion_makes_nobody_wait_longer() {
-    let (mut guard, mut rng, _running) = busy(2);
+fn rare_requests_with_a_long_target_do_not_lengthen_other_waits() {
+    let (mut guard, mut rng, _running) = saturated_guard(2);
     for i in 0..2_000 {
         let target = if i % 50 == 0 { 1000 } else { 200 };
         if let Admit::Queue(ticket) = guard.offer(START, request(Some(target)), &mut rng) {
--- a/crates/swiftcart-core/tests/named_rates.rs
+++ b/crates/swiftcart-core/tests/named_rates.rs
@@ -1,4 +1,4 @@
-//! Backend servers that name the requests a second that they take, under callers' load in virtual time.
+//! Tests of backend servers that name a rate limit, under a load in virtual time.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[path = "support/mesh_load.rs"]
@@ -7,75 +7,89 @@
 
 use std::time::Duration;
 
-use mesh_load::{Load, play};
+use mesh_load::{Workload, simulate};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rstest::rstest;
 use swiftcart_core::{Admission, AdmissionSettings, Admit, Deadline, Instant, Reason, ServerRate};
 
-/// The time over which requests are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-fn small(named: &[f64]) -> Load {
-    Load {
+fn small(rates: &[f64]) -> Workload {
+    Workload {
         nodes: 13,
         servers: 6,
         domains: 3,
         slots: 18,
-        work: Duration::from_millis(80),
-        asked: 400.0,
-        named: named.to_vec(),
-        time: Duration::from_secs(16),
+        service_time: Duration::from_millis(80),
+        request_rate: 400.0,
+        named_rates: rates.to_vec(),
+        duration: Duration::from_secs(16),
     }
 }
 
-fn large(named: &[f64]) -> Load {
-    Load {
+fn large(rates: &[f64]) -> Workload {
+    Workload {
         nodes: 300,
         servers: 160,
         domains: 5,
         slots: 11,
-        asked: 5_000.0,
-        ..small(named)
+        request_rate: 5_000.0,
+        ..small(rates)
     }
 }
 
-/// The most requests in the window at a rate that is kept to a fifth of a second and one request.
-fn most(rate: f64) -> usize {
+/// Returns the maximum number of requests in the window at a named rate.
+///
+/// The bound allows a burst of a fifth of a second and up to two more requests.
+fn max_requests(rate: f64) -> usize {
     (rate * (WINDOW.as_secs_f64() + 0.2) + 2.0) as usize
 }
 
 #[rstest]
-#[case::two_of_six(small(&[56.0, 45.0]))]
-#[case::half_of_them(small(&[30.0; 3]))]
-#[case::hardly_any(small(&[2.0, 0.5]))]
-#[case::in_a_large_mesh(large(&[15.0; 40]))]
-fn a_named_rate_is_kept_and_used(#[case] load: Load, #[values(1, 2, 3)] seed: u64) {
-    let outcome = play(&load, seed);
-    for (server, rate) in load.named.iter().enumerate() {
-        let got = outcome.most(server, WINDOW);
-        assert!(got <= most(*rate), "{got} of {}", most(*rate));
-        let mean = outcome.rate(server, load.time);
+#[case::two_of_six_servers(small(&[56.0, 45.0]))]
+#[case::half_of_the_servers(small(&[30.0; 3]))]
+#[case::very_low_rates(small(&[2.0, 0.5]))]
+#[case::large_mesh(large(&[15.0; 40]))]
+fn named_rate_is_respected_and_used(#[case] load: Workload, #[values(1, 2, 3)] seed: u64) {
+    let outcome = simulate(&load, seed);
+    for (server, rate) in load.named_rates.iter().enumerate() {
+        let received = outcome.max_in_window(server, WINDOW);
+        assert!(
+            received <= max_requests(*rate),
+            "{received} of {}",
+            max_requests(*rate)
+        );
+        let mean = outcome.rate(server, load.duration);
         assert!(mean >= 0.85 * rate, "{mean} of {rate}");
     }
 }
 
 #[rstest]
-#[case::a_few_can_bear(small(&[56.0, 45.0]), 0.99)]
-#[case::a_large_mesh_can(large(&[15.0; 40]), 0.99)]
-#[case::hardly_anybody_can(small(&[2.0, 0.5]), 0.90)]
-fn the_others_take_what(#[case] load: Load, #[case] least: f64, #[values(1, 2, 3)] seed: u64) {
-    let outcome = play(&load, seed);
-    assert!(outcome.in_time() >= least, "{}", outcome.in_time());
+#[case::two_of_six_servers(small(&[56.0, 45.0]), 0.99)]
+#[case::large_mesh(large(&[15.0; 40]), 0.99)]
+#[case::very_low_rates(small(&[2.0, 0.5]), 0.90)]
+fn other_servers_take_the_remaining_load(
+    #[case] load: Workload,
+    #[case] min_share: f64,
+    #[values(1, 2, 3)] seed: u64,
+) {
+    let outcome = simulate(&load, seed);
+    assert!(outcome.in_time() >= min_share, "{}", outcome.in_time());
 }
 
 #[rstest]
-fn few_guards_are_asked_in_vain(#[values(1, 2, 3)] seed: u64) {
-    let outcome = play(&large(&[15.0; 40]), seed);
-    assert!(outcome.tries_each() <= 1.6, "{}", outcome.tries_each());
+fn few_attempts_are_refused(#[values(1, 2, 3)] seed: u64) {
+    let outcome = simulate(&large(&[15.0; 40]), seed);
+    assert!(
+        outcome.attempts_per_request() <= 1.6,
+        "{}",
+        outcome.attempts_per_request()
+    );
 }
 
-/// Offers a request at a guard whose backend server takes one in ten seconds.
+/// Offers a request with a deadline of 1 s to a guard.
 fn offer(guard: &mut Admission) -> Admit {
     let now = Instant::from_millis(0);
     let mut rng = SmallRng::seed_from_u64(1);
@@ -83,21 +97,21 @@
 }
 
 #[test]
-fn a_request_that_is_withdrawn_does_not_count() {
+fn withdrawn_request_does_not_count_against_the_rate() {
     let now = Instant::from_millis(0);
     let mut guard = Admission::new(now, AdmissionSettings::default()).with_slots(4);
     guard.set_rate(now, ServerRate::new(0.1));
     let Admit::Run(ticket) = offer(&mut guard) else {
-        panic!("the first one may start");
+        panic!("the first request must start");
     };
     guard.withdraw(ticket, now);
     let Admit::Run(ticket) = offer(&mut guard) else {
-        panic!("the first one was withdrawn");
+        panic!("the withdrawn request must not count");
     };
     guard.cancel(ticket, now);
     let refused = offer(&mut guard);
     assert!(
         matches!(refused, Admit::Refuse(refusal) if refusal.reason == Reason::Throttled),
-        "one whose caller left counts: {refused:?}"
+        "a cancelled request must count against the rate: {refused:?}"
     );
 }
--- a/crates/swiftcart-core/tests/support/mesh_load.rs
+++ b/crates/swiftcart-core/tests/support/mesh_load.rs
@@ -1,4 +1,6 @@
-//! A service under load in virtual time: ingresses that choose, guards that admit, backend servers that work.
+//! Simulation of a service under load in virtual time.
+//!
+//! Ingresses choose a guard, guards admit requests, and backend servers run them.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -10,57 +12,57 @@
 
 use super::support::member;
 
-/// The time in which an answer is worth most.
+/// Latency target of a request.
 const TARGET: Duration = Duration::from_millis(400);
-/// The time until a caller gives up.
+/// Time after which a caller gives up.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// One way between two nodes.
-const HOP: Duration = Duration::from_millis(1);
-/// When callers begin to be counted.
-pub const COUNTED: Duration = Duration::from_secs(4);
+/// One-way latency between two nodes.
+const HOP_LATENCY: Duration = Duration::from_millis(1);
+/// Time at the start of the simulation in which requests are not counted.
+pub const WARMUP: Duration = Duration::from_secs(4);
 
-/// How the service is, and what is asked of it.
+/// Service and load of a simulation.
 #[derive(Debug, Clone)]
-pub struct Load {
-    /// Nodes that callers ask, one of them beside each backend server.
+pub struct Workload {
+    /// Number of nodes that take requests. The first `servers` nodes each have a backend server.
     pub nodes: usize,
     pub servers: usize,
     pub domains: usize,
     pub slots: u32,
-    /// The mean time of work of the quickest backend server; the slowest takes three times as long.
-    pub work: Duration,
-    /// Requests a second.
-    pub asked: f64,
-    /// The backend servers that name a rate, counted from the quickest one, and which.
-    pub named: Vec<f64>,
-    pub time: Duration,
+    /// Mean service time of the fastest backend server. That of the slowest is three times as long.
+    pub service_time: Duration,
+    /// Requests per second.
+    pub request_rate: f64,
+    /// Rates named by the first backend servers, starting with the fastest one.
+    pub named_rates: Vec<f64>,
+    pub duration: Duration,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
-    pub asked: usize,
+    pub requests: usize,
     pub in_time: usize,
     pub refused: usize,
-    /// Guards that were asked.
-    pub tries: usize,
-    /// When each backend server got its requests.
+    /// Number of attempts at guards.
+    pub attempts: usize,
+    /// Start times of the requests at each backend server.
     pub starts: Vec<Vec<Instant>>,
 }
 
 impl Outcome {
-    /// Returns the part of the requests that were answered in time.
+    /// Returns the share of the requests answered within the latency target.
     pub fn in_time(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+        self.in_time as f64 / self.requests.max(1) as f64
     }
 
-    /// Returns the guards that were asked for each request.
-    pub fn tries_each(&self) -> f64 {
-        self.tries as f64 / self.asked.max(1) as f64
+    /// Returns the mean number of attempts per request.
+    pub fn attempts_per_request(&self) -> f64 {
+        self.attempts as f64 / self.requests.max(1) as f64
     }
 
-    /// Returns the most requests that a backend server got in some `window`.
-    pub fn most(&self, server: usize, window: Duration) -> usize {
+    /// Returns the maximum number of requests that a backend server received in any `window`.
+    pub fn max_in_window(&self, server: usize, window: Duration) -> usize {
         let starts = &self.starts[server];
         let within = |from: Instant| {
             let inside = |at: &&Instant| **at >= from && **at < from + window;
@@ -69,12 +71,12 @@
         starts.iter().copied().map(within).max().unwrap_or(0)
     }
 
-    /// Returns the requests a second that a backend server got.
+    /// Returns the requests per second that a backend server received after the warm-up.
     pub fn rate(&self, server: usize, time: Duration) -> f64 {
-        let counted = time - COUNTED;
-        let counts = |at: &&Instant| at.elapsed() >= COUNTED && at.elapsed() < time;
-        let got = self.starts[server].iter().filter(counts).count();
-        got as f64 / counted.as_secs_f64()
+        let counted_time = time - WARMUP;
+        let is_counted = |at: &&Instant| at.elapsed() >= WARMUP && at.elapsed() < time;
+        let received = self.starts[server].iter().filter(is_counted).count();
+        received as f64 / counted_time.as_secs_f64()
     }
 }
 
@@ -100,18 +102,18 @@
 #[derive(Debug)]
 struct Guard {
     admission: Admission,
-    work: Duration,
+    service_time: Duration,
     waiting: HashMap<Ticket, usize>,
     server: usize,
 }
 
-struct Play {
-    load: Load,
+struct Simulation {
+    load: Workload,
     rng: SmallRng,
     now: Instant,
     next: u64,
     events: BinaryHeap<Reverse<(Instant, u64)>>,
-    what: HashMap<u64, Event>,
+    pending: HashMap<u64, Event>,
     views: Vec<View>,
     balancers: Vec<Balancer>,
     guards: HashMap<NodeId, Guard>,
@@ -119,29 +121,29 @@
     outcome: Outcome,
 }
 
-/// Plays a load with one seed.
-pub fn play(load: &Load, seed: u64) -> Outcome {
-    let mut play = Play::new(load, seed);
-    play.push(Duration::ZERO, Event::Arrive);
-    while let Some(Reverse((at, number))) = play.events.pop() {
-        if at.elapsed() >= load.time + DEADLINE {
+/// Runs the simulation with one seed.
+pub fn simulate(load: &Workload, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(load, seed);
+    simulation.schedule(Duration::ZERO, Event::Arrive);
+    while let Some(Reverse((at, number))) = simulation.events.pop() {
+        if at.elapsed() >= load.duration + DEADLINE {
             break;
         }
-        play.now = at;
-        if let Some(event) = play.what.remove(&number) {
-            play.step(event);
+        simulation.now = at;
+        if let Some(event) = simulation.pending.remove(&number) {
+            simulation.handle(event);
         }
     }
-    play.outcome
+    simulation.outcome
 }
 
-impl Play {
-    fn new(load: &Load, seed: u64) -> Self {
-        let number = |n: usize| u16::try_from(n + 1).expect("few nodes");
+impl Simulation {
+    fn new(load: &Workload, seed: u64) -> Self {
+        let node_number = |n: usize| u16::try_from(n + 1).expect("few nodes");
         let domain = |n: usize| format!("domain-{}", n % load.domains);
         let members: Vec<Member> = (0..load.nodes)
             .map(|n| {
-                let mut member = member(number(n), "sensor", &domain(n));
+                let mut member = member(node_number(n), "sensor", &domain(n));
                 member.backend = member.backend.filter(|_| n < load.servers);
                 if let Some(backend) = &mut member.backend {
                     backend.slots = load.slots;
@@ -167,12 +169,12 @@
             .map(|(n, me)| {
                 let mut admission =
                     Admission::new(start, AdmissionSettings::default()).with_slots(load.slots);
-                let rate = load.named.get(n).copied().and_then(ServerRate::new);
+                let rate = load.named_rates.get(n).copied().and_then(ServerRate::new);
                 admission.set_rate(start, rate);
-                let slower = 1.0 + 2.0 * n as f64 / (load.servers.max(2) - 1) as f64;
+                let slowdown = 1.0 + 2.0 * n as f64 / (load.servers.max(2) - 1) as f64;
                 let guard = Guard {
                     admission,
-                    work: load.work.mul_f64(slower),
+                    service_time: load.service_time.mul_f64(slowdown),
                     waiting: HashMap::new(),
                     server: n,
                 };
@@ -183,7 +185,7 @@
             now: start,
             next: 0,
             events: BinaryHeap::new(),
-            what: HashMap::new(),
+            pending: HashMap::new(),
             balancers: balancers.collect(),
             guards: guards.collect(),
             views,
@@ -196,13 +198,13 @@
         }
     }
 
-    fn push(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.next += 1;
         self.events.push(Reverse((self.now + after, self.next)));
-        self.what.insert(self.next, event);
+        self.pending.insert(self.next, event);
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
             Event::Offer(call, guard) => self.offer(call, guard),
@@ -215,16 +217,16 @@
         }
     }
 
-    fn counts(&self, call: usize) -> bool {
-        self.calls[call].arrived.elapsed() >= COUNTED
+    fn is_counted(&self, call: usize) -> bool {
+        self.calls[call].arrived.elapsed() >= WARMUP
     }
 
     fn arrive(&mut self) {
-        if self.now.elapsed() >= self.load.time {
+        if self.now.elapsed() >= self.load.duration {
             return;
         }
-        let pause = -self.rng.random::<f64>().max(1e-9).ln() / self.load.asked;
-        self.push(Duration::from_secs_f64(pause), Event::Arrive);
+        let pause = -self.rng.random::<f64>().max(1e-9).ln() / self.load.request_rate;
+        self.schedule(Duration::from_secs_f64(pause), Event::Arrive);
         self.calls.push(Call {
             ingress: self.rng.random_range(0..self.load.nodes),
             arrived: self.now,
@@ -233,7 +235,7 @@
             sent: self.now,
         });
         let call = self.calls.len() - 1;
-        self.outcome.asked += usize::from(self.counts(call));
+        self.outcome.requests += usize::from(self.is_counted(call));
         self.send(call);
     }
 
@@ -253,13 +255,13 @@
             }
         };
         let Some(pick) = pick else {
-            self.outcome.refused += usize::from(self.counts(call));
+            self.outcome.refused += usize::from(self.is_counted(call));
             return;
         };
-        self.outcome.tries += usize::from(self.counts(call));
+        self.outcome.attempts += usize::from(self.is_counted(call));
         self.balancers[ingress].started(pick.id);
         self.calls[call].sent = self.now;
-        self.push(HOP, Event::Offer(call, pick.id));
+        self.schedule(HOP_LATENCY, Event::Offer(call, pick.id));
     }
 
     fn offer(&mut self, call: usize, id: NodeId) {
@@ -273,7 +275,7 @@
         let displaced = guard.admission.displaced();
         self.start_all(id, started);
         for Refused { ticket, refusal } in displaced {
-            self.turn_away(id, ticket, refusal);
+            self.refuse_queued(id, ticket, refusal);
         }
         match admit {
             Admit::Run(ticket) => self.start(id, ticket, call),
@@ -281,8 +283,8 @@
                 let guard = self.guards.get_mut(&id).expect("a guard");
                 guard.waiting.insert(ticket, call);
                 let until = guard.admission.wait_deadline(ticket).unwrap_or(now);
-                self.push(until.since(now), Event::Wake(id));
-                self.wake_later(id);
+                self.schedule(until.since(now), Event::Wake(id));
+                self.schedule_wake(id);
             }
             Admit::Refuse(refusal) => self.reply_refused(id, call, refusal),
         }
@@ -299,12 +301,12 @@
 
     fn start(&mut self, id: NodeId, ticket: Ticket, call: usize) {
         let guard = &self.guards[&id];
-        let time = guard.work.mul_f64(self.rng.random_range(0.3..1.7));
+        let time = guard.service_time.mul_f64(self.rng.random_range(0.3..1.7));
         self.outcome.starts[guard.server].push(self.now);
-        self.push(time, Event::Done(id, ticket, call, time));
+        self.schedule(time, Event::Done(id, ticket, call, time));
     }
 
-    fn turn_away(&mut self, id: NodeId, ticket: Ticket, refusal: Refusal) {
+    fn refuse_queued(&mut self, id: NodeId, ticket: Ticket, refusal: Refusal) {
         let guard = self.guards.get_mut(&id).expect("a guard");
         if let Some(call) = guard.waiting.remove(&ticket) {
             self.reply_refused(id, call, refusal);
@@ -315,12 +317,12 @@
         let reason = refusal.reason;
         let again = refusal.retry_after.filter(|_| reason == Reason::Throttled);
         let sample = self.sample(id, call, CallResult::Refused).with_again(again);
-        self.push(HOP, Event::Refused(call, id, reason, sample));
+        self.schedule(HOP_LATENCY, Event::Refused(call, id, reason, sample));
     }
 
     fn sample(&self, id: NodeId, call: usize, result: CallResult) -> Sample {
         let admission = &self.guards[&id].admission;
-        let time = (self.now + HOP).since(self.calls[call].sent);
+        let time = (self.now + HOP_LATENCY).since(self.calls[call].sent);
         let mut sample = Sample::new(time, result).with_load(admission.load());
         sample.pace = admission.pace(self.now);
         sample
@@ -331,9 +333,9 @@
         let sample = Sample::new(time, CallResult::Success).with_target(TARGET);
         let started = guard.admission.done(ticket, self.now, &sample);
         self.start_all(id, started);
-        self.wake_later(id);
+        self.schedule_wake(id);
         let sample = self.sample(id, call, CallResult::Success);
-        self.push(HOP, Event::Answer(call, id, sample));
+        self.schedule(HOP_LATENCY, Event::Answer(call, id, sample));
     }
 
     fn wake(&mut self, id: NodeId) {
@@ -342,15 +344,15 @@
         let late = guard.admission.expire(self.now, &mut self.rng);
         self.start_all(id, started);
         for Refused { ticket, refusal } in late {
-            self.turn_away(id, ticket, refusal);
+            self.refuse_queued(id, ticket, refusal);
         }
-        self.wake_later(id);
+        self.schedule_wake(id);
     }
 
-    fn wake_later(&mut self, id: NodeId) {
+    fn schedule_wake(&mut self, id: NodeId) {
         if let Some(at) = self.guards[&id].admission.next_start_at(self.now) {
             let after = at.since(self.now).max(Duration::from_millis(1));
-            self.push(after, Event::Wake(id));
+            self.schedule(after, Event::Wake(id));
         }
     }
 
@@ -358,22 +360,25 @@
         let ingress = self.calls[call].ingress;
         self.balancers[ingress].finished(id, self.now, &sample);
         let in_time = self.now.since(self.calls[call].arrived) <= TARGET;
-        self.outcome.in_time += usize::from(self.counts(call) && in_time);
+        self.outcome.in_time += usize::from(self.is_counted(call) && in_time);
     }
 
     fn refused(&mut self, call: usize, id: NodeId, reason: Reason, sample: Sample) {
         let ingress = self.calls[call].ingress;
         self.balancers[ingress].finished(id, self.now, &sample);
         let due = self.due(call);
-        let asked = &mut self.calls[call];
-        asked.asking.failed(id, reason);
+        let call_state = &mut self.calls[call];
+        call_state.asking.failed(id, reason);
         let terms = Terms {
             idempotent: true,
             attempts: 2,
         };
-        match asked.tries.retry(self.now, id, reason, terms, due, || true) {
+        match call_state
+            .tries
+            .retry(self.now, id, reason, terms, due, || true)
+        {
             Ok(_) => self.send(call),
-            Err(_) => self.outcome.refused += usize::from(self.counts(call)),
+            Err(_) => self.outcome.refused += usize::from(self.is_counted(call)),
         }
     }
 }
