--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -54,7 +54,7 @@
 /// concurrently. The rate that the backend server has named bounds the requests that start in a
 /// second. A short queue holds requests that are expected to start in time. All other requests are
 /// refused at once. The retry delay of a refusal follows from the expected time to drain the queue
-/// and to serve the callers refused before. It therefore spreads the retries.
+/// and to serve the callers refused before, so that callers do not retry in step.
 ///
 /// Every ticket ends in exactly one way: by [`Admission::done`], by [`Admission::cancel`], by
 /// [`Admission::withdraw`], or by being returned as [`Refused`].
@@ -213,8 +213,9 @@
         }
     }
 
-    /// Returns the queued requests that can start now, for instance because the link has capacity
-    /// again or the rate limiter has a token.
+    /// Starts the queued requests that can start now, and returns their tickets.
+    ///
+    /// The link may have capacity again, or the rate limiter a token.
     pub fn resume(&mut self, now: Instant) -> Vec<Ticket> {
         self.start_queued(now)
     }
--- a/crates/swiftcart-core/tests/admission_order.rs
+++ b/crates/swiftcart-core/tests/admission_order.rs
@@ -223,12 +223,12 @@
     let (mut guard, mut rng, _running) = saturated_guard(2);
     for _ in 0..40 {
         let Admit::Queue(long) = guard.offer(START, request(Some(longest_ms)), &mut rng) else {
-            panic!("the queue has places for two")
+            panic!("the queue must have a free place")
         };
         guard.cancel(long, START);
     }
     let Admit::Queue(short) = guard.offer(START, request(Some(target_ms)), &mut rng) else {
-        panic!("the queue has places for two")
+        panic!("the queue must have a free place")
     };
     let until = guard.wait_deadline(short).map(Instant::elapsed);
     let expected = Duration::from_millis(expected_ms);
@@ -246,7 +246,7 @@
         }
     }
     let Admit::Queue(usual) = guard.offer(START, request(Some(200)), &mut rng) else {
-        panic!("the queue has places for two")
+        panic!("the queue must have a free place")
     };
     let until = guard.wait_deadline(usual).map(Instant::elapsed);
     assert!(until <= Some(Duration::from_millis(30)), "{until:?}");
--- a/crates/swiftcart-core/tests/outflow.rs
+++ b/crates/swiftcart-core/tests/outflow.rs
@@ -137,11 +137,11 @@
 #[case::on_a_fast_link(Some(LinkRate { kbit_s: 1_000_000 }))]
 #[case::on_a_link_of_unknown_rate(None)]
 fn limiter_has_no_effect(#[case] known: Option<LinkRate>) {
-    let mut guard = EgressLimiter::new(known);
+    let mut limiter = EgressLimiter::new(known);
     for _ in 0..40 {
-        assert!(guard.has_room(Duration::ZERO));
-        guard.begin();
-        guard.head(Duration::from_millis(SERVICE_MS), LONG_BYTES);
+        assert!(limiter.has_room(Duration::ZERO));
+        limiter.begin();
+        limiter.head(Duration::from_millis(SERVICE_MS), LONG_BYTES);
     }
 }
 
