--- a/crates/swiftcart-core/examples/call_cost/policy.rs
+++ b/crates/swiftcart-core/examples/call_cost/policy.rs
@@ -123,16 +123,16 @@
                 .with_admission(|a| a.depth = 0.5)
                 .named("depth-half"),
             product
-                .with_balance(|b| b.load_cost = 0.0)
+                .with_balance(|b| b.load_weight = 0.0)
                 .named("load-ignored"),
             product
-                .with_balance(|b| b.load_cost = 4.0)
+                .with_balance(|b| b.load_weight = 4.0)
                 .named("load-cost-4"),
             product
-                .with_balance(|b| b.load_age = AGE / 5)
+                .with_balance(|b| b.load_decay = AGE / 5)
                 .named("load-age-100ms"),
             product
-                .with_balance(|b| b.load_age = AGE * 4)
+                .with_balance(|b| b.load_decay = AGE * 4)
                 .named("load-age-2s"),
             product.with_balance(|b| b.failures = 2).named("failures-2"),
             product
--- a/crates/swiftcart-core/examples/call_cost/run.rs
+++ b/crates/swiftcart-core/examples/call_cost/run.rs
@@ -56,7 +56,7 @@
     arrived: Instant,
     due: Deadline,
     ingress: usize,
-    tries: Tries,
+    tries: RetryState,
     tried: Vec<NodeId>,
     /// Counts the tries sent; the answer of an earlier one is late.
     round: u32,
--- a/crates/swiftcart-core/examples/call_cost/run/ingress.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/ingress.rs
@@ -26,7 +26,7 @@
             arrived: self.now,
             due: Deadline::new(self.now, PATIENCE),
             ingress,
-            tries: Tries::new(Attempt::FIRST),
+            tries: RetryState::new(Attempt::FIRST),
             tried: Vec::new(),
             round: 0,
             sent: self.now,
@@ -140,7 +140,7 @@
                     .tries
                     .retry(self.now, failure, true, state.due, budget)
             }
-            Retries::Unbounded if state.round < u32::from(MAX_TRIES) => Ok(Attempt(1)),
+            Retries::Unbounded if state.round < u32::from(MAX_ATTEMPTS) => Ok(Attempt(1)),
             Retries::Unbounded => Err(reason),
         };
         let late = state.due.misses(self.now, Duration::ZERO);
--- a/crates/swiftcart-core/src/balance.rs
+++ b/crates/swiftcart-core/src/balance.rs
@@ -1,11 +1,11 @@
 //! The choice of a backend server for a call.
 
 mod choice;
-mod cuts;
-mod need;
+mod pace_announcer;
 mod peer;
+mod pick_requirements;
 mod sample;
-mod telling;
+mod unreachable_domains;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 
 use crate::{Instant, NodeId, ServiceEntry, View};
 use choice::Choice;
-use cuts::Cuts;
-pub use need::*;
+pub use pace_announcer::*;
 use peer::Peer;
+pub use pick_requirements::*;
 pub use sample::*;
-pub use telling::*;
+use unreachable_domains::UnreachableDomains;
 
 /// The weight of one told pace in the mean of all.
 const PACE_WEIGHT: f64 = 0.05;
@@ -30,9 +30,9 @@
     /// The age at which a latency counts 1/e.
     pub memory: Duration,
     /// The age at which a reported load counts 1/e.
-    pub load_age: Duration,
+    pub load_decay: Duration,
     /// How much a usage of 1 raises the score.
-    pub load_cost: f64,
+    pub load_weight: f64,
     /// The time over which a newly seen backend server gets its full share.
     pub slow_start: Duration,
     /// The failures in a row that eject a backend server.
@@ -49,8 +49,8 @@
     fn default() -> Self {
         Self {
             memory: Duration::from_secs(5),
-            load_age: Duration::from_millis(500),
-            load_cost: 1.0,
+            load_decay: Duration::from_millis(500),
+            load_weight: 1.0,
             slow_start: Duration::from_secs(10),
             failures: 5,
             ejection: Duration::from_secs(1),
@@ -182,9 +182,9 @@
     peers: HashMap<NodeId, Peer>,
     /// The candidates of each service of the view.
     groups: Vec<Vec<NodeId>>,
-    cuts: Cuts,
+    cuts: UnreachableDomains,
     /// The mean of the paces that were told, which stands in for one that was not.
-    typical: Option<f64>,
+    mean_pace: Option<f64>,
 }
 
 impl Balancer {
@@ -196,8 +196,8 @@
             settings,
             peers: HashMap::new(),
             groups: Vec::new(),
-            cuts: Cuts::default(),
-            typical: None,
+            cuts: UnreachableDomains::default(),
+            mean_pace: None,
         }
     }
 
@@ -238,13 +238,13 @@
         exclude: &[NodeId],
         rng: &mut R,
     ) -> Option<Pick> {
-        self.pick_for(&Need::default(), now, entry, exclude, rng)
+        self.pick_for(&PickRequirements::default(), now, entry, exclude, rng)
     }
 
     /// Chooses like [`Balancer::pick`] for a request that asks for more than its service.
     pub fn pick_for<R: Rng + ?Sized>(
         &self,
-        need: &Need,
+        need: &PickRequirements,
         now: Instant,
         entry: &ServiceEntry,
         exclude: &[NodeId],
@@ -281,15 +281,15 @@
                 CallResult::Success
                 | CallResult::Refused
                 | CallResult::LinkBusy
-                | CallResult::Erred,
+                | CallResult::ErrorResponse,
             ) => {
                 self.cuts.reached(domain);
             }
             (None, _) | (_, CallResult::Failure | CallResult::Cancelled) => {}
         }
         if let Some(pace) = sample.pace.map(Pace::quotient) {
-            let typical = self.typical.get_or_insert(pace);
-            *typical += PACE_WEIGHT * (pace - *typical);
+            let mean_pace = self.mean_pace.get_or_insert(pace);
+            *mean_pace += PACE_WEIGHT * (pace - *mean_pace);
         }
         if peer.departed && peer.running == 0 {
             self.peers.remove(&id);
@@ -303,8 +303,8 @@
 
     /// Returns the time that calls take, as a share of their targets; zero while no pace was told.
     #[must_use]
-    pub fn typical(&self) -> f64 {
-        self.typical.unwrap_or(0.0)
+    pub fn mean_pace(&self) -> f64 {
+        self.mean_pace.unwrap_or(0.0)
     }
 
     /// Returns the number of backend servers that the balancer remembers.
--- a/crates/swiftcart-core/src/balance/choice.rs
+++ b/crates/swiftcart-core/src/balance/choice.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 
 use super::peer::Peer;
-use super::{Balancer, Need, Payload, Pick, PickRule};
+use super::{Balancer, Payload, Pick, PickRequirements, PickRule};
 use crate::{Candidate, Instant, NodeId, ServiceEntry};
 
 /// The random draws for one choice before the candidates are gone through in order.
@@ -32,7 +32,7 @@
 /// Holds what is fixed while one choice is made.
 pub(super) struct Choice<'a> {
     pub(super) balancer: &'a Balancer,
-    pub(super) need: &'a Need,
+    pub(super) need: &'a PickRequirements,
     pub(super) now: Instant,
     pub(super) exclude: &'a [NodeId],
 }
@@ -156,11 +156,11 @@
     /// Returns the time to expect in targets; what was never heard of counts as typical, so
     /// that it is tried where the others are slow.
     fn expected(&self, known: Known<'_>) -> Option<f64> {
-        let typical = self.balancer.typical?;
+        let mean_pace = self.balancer.mean_pace?;
         let slots = known.candidate.slots;
         let settings = &self.balancer.settings;
         let peer = known.peer?;
-        Some(peer.expected(self.now, slots, typical, settings))
+        Some(peer.expected(self.now, slots, mean_pace, settings))
     }
 
     /// Returns the best of some random candidates.
@@ -252,7 +252,7 @@
     }
 
     fn full(&self, known: Known<'_>) -> bool {
-        let age = self.balancer.settings.load_age;
+        let age = self.balancer.settings.load_decay;
         let slots = known.candidate.slots;
         known.peer.is_some_and(|p| {
             let link = self.need.payload == Payload::Heavy && p.is_link_busy(self.now);
--- a/crates/swiftcart-core/src/balance/telling.rs
+++ b/crates/swiftcart-core/src/balance/pace_announcer.rs
@@ -22,9 +22,9 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Instant, Pace, PaceTelling};
+/// use swiftcart_core::{Instant, Pace, PaceAnnouncer};
 ///
-/// let mut telling = PaceTelling::default();
+/// let mut telling = PaceAnnouncer::default();
 /// let at = Instant::from_millis;
 /// assert_eq!(telling.due(at(0), Some(Pace(900))), None, "known from few calls only");
 /// assert_eq!(telling.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
@@ -33,13 +33,13 @@
 /// assert_eq!(telling.due(at(6_050), Some(Pace(300))), None, "too soon");
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct PaceTelling {
+pub struct PaceAnnouncer {
     /// When the pace was known first.
     known: Option<Instant>,
     told: Option<(Instant, Pace)>,
 }
 
-impl PaceTelling {
+impl PaceAnnouncer {
     /// Returns the pace when it is to be told now.
     pub fn due(&mut self, now: Instant, pace: Option<Pace>) -> Option<Pace> {
         let pace = pace?;
--- a/crates/swiftcart-core/src/balance/peer.rs
+++ b/crates/swiftcart-core/src/balance/peer.rs
@@ -116,14 +116,14 @@
                 self.streak >= s.failures && !self.ejected(now)
             }
             CallResult::Refused => {
-                self.usage = self.usage(now, s.load_age).max(REFUSED_USAGE);
+                self.usage = self.usage(now, s.load_decay).max(REFUSED_USAGE);
                 self.loaded = now;
                 self.held = sample.again.map(|again| now + again.min(LONGEST_HELD));
                 false
             }
             // It counts in the choice, where others fare better, and ejects nobody: what all
             // of them call may be at fault.
-            CallResult::Erred => {
+            CallResult::ErrorResponse => {
                 self.judge(now, 1.0, s.memory);
                 false
             }
@@ -221,12 +221,12 @@
     /// Returns the cost of one more call that takes `latency`.
     pub(super) fn score(&self, now: Instant, latency: f64, s: &BalanceSettings) -> f64 {
         let waiting = f64::from(self.running) + 1.0;
-        let usage = 1.0 + s.load_cost * self.usage(now, s.load_age);
+        let usage = 1.0 + s.load_weight * self.usage(now, s.load_decay);
         let failing = 1.0 + FAILURE_COST * self.failing(now, s.memory);
         waiting * latency * usage * failing
     }
 
-    /// Returns the time to expect for one more call in targets; `typical` stands in for a pace
+    /// Returns the time to expect for one more call in targets; `mean_pace` stands in for a pace
     /// that was not told yet.
     ///
     /// Calls run side by side until the slots are taken, so the load counts little before.
@@ -234,12 +234,12 @@
         &self,
         now: Instant,
         slots: u32,
-        typical: f64,
+        mean_pace: f64,
         s: &BalanceSettings,
     ) -> f64 {
-        let pace = self.pace.map_or(typical, Pace::quotient);
+        let pace = self.pace.map_or(mean_pace, Pace::quotient);
         let own = f64::from(self.running) / f64::from(slots.max(1));
-        let usage = self.usage(now, s.load_age).max(own);
+        let usage = self.usage(now, s.load_decay).max(own);
         let failing = 1.0 + FAILURE_COST * self.failing(now, s.memory);
         pace * (1.0 + usage.powi(USAGE_POWER)) * failing
     }
--- a/crates/swiftcart-core/src/balance/need.rs
+++ b/crates/swiftcart-core/src/balance/pick_requirements.rs
@@ -8,20 +8,20 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Payload, Need};
+/// use swiftcart_core::{Payload, PickRequirements};
 ///
-/// let need = Need::from(Payload::Heavy);
+/// let need = PickRequirements::from(Payload::Heavy);
 /// assert!(need.regions.is_everywhere());
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Need {
+pub struct PickRequirements {
     /// How much the request and its answer weigh on the way.
     pub payload: Payload,
     /// The regions to which it may be sent.
     pub regions: AllowedRegions,
 }
 
-impl Need {
+impl PickRequirements {
     /// Sets the regions to which the request may be sent.
     #[must_use]
     pub fn with_regions(mut self, regions: AllowedRegions) -> Self {
@@ -30,7 +30,7 @@
     }
 }
 
-impl From<Payload> for Need {
+impl From<Payload> for PickRequirements {
     fn from(payload: Payload) -> Self {
         Self {
             payload,
--- a/crates/swiftcart-core/src/balance/sample.rs
+++ b/crates/swiftcart-core/src/balance/sample.rs
@@ -74,7 +74,7 @@
     /// The guard has no room for a long answer on its link; others may have a place there.
     LinkBusy,
     /// The backend server answered that it has failed; calls that it made may be to blame.
-    Erred,
+    ErrorResponse,
     /// The caller went away, or the call was given up; nothing is learnt.
     Cancelled,
 }
@@ -112,7 +112,7 @@
 
     /// Adds when the guard takes the next request.
     #[must_use]
-    pub const fn with_again(mut self, again: Option<Duration>) -> Self {
+    pub const fn with_retry_after(mut self, again: Option<Duration>) -> Self {
         self.again = again;
         self
     }
--- a/crates/swiftcart-core/src/balance/cuts.rs
+++ b/crates/swiftcart-core/src/balance/unreachable_domains.rs
@@ -16,7 +16,7 @@
 
 /// Holds the failure domains that this node's requests did not reach lately.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub(super) struct Cuts {
+pub(super) struct UnreachableDomains {
     domains: HashMap<DomainTag, Cut>,
 }
 
@@ -27,7 +27,7 @@
     until: Option<Instant>,
 }
 
-impl Cuts {
+impl UnreachableDomains {
     /// Notes that no connection to `node` opened.
     pub(super) fn failed(&mut self, domain: DomainTag, node: NodeId, now: Instant) {
         let cut = self.domains.entry(domain).or_default();
--- a/crates/swiftcart-core/src/budget.rs
+++ b/crates/swiftcart-core/src/budget.rs
@@ -28,7 +28,7 @@
     /// The backend server did not execute it.
     Refused,
     /// The backend server did not execute it, and it must not be executed twice.
-    RefusedOnce,
+    RefusedNonIdempotent,
     /// It was executed, or may have been.
     Failed,
 }
@@ -37,7 +37,7 @@
     const fn share(self) -> f64 {
         match self {
             Self::Refused => REFUSED_SHARE,
-            Self::RefusedOnce => REFUSED_ONCE_SHARE,
+            Self::RefusedNonIdempotent => REFUSED_ONCE_SHARE,
             Self::Failed => FAILED_SHARE,
         }
     }
@@ -45,7 +45,7 @@
 
 /// Sets the budget of the whole mesh at each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetBudgetSettings {
+pub struct MeshRetryBudgetSettings {
     /// Retries for each request, over the window.
     pub share: f64,
     /// Retries in the window that are there whatever the load, over all nodes.
@@ -65,17 +65,17 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{FleetBudget, FleetBudgetSettings, Instant, RetryCause, ServiceName};
+/// use swiftcart_core::{MeshRetryBudget, MeshRetryBudgetSettings, Instant, RetryCause, ServiceName};
 ///
-/// let settings = FleetBudgetSettings { share: 0.2, floor: 4.0, window_s: 10 };
-/// let mut budget = FleetBudget::new(settings);
+/// let settings = MeshRetryBudgetSettings { share: 0.2, floor: 4.0, window_s: 10 };
+/// let mut budget = MeshRetryBudget::new(settings);
 /// let (now, booking) = (Instant::from_millis(0), ServiceName::new("booking"));
 /// assert!(budget.take(now, &booking, 2, RetryCause::Refused));
 /// assert!(!budget.take(now, &booking, 2, RetryCause::Refused));
 /// ```
 #[derive(Debug, Clone, PartialEq)]
-pub struct FleetBudget {
-    settings: FleetBudgetSettings,
+pub struct MeshRetryBudget {
+    settings: MeshRetryBudgetSettings,
     services: BTreeMap<ServiceName, Window>,
 }
 
@@ -95,10 +95,10 @@
     retries: f64,
 }
 
-impl FleetBudget {
+impl MeshRetryBudget {
     /// Creates the budget of a node that has taken nothing yet.
     #[must_use]
-    pub const fn new(settings: FleetBudgetSettings) -> Self {
+    pub const fn new(settings: MeshRetryBudgetSettings) -> Self {
         Self {
             settings,
             services: BTreeMap::new(),
--- a/crates/swiftcart-core/src/profile/given.rs
+++ b/crates/swiftcart-core/src/profile/request_age.rs
@@ -29,10 +29,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::TimeGiven;
+/// use swiftcart_core::RequestAgeEstimator;
 ///
 /// let ms = Duration::from_millis;
-/// let mut given = TimeGiven::default();
+/// let mut given = RequestAgeEstimator::default();
 /// assert_eq!(given.age(ms(700)), ms(0), "nothing is known yet");
 /// for _ in 0..8 {
 ///     given.age(ms(1_200));
@@ -42,7 +42,7 @@
 /// assert_eq!(given.age(ms(5_000)), ms(0), "more time than usual is no age");
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct TimeGiven {
+pub struct RequestAgeEstimator {
     counts: Vec<Count>,
     seen: u32,
 }
@@ -55,7 +55,7 @@
     times: u32,
 }
 
-impl TimeGiven {
+impl RequestAgeEstimator {
     /// Takes in the time that a request came with, and returns for how long its caller has been
     /// trying; zero while that is not known.
     pub fn age(&mut self, given: Duration) -> Duration {
--- a/crates/swiftcart-core/src/profile/store.rs
+++ b/crates/swiftcart-core/src/profile/store.rs
@@ -21,7 +21,7 @@
 ///
 /// let mut profiles = RouteProfiles::default();
 /// let plots = RouteKey::new("//hire.example/plots/");
-/// profiles.of(plots).answered(90_000);
+/// profiles.of(plots).record_response(90_000);
 /// assert_eq!(profiles.of(plots).payload(), Payload::Heavy);
 /// assert_eq!(profiles.of(RouteKey::new("/stock")).payload(), Payload::Light);
 /// ```
--- a/crates/swiftcart-core/src/returns.rs
+++ b/crates/swiftcart-core/src/refusal_history.rs
@@ -20,24 +20,24 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{HeadPrint, Instant, Returns};
+/// use swiftcart_core::{HeadPrint, Instant, RefusalHistory};
 ///
 /// let at = Instant::from_millis;
-/// let mut returns = Returns::new();
-/// assert_eq!(returns.came(at(0), HeadPrint(7)), None);
-/// returns.refused(at(5), HeadPrint(7), at(0));
-/// assert_eq!(returns.came(at(300), HeadPrint(7)), Some(at(0)));
-/// assert_eq!(returns.came(at(310), HeadPrint(7)), None, "another caller");
+/// let mut refusal_history = RefusalHistory::new();
+/// assert_eq!(refusal_history.first_attempt(at(0), HeadPrint(7)), None);
+/// refusal_history.refused(at(5), HeadPrint(7), at(0));
+/// assert_eq!(refusal_history.first_attempt(at(300), HeadPrint(7)), Some(at(0)));
+/// assert_eq!(refusal_history.first_attempt(at(310), HeadPrint(7)), None, "another caller");
 /// ```
 #[derive(Debug, Default, Clone)]
-pub struct Returns {
+pub struct RefusalHistory {
     /// When those who were refused tried first, the earliest first.
     expected: HashMap<HeadPrint, VecDeque<Instant>>,
     /// What is expected, in the order of the refusals.
     order: VecDeque<(Instant, HeadPrint)>,
 }
 
-impl Returns {
+impl RefusalHistory {
     /// Creates a memory that expects nobody.
     #[must_use]
     pub fn new() -> Self {
@@ -55,7 +55,7 @@
     }
 
     /// Takes in a request; returns since when its caller has been trying, when it was refused before.
-    pub fn came(&mut self, now: Instant, head: HeadPrint) -> Option<Instant> {
+    pub fn first_attempt(&mut self, now: Instant, head: HeadPrint) -> Option<Instant> {
         self.forget(now);
         let firsts = self.expected.get_mut(&head)?;
         let first = firsts.pop_front();
--- a/crates/swiftcart-core/src/retry.rs
+++ b/crates/swiftcart-core/src/retry.rs
@@ -8,7 +8,7 @@
 use crate::{Deadline, HOP_ALLOWANCE, Instant, NodeId, Outcome, Reason};
 
 /// The tries that one call gets over all its levels.
-pub const MAX_TRIES: u8 = 3;
+pub const MAX_ATTEMPTS: u8 = 3;
 
 /// Counts the tries that were made of a call before this one, over all levels.
 ///
@@ -50,35 +50,35 @@
 /// Only one level of a call retries: the one that sees the first failure. Below
 /// it the attempt number is above 0, and above it the answer is marked as
 /// retried. So a call through any number of levels reaches the lowest one at
-/// most [`MAX_TRIES`] times, where retries at each level would multiply.
+/// most [`MAX_ATTEMPTS`] times, where retries at each level would multiply.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Duration;
 /// use swiftcart_core::{
-///     Attempt, Deadline, Failure, Instant, Reason, RetryBudget, RetrySettings, Tries,
+///     Attempt, Deadline, Failure, Instant, Reason, RetryBudget, RetrySettings, RetryState,
 /// };
 ///
 /// let now = Instant::from_millis(0);
 /// let due = Deadline::new(now, Duration::from_secs(1));
 /// let mut budget = RetryBudget::new(now, RetrySettings::default());
-/// let mut tries = Tries::new(Attempt::FIRST);
+/// let mut tries = RetryState::new(Attempt::FIRST);
 /// let failure = Failure { reason: Reason::Draining, retried: false };
 /// assert_eq!(tries.retry(now, failure, false, due, &mut budget), Ok(Attempt(1)));
 /// assert!(tries.retried());
 ///
-/// let mut below = Tries::new(Attempt(1));
+/// let mut below = RetryState::new(Attempt(1));
 /// let refused = below.retry(now, failure, false, due, &mut budget);
 /// assert_eq!(refused, Err(Reason::TriesSpent));
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Tries {
+pub struct RetryState {
     received: Attempt,
     extra: u8,
 }
 
-impl Tries {
+impl RetryState {
     /// Creates the count for a call that came with `received`.
     #[must_use]
     pub const fn new(received: Attempt) -> Self {
@@ -118,7 +118,7 @@
         match failure.reason {
             reason if !goes_better(reason) => Err(reason),
             _ if failure.retried || self.received > Attempt::FIRST => Err(Reason::TriesSpent),
-            _ if self.extra + 1 >= MAX_TRIES => Err(Reason::TriesSpent),
+            _ if self.extra + 1 >= MAX_ATTEMPTS => Err(Reason::TriesSpent),
             reason if reason.outcome() == Outcome::Unknown && !idempotent => {
                 Err(Reason::NotIdempotent)
             }
@@ -136,17 +136,17 @@
 ///
 /// A guard's refusal costs a round trip and nothing at a backend server, so that it draws
 /// on no budget; but under overload every guard refuses.
-pub const MAX_REFUSED: u8 = 6;
+pub const MAX_GUARD_REFUSALS: u8 = 6;
 
 /// The times that one request is sent to backend servers at most.
 ///
 /// A route's attempts bound the backend servers that a request is sent to; one that has
 /// refused to run it may be asked again.
-pub const MAX_SENT: u8 = 5;
+pub const MAX_BACKEND_SENDS: u8 = 5;
 
 /// Holds what a route's policy says of tries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct RetryPolicy {
     /// Whether the request may be executed more than once.
     pub idempotent: bool,
     /// Backend servers that it may be sent to.
@@ -155,7 +155,7 @@
 
 /// Tells where the next try of a request may go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Next {
+pub enum RetryTarget {
     /// To a backend server that was not tried.
     Other,
     /// To one that it was sent to before; it may not be sent to any more of them.
@@ -171,21 +171,21 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{Deadline, Instant, Next, NodeId, PolicyTries, Reason, Terms};
+/// use swiftcart_core::{Deadline, Instant, RetryTarget, NodeId, PolicyRetryState, Reason, RetryPolicy};
 ///
 /// let now = Instant::from_millis(0);
 /// let due = Deadline::new(now, Duration::from_secs(1));
-/// let terms = Terms { idempotent: false, attempts: 1 };
+/// let terms = RetryPolicy { idempotent: false, attempts: 1 };
 /// let guard = NodeId(([10, 0, 0, 1], 7000).into());
-/// let mut tries = PolicyTries::default();
+/// let mut tries = PolicyRetryState::default();
 /// let full = tries.retry(now, guard, Reason::QueueFull, terms, due, || false);
-/// assert_eq!(full, Ok(Next::Other));
-/// assert_eq!(tries.retry(now, guard, Reason::Shed, terms, due, || true), Ok(Next::Same));
+/// assert_eq!(full, Ok(RetryTarget::Other));
+/// assert_eq!(tries.retry(now, guard, Reason::Shed, terms, due, || true), Ok(RetryTarget::Same));
 /// let lost = tries.retry(now, guard, Reason::AnswerBroken, terms, due, || true);
 /// assert_eq!(lost, Err(Reason::NotIdempotent));
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct PolicyTries {
+pub struct PolicyRetryState {
     /// The guards whose backend server got the request, or may have.
     reached: Vec<NodeId>,
     /// The times that a backend server got it, or may have.
@@ -196,7 +196,7 @@
     paid: bool,
 }
 
-impl PolicyTries {
+impl PolicyRetryState {
     /// Returns the guards whose backend server got the request, or may have.
     #[must_use]
     pub fn reached(&self) -> &[NodeId] {
@@ -205,7 +205,7 @@
 
     /// Tells whether the next try is a repeat for the backend servers.
     #[must_use]
-    pub const fn is_repeat(&self) -> bool {
+    pub const fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
@@ -224,10 +224,10 @@
         now: Instant,
         guard: NodeId,
         reason: Reason,
-        terms: Terms,
+        terms: RetryPolicy,
         due: Deadline,
         budget: impl FnOnce() -> bool,
-    ) -> Result<Next, Reason> {
+    ) -> Result<RetryTarget, Reason> {
         self.count(guard, reason);
         let spent = self.reached.len() >= usize::from(terms.attempts);
         match reason {
@@ -235,13 +235,19 @@
             _ if reason.outcome() == Outcome::Unknown && !terms.idempotent => {
                 Err(Reason::NotIdempotent)
             }
-            _ if self.sent >= MAX_SENT || self.refused > MAX_REFUSED => Err(Reason::TriesSpent),
+            _ if self.sent >= MAX_BACKEND_SENDS || self.refused > MAX_GUARD_REFUSALS => {
+                Err(Reason::TriesSpent)
+            }
             _ if spent && reason != Reason::Shed => Err(Reason::TriesSpent),
             _ if due.misses(now, HOP_ALLOWANCE) => Err(Reason::DeadlinePassed),
             _ if self.sent > 0 && !self.paid && !budget() => Err(Reason::RetryBudget),
             _ => {
                 self.paid = self.sent > 0;
-                Ok(if spent { Next::Same } else { Next::Other })
+                Ok(if spent {
+                    RetryTarget::Same
+                } else {
+                    RetryTarget::Other
+                })
             }
         }
     }
--- a/crates/swiftcart-core/src/asking.rs
+++ b/crates/swiftcart-core/src/slot_search.rs
@@ -27,21 +27,21 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Asking, Payload, NodeId, Patience, Pick, PickRule, Reason};
+/// use swiftcart_core::{SlotSearch, Payload, NodeId, Patience, Pick, PickRule, Reason};
 ///
 /// let guard = |n| NodeId(([10, 0, 0, n], 7000).into());
 /// let pick = |n| Pick { id: guard(n), peer: guard(n).0, rule: PickRule::Near, free: true };
-/// let mut asking = Asking::new(2, Payload::Light);
+/// let mut slot_search = SlotSearch::new(2, Payload::Light);
 /// for n in 1..=2 {
-///     assert!(!asking.turns(Some(&pick(n))));
-///     assert_eq!(asking.patience(), Patience::Short);
-///     asking.failed(guard(n), Reason::Overloaded);
+///     assert!(!slot_search.switch_to_queueing(Some(&pick(n))));
+///     assert_eq!(slot_search.patience(), Patience::Short);
+///     slot_search.failed(guard(n), Reason::Overloaded);
 /// }
-/// assert!(asking.turns(None), "nobody is left to ask");
-/// assert_eq!((asking.patience(), asking.excluded()), (Patience::Full, &[][..]));
+/// assert!(slot_search.switch_to_queueing(None), "nobody is left to ask");
+/// assert_eq!((slot_search.patience(), slot_search.excluded()), (Patience::Full, &[][..]));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asking {
+pub struct SlotSearch {
     stage: Stage,
     payload: Payload,
     /// The guards that the request was sent to and that are not to be asked again.
@@ -50,7 +50,7 @@
     full: Vec<NodeId>,
 }
 
-impl Asking {
+impl SlotSearch {
     /// Starts the search among `candidates` guards; a single one is not asked twice.
     #[must_use]
     pub const fn new(candidates: usize, payload: Payload) -> Self {
@@ -67,7 +67,7 @@
 
     /// Waits at the first guard, for requests of routes without a policy.
     #[must_use]
-    pub const fn waiting() -> Self {
+    pub const fn queueing() -> Self {
         Self {
             stage: Stage::Wait,
             payload: Payload::Light,
@@ -93,7 +93,7 @@
 
     /// Tells whether the request is to wait now, instead of asking at `next`; the choice is
     /// then made anew, among those that had no place as well.
-    pub fn turns(&mut self, next: Option<&Pick>) -> bool {
+    pub fn switch_to_queueing(&mut self, next: Option<&Pick>) -> bool {
         let heavy = self.payload == Payload::Heavy;
         let asked = match next {
             None => !self.full.is_empty(),
@@ -103,13 +103,13 @@
                 stays && !self.full.is_empty()
             }
         };
-        let turns = self.stage == Stage::Ask && asked;
-        if turns {
+        let switch_to_queueing = self.stage == Stage::Ask && asked;
+        if switch_to_queueing {
             self.stage = Stage::Wait;
             let full = std::mem::take(&mut self.full);
             self.excluded.retain(|id| !full.contains(id));
         }
-        turns
+        switch_to_queueing
     }
 
     /// Waits from now on, for a request that may go to no other guard than before.
--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -74,7 +74,7 @@
 #[case::a_little_slower(2_100, 400, false)]
 #[case::much_slower_too_soon(1_900, 900, false)]
 fn a_pace_of_300_is_told_again_after(#[case] ms: u64, #[case] pace: u32, #[case] told: bool) {
-    let mut telling = PaceTelling::default();
+    let mut telling = PaceAnnouncer::default();
     telling.due(START, Some(Pace(300)));
     assert_eq!(telling.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
     let due = telling.due(at(2_000 + ms), Some(Pace(pace)));
--- a/crates/swiftcart-core/tests/policy_tries.rs
+++ b/crates/swiftcart-core/tests/policy_retries.rs
@@ -15,21 +15,31 @@
     Deadline::new(START, Duration::from_secs(1))
 }
 
-const fn terms(idempotent: bool, attempts: u8) -> Terms {
-    Terms {
+const fn terms(idempotent: bool, attempts: u8) -> RetryPolicy {
+    RetryPolicy {
         idempotent,
         attempts,
     }
 }
 
 #[rstest]
-#[case::a_guard_that_is_full(Reason::QueueFull, terms(false, 1), false, Ok(Next::Other))]
-#[case::a_guard_that_drains(Reason::Draining, terms(false, 1), false, Ok(Next::Other))]
-#[case::a_peer_out_of_reach(Reason::PeerUnreachable, terms(false, 1), false, Ok(Next::Other))]
-#[case::a_refusal_of_the_backend_server(Reason::Shed, terms(false, 2), true, Ok(Next::Other))]
-#[case::the_same_with_one_attempt(Reason::Shed, terms(false, 1), true, Ok(Next::Same))]
+#[case::a_guard_that_is_full(Reason::QueueFull, terms(false, 1), false, Ok(RetryTarget::Other))]
+#[case::a_guard_that_drains(Reason::Draining, terms(false, 1), false, Ok(RetryTarget::Other))]
+#[case::a_peer_out_of_reach(
+    Reason::PeerUnreachable,
+    terms(false, 1),
+    false,
+    Ok(RetryTarget::Other)
+)]
+#[case::a_refusal_of_the_backend_server(
+    Reason::Shed,
+    terms(false, 2),
+    true,
+    Ok(RetryTarget::Other)
+)]
+#[case::the_same_with_one_attempt(Reason::Shed, terms(false, 1), true, Ok(RetryTarget::Same))]
 #[case::the_same_without_budget(Reason::Shed, terms(false, 2), false, Err(Reason::RetryBudget))]
-#[case::a_lost_answer(Reason::AnswerBroken, terms(true, 2), true, Ok(Next::Other))]
+#[case::a_lost_answer(Reason::AnswerBroken, terms(true, 2), true, Ok(RetryTarget::Other))]
 #[case::the_same_without_another_attempt(
     Reason::AnswerBroken,
     terms(true, 1),
@@ -42,22 +52,27 @@
     true,
     Err(Reason::NotIdempotent)
 )]
-#[case::a_failure_of_the_backend_server(Reason::ServerError, terms(true, 2), true, Ok(Next::Other))]
+#[case::a_failure_of_the_backend_server(
+    Reason::ServerError,
+    terms(true, 2),
+    true,
+    Ok(RetryTarget::Other)
+)]
 #[case::no_route(Reason::NoRoute, terms(true, 2), true, Err(Reason::NoRoute))]
 fn after(
     #[case] reason: Reason,
-    #[case] terms: Terms,
+    #[case] terms: RetryPolicy,
     #[case] budget: bool,
-    #[case] expected: Result<Next, Reason>,
+    #[case] expected: Result<RetryTarget, Reason>,
 ) {
-    let mut tries = PolicyTries::default();
+    let mut tries = PolicyRetryState::default();
     let next = tries.retry(START, guard(1), reason, terms, due(), || budget);
     assert_eq!(next, expected);
 }
 
 #[test]
 fn a_request_reaches_no_more_backend_servers_than_its_attempts() {
-    let mut tries = PolicyTries::default();
+    let mut tries = PolicyRetryState::default();
     let mut shed = |n| {
         tries.retry(
             START,
@@ -69,25 +84,25 @@
         )
     };
     let next = [shed(1), shed(2), shed(1), shed(2), shed(1)];
-    let (other, same) = (Ok(Next::Other), Ok(Next::Same));
+    let (other, same) = (Ok(RetryTarget::Other), Ok(RetryTarget::Same));
     assert_eq!(next, [other, same, same, same, Err(Reason::TriesSpent)]);
     assert_eq!(tries.reached(), [guard(1), guard(2)]);
 }
 
 #[test]
 fn guards_that_refuse_are_asked_so_often_only() {
-    let mut tries = PolicyTries::default();
+    let mut tries = PolicyRetryState::default();
     let mut full = |n| {
         let terms = terms(true, 2);
         tries.retry(START, guard(n), Reason::QueueFull, terms, due(), || false)
     };
     let allowed = (1..20).take_while(|n| full(*n).is_ok()).count();
-    assert_eq!(allowed, usize::from(MAX_REFUSED));
+    assert_eq!(allowed, usize::from(MAX_GUARD_REFUSALS));
 }
 
 /// A budget of 10 s of which nothing is used.
-fn budget(share: f64, floor: f64) -> FleetBudget {
-    FleetBudget::new(FleetBudgetSettings {
+fn budget(share: f64, floor: f64) -> MeshRetryBudget {
+    MeshRetryBudget::new(MeshRetryBudgetSettings {
         share,
         floor,
         window_s: 10,
@@ -98,7 +113,7 @@
 #[case::alone(1, 100, RetryCause::Refused, 14)]
 #[case::of_two(2, 100, RetryCause::Refused, 12)]
 #[case::of_two_without_requests(2, 0, RetryCause::Refused, 2)]
-#[case::of_requests_that_run_once(1, 100, RetryCause::RefusedOnce, 20)]
+#[case::of_requests_that_run_once(1, 100, RetryCause::RefusedNonIdempotent, 20)]
 #[case::of_failed_requests(1, 100, RetryCause::Failed, 8)]
 fn the_part_of_the_budget(
     #[case] nodes: usize,
@@ -152,5 +167,5 @@
             .count()
     };
     assert_eq!(taken(RetryCause::Refused), 10);
-    assert_eq!(taken(RetryCause::RefusedOnce), 4);
+    assert_eq!(taken(RetryCause::RefusedNonIdempotent), 4);
 }
--- a/crates/swiftcart-core/tests/profile.rs
+++ b/crates/swiftcart-core/tests/profile.rs
@@ -12,8 +12,8 @@
 }
 
 /// A route whose first tries all come with 1,200 ms, as often as asked for.
-fn known(times: u32) -> TimeGiven {
-    let mut given = TimeGiven::default();
+fn known(times: u32) -> RequestAgeEstimator {
+    let mut given = RequestAgeEstimator::default();
     for _ in 0..times {
         given.age(ms(FIRST_MS));
     }
@@ -47,7 +47,7 @@
 
 #[test]
 fn two_kinds_of_callers_are_both_at_their_first_try() {
-    let mut given = TimeGiven::default();
+    let mut given = RequestAgeEstimator::default();
     for _ in 0..200 {
         given.age(ms(FIRST_MS));
         given.age(ms(FIRST_MS));
@@ -77,7 +77,7 @@
     let mut profiles = RouteProfiles::default();
     let route = RouteKey::new("//hire.example/plots/");
     for bytes in answers {
-        profiles.of(route).answered(*bytes);
+        profiles.of(route).record_response(*bytes);
     }
     assert_eq!(profiles.of(route).payload(), payload);
 }
@@ -88,7 +88,7 @@
     for i in 0..10_000 {
         profiles
             .of(RouteKey::new(&format!("/{i}")))
-            .answered(90_000);
+            .record_response(90_000);
     }
     let kept = (0..10_000)
         .filter(|i| profiles.of(RouteKey::new(&format!("/{i}"))).payload() == Payload::Heavy);
--- a/crates/swiftcart-core/tests/regions.rs
+++ b/crates/swiftcart-core/tests/regions.rs
@@ -35,7 +35,7 @@
 }
 
 /// Picks as node 1 among `there`, where calls take so many thousandths of their target.
-fn pick(there: &[u16], paces: &[(u16, u32)], need: &Need) -> Option<PickRule> {
+fn pick(there: &[u16], paces: &[(u16, u32)], need: &PickRequirements) -> Option<PickRule> {
     let members = NODES.iter().filter(|(n, _)| there.contains(n));
     let members: Vec<_> = members.map(|(n, domain)| member(*n, "a", domain)).collect();
     let table = Table::new().with_service("a", Limits::default());
@@ -82,17 +82,17 @@
 
 #[test]
 fn a_request_that_was_refused_in_its_region_waits_there() {
-    let mut asking = Asking::new(4, Payload::Light);
+    let mut slot_search = SlotSearch::new(4, Payload::Light);
     let pick = |n, rule| Pick {
         id: node(n),
         peer: node(n).0,
         rule,
         free: true,
     };
-    assert!(!asking.turns(Some(&pick(2, PickRule::Spill))));
-    asking.failed(node(2), Reason::Overloaded);
-    assert!(asking.turns(Some(&pick(5, PickRule::Remote))));
-    assert_eq!(asking.patience(), Patience::Full);
+    assert!(!slot_search.switch_to_queueing(Some(&pick(2, PickRule::Spill))));
+    slot_search.failed(node(2), Reason::Overloaded);
+    assert!(slot_search.switch_to_queueing(Some(&pick(5, PickRule::Remote))));
+    assert_eq!(slot_search.patience(), Patience::Full);
 }
 
 fn homes(regions: &[&str]) -> Homes {
@@ -118,7 +118,7 @@
     #[values(Payload::Light, Payload::Heavy)] payload: Payload,
 ) {
     let regions = AllowedRegions::from(&homes(route)).and(&AllowedRegions::from(&homes(account)));
-    let need = Need::from(payload).with_regions(regions);
+    let need = PickRequirements::from(payload).with_regions(regions);
     assert_eq!(pick(there, &[], &need), expected);
 }
 
@@ -148,7 +148,7 @@
         balancer.finished(node(1), START, &sample);
     }
     let entry = view.service("a").unwrap();
-    let need = Need::default().with_regions(AllowedRegions::from(&homes(&["east"])));
+    let need = PickRequirements::default().with_regions(AllowedRegions::from(&homes(&["east"])));
     let mut rng = SmallRng::seed_from_u64(1);
     for _ in 0..100 {
         let pick = balancer.pick_for(&need, START, entry, &[], &mut rng);
--- a/crates/swiftcart-core/tests/retry.rs
+++ b/crates/swiftcart-core/tests/retry.rs
@@ -54,7 +54,7 @@
     #[case] expected: Result<Attempt, Reason>,
 ) {
     let failure = Failure { reason, retried };
-    let mut tries = Tries::new(Attempt(received));
+    let mut tries = RetryState::new(Attempt(received));
     let decision = tries.retry(START, failure, idempotent, due(left), &mut budget(1.0));
     assert_eq!(decision, expected);
     assert_eq!(tries.retried(), expected.is_ok());
@@ -68,7 +68,7 @@
     };
     let mut budget = budget(1.0);
     let retry = |budget: &mut RetryBudget| {
-        Tries::new(Attempt::FIRST).retry(START, failure, false, due(1000), budget)
+        RetryState::new(Attempt::FIRST).retry(START, failure, false, due(1000), budget)
     };
     assert_eq!(retry(&mut budget), Ok(Attempt(1)));
     assert_eq!(retry(&mut budget), Err(Reason::RetryBudget));
@@ -86,7 +86,7 @@
         };
     };
     let mut budget = budget(100.0);
-    let mut tries = Tries::new(received);
+    let mut tries = RetryState::new(received);
     loop {
         let refused = up.get(below as usize).copied().unwrap_or(false) && !tries.retried();
         let failure = match refused {
@@ -111,7 +111,7 @@
     fn seven_levels_try_the_lowest_no_more_than_one_level_does(up in prop::collection::vec(any::<bool>(), 7)) {
         let mut reached = 0;
         call(7, &up, Attempt::FIRST, &mut reached);
-        prop_assert!(reached <= u32::from(MAX_TRIES), "{} tries", reached);
+        prop_assert!(reached <= u32::from(MAX_ATTEMPTS), "{} tries", reached);
     }
 
     #[test]
--- a/crates/swiftcart-core/tests/asking.rs
+++ b/crates/swiftcart-core/tests/slot_search.rs
@@ -27,11 +27,11 @@
 }
 
 #[rstest]
-#[case::many_candidates(Asking::new(5, Payload::Light), Patience::Short)]
-#[case::a_single_candidate(Asking::new(1, Payload::Light), Patience::Full)]
-#[case::a_route_without_a_policy(Asking::waiting(), Patience::Full)]
-fn the_first_guard(#[case] asking: Asking, #[case] expected: Patience) {
-    assert_eq!(asking.patience(), expected);
+#[case::many_candidates(SlotSearch::new(5, Payload::Light), Patience::Short)]
+#[case::a_single_candidate(SlotSearch::new(1, Payload::Light), Patience::Full)]
+#[case::a_route_without_a_policy(SlotSearch::queueing(), Patience::Full)]
+fn the_first_guard(#[case] slot_search: SlotSearch, #[case] expected: Patience) {
+    assert_eq!(slot_search.patience(), expected);
 }
 
 #[rstest]
@@ -39,9 +39,9 @@
 #[case::a_guard_that_is_believed_full(Some(pick(1, PickRule::Near, false)), true)]
 #[case::nobody(None, false)]
 fn without_a_refusal_the_request_waits_at(#[case] next: Option<Pick>, #[case] waits: bool) {
-    let mut asking = Asking::new(5, Payload::Light);
-    assert_eq!(asking.turns(next.as_ref()), waits);
-    assert_eq!(asking.patience() == Patience::Full, waits);
+    let mut slot_search = SlotSearch::new(5, Payload::Light);
+    assert_eq!(slot_search.switch_to_queueing(next.as_ref()), waits);
+    assert_eq!(slot_search.patience() == Patience::Full, waits);
 }
 
 #[rstest]
@@ -49,51 +49,54 @@
 #[case::heavy_waits_in_its_own_domain(Payload::Heavy, PickRule::Spill, true)]
 #[case::heavy_goes_on_asking_in_its_own_domain(Payload::Heavy, PickRule::Near, false)]
 fn after_one_refusal(#[case] payload: Payload, #[case] rule: PickRule, #[case] waits: bool) {
-    let mut asking = Asking::new(5, payload);
-    asking.failed(guard(1), Reason::Overloaded);
-    assert_eq!(asking.turns(Some(&pick(2, rule, true))), waits);
+    let mut slot_search = SlotSearch::new(5, payload);
+    slot_search.failed(guard(1), Reason::Overloaded);
+    assert_eq!(
+        slot_search.switch_to_queueing(Some(&pick(2, rule, true))),
+        waits
+    );
 }
 
 #[rstest]
 fn three_guards_are_asked_and_all_of_them_may_be_waited_at() {
-    let mut asking = Asking::new(9, Payload::Light);
+    let mut slot_search = SlotSearch::new(9, Payload::Light);
     for n in 1..=3 {
-        assert!(!asking.turns(Some(&near(n))));
-        asking.failed(guard(n), Reason::QueueFull);
+        assert!(!slot_search.switch_to_queueing(Some(&near(n))));
+        slot_search.failed(guard(n), Reason::QueueFull);
     }
-    assert_eq!(asking.excluded(), [guard(1), guard(2), guard(3)]);
-    assert!(asking.turns(Some(&near(4))));
-    assert_eq!(asking.excluded(), []);
-    asking.failed(guard(2), Reason::Overloaded);
-    assert!(!asking.turns(Some(&near(1))));
-    assert_eq!(asking.excluded(), [guard(2)]);
+    assert_eq!(slot_search.excluded(), [guard(1), guard(2), guard(3)]);
+    assert!(slot_search.switch_to_queueing(Some(&near(4))));
+    assert_eq!(slot_search.excluded(), []);
+    slot_search.failed(guard(2), Reason::Overloaded);
+    assert!(!slot_search.switch_to_queueing(Some(&near(1))));
+    assert_eq!(slot_search.excluded(), [guard(2)]);
 }
 
 #[rstest]
 fn a_guard_that_failed_otherwise_is_not_waited_at() {
-    let mut asking = Asking::new(2, Payload::Light);
-    asking.failed(guard(1), Reason::PeerUnreachable);
-    asking.failed(guard(2), Reason::Overloaded);
-    assert!(asking.turns(None));
-    assert_eq!(asking.excluded(), [guard(1)]);
+    let mut slot_search = SlotSearch::new(2, Payload::Light);
+    slot_search.failed(guard(1), Reason::PeerUnreachable);
+    slot_search.failed(guard(2), Reason::Overloaded);
+    assert!(slot_search.switch_to_queueing(None));
+    assert_eq!(slot_search.excluded(), [guard(1)]);
 }
 
 #[rstest]
 #[case::light_waits_at_the_next(Payload::Light, Patience::Full)]
 #[case::heavy_only_asks(Payload::Heavy, Patience::Short)]
 fn after_waiting_in_vain(#[case] payload: Payload, #[case] expected: Patience) {
-    let mut asking = Asking::new(3, payload);
-    asking.failed(guard(1), Reason::Overloaded);
-    assert!(asking.turns(None));
-    asking.failed(guard(1), Reason::Overloaded);
-    assert_eq!(asking.patience(), expected);
+    let mut slot_search = SlotSearch::new(3, payload);
+    slot_search.failed(guard(1), Reason::Overloaded);
+    assert!(slot_search.switch_to_queueing(None));
+    slot_search.failed(guard(1), Reason::Overloaded);
+    assert_eq!(slot_search.patience(), expected);
 }
 
 #[rstest]
 fn a_request_that_may_go_nowhere_else_waits() {
-    let mut asking = Asking::new(9, Payload::Light);
-    asking.settle();
-    assert_eq!(asking.patience(), Patience::Full);
+    let mut slot_search = SlotSearch::new(9, Payload::Light);
+    slot_search.settle();
+    assert_eq!(slot_search.patience(), Patience::Full);
 }
 
 /// A guard with one slot taken by a call that takes 100 ms.
@@ -129,9 +132,9 @@
 
 #[rstest]
 fn a_refusal_that_follows_a_paid_retry_costs_no_other() {
-    let mut tries = PolicyTries::default();
+    let mut tries = PolicyRetryState::default();
     let due = Deadline::new(START, Duration::from_secs(1));
-    let terms = Terms {
+    let terms = RetryPolicy {
         idempotent: true,
         attempts: 3,
     };
--- a/crates/swiftcart-core/tests/support/mesh_load.rs
+++ b/crates/swiftcart-core/tests/support/mesh_load.rs
@@ -92,8 +92,8 @@
 struct Call {
     ingress: usize,
     arrived: Instant,
-    asking: Asking,
-    tries: PolicyTries,
+    slot_search: SlotSearch,
+    tries: PolicyRetryState,
     sent: Instant,
 }
 
@@ -228,8 +228,8 @@
         self.calls.push(Call {
             ingress: self.rng.random_range(0..self.load.nodes),
             arrived: self.now,
-            asking: Asking::new(self.load.servers, Payload::Light),
-            tries: PolicyTries::default(),
+            slot_search: SlotSearch::new(self.load.servers, Payload::Light),
+            tries: PolicyRetryState::default(),
             sent: self.now,
         });
         let call = self.calls.len() - 1;
@@ -244,11 +244,11 @@
     fn send(&mut self, call: usize) {
         let ingress = self.calls[call].ingress;
         let entry = self.views[ingress].service("sensor").expect("the service");
-        let asking = &mut self.calls[call].asking;
+        let slot_search = &mut self.calls[call].slot_search;
         let pick = loop {
-            let excluded = asking.excluded().to_vec();
+            let excluded = slot_search.excluded().to_vec();
             let pick = self.balancers[ingress].pick(self.now, entry, &excluded, &mut self.rng);
-            if !asking.turns(pick.as_ref()) {
+            if !slot_search.switch_to_queueing(pick.as_ref()) {
                 break pick;
             }
         };
@@ -265,7 +265,7 @@
     fn offer(&mut self, call: usize, id: NodeId) {
         let bid = Bid::new(self.due(call))
             .with_target(TARGET)
-            .with_patience(self.calls[call].asking.patience());
+            .with_patience(self.calls[call].slot_search.patience());
         let now = self.now;
         let guard = self.guards.get_mut(&id).expect("a guard");
         let started = guard.admission.resume(now);
@@ -314,7 +314,9 @@
     fn reply_refused(&mut self, id: NodeId, call: usize, refusal: Refusal) {
         let reason = refusal.reason;
         let again = refusal.retry_after.filter(|_| reason == Reason::Throttled);
-        let sample = self.sample(id, call, CallResult::Refused).with_again(again);
+        let sample = self
+            .sample(id, call, CallResult::Refused)
+            .with_retry_after(again);
         self.push(HOP, Event::Refused(call, id, reason, sample));
     }
 
@@ -366,8 +368,8 @@
         self.balancers[ingress].finished(id, self.now, &sample);
         let due = self.due(call);
         let asked = &mut self.calls[call];
-        asked.asking.failed(id, reason);
-        let terms = Terms {
+        asked.slot_search.failed(id, reason);
+        let terms = RetryPolicy {
             idempotent: true,
             attempts: 2,
         };
--- a/crates/swiftcart-node/src/calls/in_flight.rs
+++ b/crates/swiftcart-node/src/calls/in_flight.rs
@@ -71,7 +71,7 @@
     fn learn(&mut self, result: CallResult) {
         self.open = false;
         let now = self.shared.clock.now();
-        let mut sample = Sample::new(now.since(self.start), result).with_again(self.again);
+        let mut sample = Sample::new(now.since(self.start), result).with_retry_after(self.again);
         sample.load = self.report.map(|report| report.load);
         sample.pace = self.report.and_then(|report| report.pace);
         let mut balancer = self.balancer.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -15,9 +15,10 @@
 use hyper::body::{Body, Incoming};
 use slog::error;
 use swiftcart_core::{
-    Asking, BalanceSettings, Balancer, CallResult, Candidate, FleetBudget, Identity, Instant, Need,
-    Next, NodeId, Outcome, Pick, PickRule, PolicyTries, Reason, Refusal, RetryBudget,
-    RetrySettings, Returns, RouteProfiles, ServiceEntry, ToldNotices, Tries, Version, start_wait,
+    BalanceSettings, Balancer, CallResult, Candidate, Identity, Instant, MeshRetryBudget, NodeId,
+    Outcome, Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal, RefusalHistory,
+    RetryBudget, RetrySettings, RetryState, RetryTarget, RouteProfiles, ServiceEntry, SlotSearch,
+    ToldNotices, Version, start_wait,
 };
 
 use tokio::task::JoinError;
@@ -46,9 +47,9 @@
     peers: Peers,
     balancer: Arc<Mutex<Balancer>>,
     budget: Mutex<RetryBudget>,
-    fleet: Option<Mutex<FleetBudget>>,
+    mesh_budget: Option<Mutex<MeshRetryBudget>>,
     profiles: Mutex<RouteProfiles>,
-    returns: Mutex<Returns>,
+    refusal_history: Mutex<RefusalHistory>,
     /// What guards told of their backend servers.
     told: Mutex<ToldNotices>,
 }
@@ -57,9 +58,9 @@
 #[derive(Debug)]
 struct CallState {
     start: Instant,
-    tries: Tries,
-    under_policy: PolicyTries,
-    asking: Asking,
+    tries: RetryState,
+    under_policy: PolicyRetryState,
+    slot_search: SlotSearch,
     /// The tries that failed.
     asked: u32,
 }
@@ -76,12 +77,12 @@
             peers: Peers::new(shared.settings.limits),
             balancer: Arc::new(Mutex::new(balancer)),
             budget: Mutex::new(RetryBudget::new(now, RetrySettings::default())),
-            fleet: shared
+            mesh_budget: shared
                 .settings
                 .retries
-                .map(|retries| Mutex::new(FleetBudget::new(retries.budget()))),
+                .map(|retries| Mutex::new(MeshRetryBudget::new(retries.budget()))),
             profiles: Mutex::default(),
-            returns: Mutex::default(),
+            refusal_history: Mutex::default(),
             told: Mutex::default(),
         }
     }
@@ -183,8 +184,8 @@
             homes.map_or_else(|| routed.regions.clone(), |homes| routed.regions.and(homes));
         self.name_caller(&mut head);
         call.take_print(&head, &settings.headers);
-        let came = lock(&self.returns).came(now, call.print.head);
-        let first = came.unwrap_or(now);
+        let first_attempt = lock(&self.refusal_history).first_attempt(now, call.print.head);
+        let first = first_attempt.unwrap_or(now);
         call.tried_for(now.since(first));
         let limits = &settings.limits;
         let original = Original::new(head, body, limits.replay_bytes, limits.body_timeout());
@@ -194,11 +195,11 @@
         match &result {
             Ok(response) if response.status().is_success() => {
                 let bytes = response.body().size_hint().lower();
-                lock(&self.profiles).of(routed.route).answered(bytes);
+                lock(&self.profiles).of(routed.route).record_response(bytes);
             }
             Err(failed) if failed.refusal.reason.outcome() == Outcome::NotRun => {
                 let now = self.shared.clock.now();
-                lock(&self.returns).refused(now, call.print.head, first);
+                lock(&self.refusal_history).refused(now, call.print.head, first);
             }
             _ => {}
         }
@@ -241,20 +242,20 @@
     ) -> Result<Response<Answer>, Failed> {
         let mut state = CallState {
             start: self.shared.clock.now(),
-            tries: Tries::new(call.attempt),
-            under_policy: PolicyTries::default(),
-            asking: match call.terms {
-                Some(_) => Asking::new(entry.candidates().len(), call.payload),
-                None => Asking::waiting(),
+            tries: RetryState::new(call.attempt),
+            under_policy: PolicyRetryState::default(),
+            slot_search: match call.terms {
+                Some(_) => SlotSearch::new(entry.candidates().len(), call.payload),
+                None => SlotSearch::queueing(),
             },
             asked: 0,
         };
         let mut last: Option<Failed> = None;
-        let mut next = Next::Other;
+        let mut next = RetryTarget::Other;
         self.count_first(entry);
         loop {
             let pick = self.pick_next(call, entry, &state, next);
-            if state.asking.turns(pick.as_ref()) {
+            if state.slot_search.switch_to_queueing(pick.as_ref()) {
                 continue;
             }
             let Some(pick) = pick else {
@@ -274,16 +275,16 @@
                 Err(failed) => failed,
             };
             state.asked += 1;
-            state.asking.failed(pick.id, failed.refusal.reason);
+            state.slot_search.failed(pick.id, failed.refusal.reason);
             failed.retried |= state.tries.retried();
             let again = self.may_retry(call, entry, original, &mut state, &pick, &failed);
             self.log_try(call, entry, &state, &pick, &failed, again);
             let kept = Failed::worse(last.take(), failed);
             match again {
-                Ok(Next::Other) => next = Next::Other,
-                Ok(Next::Same) => {
-                    state.asking.settle();
-                    next = Next::Same;
+                Ok(RetryTarget::Other) => next = RetryTarget::Other,
+                Ok(RetryTarget::Same) => {
+                    state.slot_search.settle();
+                    next = RetryTarget::Same;
                 }
                 Err(_) => return kept.into_result(),
             }
@@ -297,11 +298,11 @@
         call: &Call,
         entry: &ServiceEntry,
         state: &CallState,
-        next: Next,
+        next: RetryTarget,
     ) -> Option<Pick> {
         match next {
-            Next::Other => self.pick(call, entry, state.asking.excluded()),
-            Next::Same => {
+            RetryTarget::Other => self.pick(call, entry, state.slot_search.excluded()),
+            RetryTarget::Same => {
                 let reached = state.under_policy.reached();
                 let again = |c: &&Candidate| reached.contains(&c.id);
                 let all = entry.candidates().iter().chain(entry.tried());
@@ -312,10 +313,10 @@
     }
 
     fn count_first(&self, entry: &ServiceEntry) {
-        match &self.fleet {
-            Some(fleet) => {
+        match &self.mesh_budget {
+            Some(mesh_budget) => {
                 let now = self.shared.clock.now();
-                lock(fleet).first(now, entry.name(), self.guard.repeated());
+                lock(mesh_budget).first(now, entry.name(), self.guard.repeated());
             }
             None => lock(&self.budget).first(),
         }
@@ -339,7 +340,7 @@
                 free: true,
             })
         });
-        let need = Need::from(call.payload).with_regions(call.regions.clone());
+        let need = PickRequirements::from(call.payload).with_regions(call.regions.clone());
         preferred.or_else(|| with_rng(|rng| balancer.pick_for(&need, now, entry, tried, rng)))
     }
 
@@ -351,7 +352,7 @@
         original: &Original,
         state: &CallState,
     ) -> Result<Response<Answer>, Failed> {
-        let call = &call.attempt(state.under_policy.is_repeat(), state.asking.patience());
+        let call = &call.attempt(state.under_policy.is_retry(), state.slot_search.patience());
         let tries = state.tries;
         let mut in_flight = InFlight::new(&self.shared, &self.balancer, pick.id);
         let service = entry.name().as_str();
@@ -379,7 +380,7 @@
                     in_flight.set_load(Some(report));
                 }
                 if has_failed(call, &response) {
-                    in_flight.fail(CallResult::Erred);
+                    in_flight.fail(CallResult::ErrorResponse);
                     return Err(Failed::with_answer(response));
                 }
                 if tries.retried() {
--- a/crates/swiftcart-node/src/calls/ingress/account.rs
+++ b/crates/swiftcart-node/src/calls/ingress/account.rs
@@ -94,7 +94,7 @@
             call.rank(priority);
         }
         let now = self.shared.clock.now();
-        let timing = call.timing(self.balancer().typical());
+        let timing = call.timing(self.balancer().mean_pace());
         let asked = self.shared.quotas.ask(now, &account, timing);
         asked.inspect_err(|refusal| self.log_quota(call, &account, *refusal))?;
         Ok(Some(Admitted {
--- a/crates/swiftcart-node/src/calls/ingress/forward.rs
+++ b/crates/swiftcart-node/src/calls/ingress/forward.rs
@@ -1,7 +1,7 @@
 //! The hop to the guard beside another backend server.
 
 use http::{HeaderValue, Response};
-use swiftcart_core::{HOP_ALLOWANCE, Load, Pace, Pick, Reason, Refusal, Tries};
+use swiftcart_core::{HOP_ALLOWANCE, Load, Pace, Pick, Reason, Refusal, RetryState};
 
 use super::original::Original;
 use super::{Failed, Ingress, lock};
@@ -27,7 +27,7 @@
         pick: &Pick,
         service: &str,
         original: &Original,
-        tries: Tries,
+        tries: RetryState,
     ) -> Result<Response<Answer>, Failed> {
         let now = self.shared.clock.now();
         let left = call.due.less(HOP_ALLOWANCE).left_ms(now);
--- a/crates/swiftcart-node/src/calls/ingress/log.rs
+++ b/crates/swiftcart-node/src/calls/ingress/log.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, StatusCode};
 use slog::info;
-use swiftcart_core::{Instant, Next, Pick, Reason, Refusal, ServiceEntry};
+use swiftcart_core::{Instant, Pick, Reason, Refusal, RetryTarget, ServiceEntry};
 
 use super::{CallState, Failed, Ingress};
 use crate::calls::request::Call;
@@ -88,7 +88,7 @@
         state: &CallState,
         pick: &Pick,
         failed: &Failed,
-        next: Result<Next, &'static str>,
+        next: Result<RetryTarget, &'static str>,
     ) {
         let now = self.shared.clock.now();
         let Some(log) = self.shared.call_log.failed(now) else {
@@ -125,10 +125,10 @@
     }
 }
 
-const fn told(next: Next) -> &'static str {
+const fn told(next: RetryTarget) -> &'static str {
     match next {
-        Next::Other => "another",
-        Next::Same => "again",
+        RetryTarget::Other => "another",
+        RetryTarget::Same => "again",
     }
 }
 
--- a/crates/swiftcart-node/src/calls/ingress/retrying.rs
+++ b/crates/swiftcart-node/src/calls/ingress/retrying.rs
@@ -1,7 +1,7 @@
 //! Whether a request is tried again, and where.
 
 use swiftcart_core::{
-    Failure, Next, NodeId, Outcome, Pick, Reason, RetryCause, ServiceEntry, Terms,
+    Failure, NodeId, Outcome, Pick, Reason, RetryCause, RetryPolicy, RetryTarget, ServiceEntry,
 };
 
 use super::original::Original;
@@ -18,7 +18,7 @@
         state: &mut CallState,
         pick: &Pick,
         failed: &Failed,
-    ) -> Result<Next, &'static str> {
+    ) -> Result<RetryTarget, &'static str> {
         let counters = &self.shared.counters;
         let result = match (original.is_whole(), call.terms) {
             (false, _) => Err("body-sent"),
@@ -30,7 +30,7 @@
                 .map_err(Reason::as_str),
             (true, None) => self
                 .retry(call, state, failed)
-                .map(|()| Next::Other)
+                .map(|()| RetryTarget::Other)
                 .map_err(Reason::as_str),
         };
         match result {
@@ -62,9 +62,9 @@
         state: &mut CallState,
         pick: &Pick,
         failed: &Failed,
-    ) -> Result<Next, Reason> {
+    ) -> Result<RetryTarget, Reason> {
         let now = self.shared.clock.now();
-        let terms = Terms {
+        let terms = RetryPolicy {
             idempotent: call.idempotent,
             attempts,
         };
@@ -75,12 +75,12 @@
         }
         let cause = match reason.outcome() {
             Outcome::NotRun if call.idempotent => RetryCause::Refused,
-            Outcome::NotRun => RetryCause::RefusedOnce,
+            Outcome::NotRun => RetryCause::RefusedNonIdempotent,
             Outcome::Unknown | Outcome::Done => RetryCause::Failed,
         };
         let nodes = self.shared.members.load().len();
-        let budget = || match &self.fleet {
-            Some(fleet) => lock(fleet).take(now, entry.name(), nodes, cause),
+        let budget = || match &self.mesh_budget {
+            Some(mesh_budget) => lock(mesh_budget).take(now, entry.name(), nodes, cause),
             None => lock(&self.budget).take(now),
         };
         let tries = &mut state.under_policy;
@@ -89,7 +89,7 @@
 
     /// Tells whether another backend server than those tried is believed to have a place.
     fn has_place(&self, call: &Call, entry: &ServiceEntry, state: &CallState, pick: &Pick) -> bool {
-        let tried = state.asking.excluded().iter().copied();
+        let tried = state.slot_search.excluded().iter().copied();
         let tried: Vec<NodeId> = tried.chain([pick.id]).collect();
         self.pick(call, entry, &tried).is_some_and(|pick| pick.free)
     }
--- a/crates/swiftcart-node/src/calls/pacing.rs
+++ b/crates/swiftcart-node/src/calls/pacing.rs
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-use swiftcart_core::LONG_ANSWER;
+use swiftcart_core::HEAVY_RESPONSE_BYTES;
 use tokio::time::{Sleep, sleep};
 
 use crate::egress::Egress;
@@ -32,7 +32,7 @@
         egress.sent(HEAD);
         Self {
             egress: Arc::clone(egress),
-            long: bytes >= LONG_ANSWER,
+            long: bytes >= HEAVY_RESPONSE_BYTES,
             timer: None,
         }
     }
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -8,7 +8,7 @@
 use slog::{info, warn};
 use swiftcart_core::{
     Backend, Datagram, Incarnation, Instant, Liveness, Member, Membership, MeshKey, NodeId,
-    PaceTelling, SyncReply, SyncRequest,
+    PaceAnnouncer, SyncReply, SyncRequest,
 };
 use tokio::sync::{mpsc, watch};
 use tokio::time::{MissedTickBehavior, interval};
@@ -87,7 +87,7 @@
     /// Who writes to operators how far they are, where there is a place for it.
     pub(super) board: Option<BoardWriter>,
     /// When the pace of the own backend server is told to all nodes.
-    pub(super) telling: PaceTelling,
+    pub(super) telling: PaceAnnouncer,
     pub(super) left: bool,
     /// Whether the version or the own backend server changed since the view was built.
     pub(super) stale: bool,
@@ -136,7 +136,7 @@
             _finder: finder,
             findings: Telling::default(),
             memory,
-            telling: PaceTelling::default(),
+            telling: PaceAnnouncer::default(),
             accounting: Accounting::new(settings.quotas.bounds()),
             draining: Draining::default(),
             shown_cold: false,
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -3,7 +3,9 @@
 use std::sync::atomic::Ordering;
 
 use slog::{info, warn};
-use swiftcart_core::{Action, Backend, Instant, NodeId, Pace, PaceTelling, Readiness, SyncRequest};
+use swiftcart_core::{
+    Action, Backend, Instant, NodeId, Pace, PaceAnnouncer, Readiness, SyncRequest,
+};
 
 use super::control_loop::Control;
 use crate::edge::Listed;
@@ -25,7 +27,7 @@
         };
         self.identity = identity;
         // What is known of the pace may be another backend server's.
-        self.telling = PaceTelling::default();
+        self.telling = PaceAnnouncer::default();
         self.shared.pace.store(0, Ordering::Relaxed);
         self.act(actions);
         self.stale = true;
--- a/crates/swiftcart-node/src/settings/retries.rs
+++ b/crates/swiftcart-node/src/settings/retries.rs
@@ -1,7 +1,7 @@
 //! The budget of retries that all nodes share.
 
 use serde::Deserialize;
-use swiftcart_core::FleetBudgetSettings;
+use swiftcart_core::MeshRetryBudgetSettings;
 
 /// Bounds the retries of the whole mesh at each service.
 ///
@@ -21,8 +21,8 @@
 impl Retries {
     /// Returns the core's settings.
     #[must_use]
-    pub const fn budget(&self) -> FleetBudgetSettings {
-        FleetBudgetSettings {
+    pub const fn budget(&self) -> MeshRetryBudgetSettings {
+        MeshRetryBudgetSettings {
             share: self.share,
             floor: self.floor,
             window_s: self.window_s,
