--- a/crates/swiftcart-core/examples/call_cost/policy.rs
+++ b/crates/swiftcart-core/examples/call_cost/policy.rs
@@ -134,9 +134,11 @@
             product
                 .with_balance(|b| b.load_decay = AGE * 4)
                 .named("load-age-2s"),
-            product.with_balance(|b| b.failures = 2).named("failures-2"),
             product
-                .with_balance(|b| b.ejected = 0.0)
+                .with_balance(|b| b.failure_threshold = 2)
+                .named("failures-2"),
+            product
+                .with_balance(|b| b.max_ejected = 0.0)
                 .named("no-ejection"),
         ]
     }
--- a/crates/swiftcart-core/src/balance.rs
+++ b/crates/swiftcart-core/src/balance.rs
@@ -1,10 +1,10 @@
-//! The choice of a backend server for a call.
+//! Load balancing: the selection of a backend server for a call.
 
-mod choice;
 mod pace_announcer;
 mod peer;
 mod pick_requirements;
 mod sample;
+mod selection;
 mod unreachable_domains;
 
 use std::collections::HashMap;
@@ -14,70 +14,73 @@
 use rand::Rng;
 
 use crate::{Instant, NodeId, ServiceEntry, View};
-use choice::Choice;
 pub use pace_announcer::*;
 use peer::Peer;
 pub use pick_requirements::*;
 pub use sample::*;
+use selection::Selection;
 use unreachable_domains::UnreachableDomains;
 
-/// The weight of one told pace in the mean of all.
+/// Weight of one reported pace in the moving average over all backend servers.
 const PACE_WEIGHT: f64 = 0.05;
 
-/// Sets how a node chooses among backend servers.
+/// Settings for the selection among backend servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BalanceSettings {
-    /// The age at which a latency counts 1/e.
-    pub memory: Duration,
-    /// The age at which a reported load counts 1/e.
+    /// Time constant of the latency and failure averages: a value of this age counts 1/e.
+    pub decay_time: Duration,
+    /// Time constant of reported load: a load of this age counts 1/e.
     pub load_decay: Duration,
-    /// How much a usage of 1 raises the score.
+    /// Factor by which a usage of 1 raises the score.
     pub load_weight: f64,
-    /// The time over which a newly seen backend server gets its full share.
+    /// Slow-start period, after which a newly discovered backend server gets its full share.
     pub slow_start: Duration,
-    /// The failures in a row that eject a backend server.
-    pub failures: u32,
-    /// The time of the first ejection; it doubles with each further one.
-    pub ejection: Duration,
-    /// The longest ejection, and the time without one after which they are forgotten.
-    pub longest: Duration,
-    /// The greatest share of a service's candidates that is ejected at once.
-    pub ejected: f64,
+    /// Number of consecutive failures that eject a backend server.
+    pub failure_threshold: u32,
+    /// Duration of the first ejection. Each further ejection lasts twice as long.
+    pub base_ejection: Duration,
+    /// Maximum duration of an ejection. The ejection count is reset after this time without one.
+    pub max_ejection: Duration,
+    /// Maximum share of a service's candidates that may be ejected at once.
+    pub max_ejected: f64,
 }
 
 impl Default for BalanceSettings {
     fn default() -> Self {
         Self {
-            memory: Duration::from_secs(5),
+            decay_time: Duration::from_secs(5),
             load_decay: Duration::from_millis(500),
             load_weight: 1.0,
             slow_start: Duration::from_secs(10),
-            failures: 5,
-            ejection: Duration::from_secs(1),
-            longest: Duration::from_secs(60),
-            ejected: 0.5,
+            failure_threshold: 5,
+            base_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(60),
+            max_ejected: 0.5,
         }
     }
 }
 
-/// Tells by which rule a backend server was chosen, for counters.
+/// Rule that selected a backend server, used for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PickRule {
-    /// The node's own backend server had a place.
+    /// The node's own backend server, which had a free slot.
     Own,
-    /// One of the own failure domain.
+    /// A backend server of the same failure domain.
     Near,
-    /// One of another failure domain; the own one is absent, ejected or full.
+    /// A backend server of another failure domain, because the node's own domain has no candidates,
+    /// is ejected or full, or is much slower.
     Spill,
-    /// One of another region; the own one is absent, or much slower.
+    /// A backend server of another region, because the node's own region has no candidates or is
+    /// much slower.
     Remote,
-    /// Every candidate is ejected; one of them is tried rather than none.
+    /// An ejected backend server, because every candidate is ejected.
     Ejected,
-    /// One whose release is on trial.
+    /// A backend server that runs a canary release.
     Trial,
 }
 
-/// Tells how much a request and its answer weigh on the way to another failure domain.
+/// Size class of a request and its response, which determines the cost of leaving the failure
+/// domain.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Payload {
     /// A few kilobytes.
@@ -88,14 +91,15 @@
 }
 
 impl Payload {
-    /// Returns by how many targets another failure domain has to be faster.
+    /// Returns the time, in multiples of the target latency, that another failure domain has to
+    /// save.
     ///
-    /// Traffic between failure domains costs about 0.015 of what a short answer is worth for
-    /// a kilobyte, 0.035 for a request with its answer. Of calls whose times spread by 0.8
-    /// around a quarter to a half of their target, 0.2 to 0.35 more are late for each
-    /// target that is added to their mean, and a late answer has lost 0.7 to 0.9 of its
-    /// worth: the way has to save a sixth to a quarter of the target. An upload of 60 kB
-    /// costs half of its worth, which no speed outweighs.
+    /// Traffic between failure domains costs about 0.015 of the value of a short response per
+    /// kilobyte, or 0.035 for a request with its response. For calls whose latencies have a spread
+    /// of 0.8 around a quarter to a half of the target, adding one target to the mean makes 0.2 to
+    /// 0.35 more of them late. A late response has lost 0.7 to 0.9 of its value, so the other
+    /// domain has to save a sixth to a quarter of the target. An upload of 60 kB costs half of its
+    /// value, which no gain in latency outweighs.
     const fn penalty(self) -> f64 {
         match self {
             Self::Light => 0.2,
@@ -103,9 +107,12 @@
         }
     }
 
-    /// Returns by how many targets another region has to be faster: all that goes there shares
-    /// one link, a request that is refused there has lost the way back as well, and who leaves a
-    /// region that is short of places meets those of the other one.
+    /// Returns the time, in multiples of the target latency, that another region has to save.
+    ///
+    /// The penalty is higher than between failure domains for three reasons. All traffic to a
+    /// region shares one link, a request that is refused there also loses the return trip, and
+    /// requests leaving a region that is short of slots compete with those leaving the other
+    /// region.
     const fn remote_penalty(self) -> f64 {
         match self {
             Self::Light => 2.5,
@@ -114,36 +121,35 @@
     }
 }
 
-/// Names the chosen backend server.
+/// Selected backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Pick {
-    /// The node beside it.
+    /// ID of the node beside the backend server.
     pub id: NodeId,
-    /// Where that node takes requests for it.
+    /// Address at which that node accepts requests for the backend server.
     pub peer: SocketAddr,
-    /// The rule that chose it.
+    /// Rule that selected the backend server.
     pub rule: PickRule,
-    /// Whether it is believed to have a place.
+    /// `true` if the backend server is believed to have a free slot.
     pub free: bool,
 }
 
-/// Chooses backend servers by what this node measures and by the load that answers carry back.
+/// Load balancer that combines this node's own measurements with the load reported in responses.
 ///
-/// The own backend server is taken when it has a place. Otherwise four random
-/// candidates of the own failure domain are compared by
-/// `(running + 1) * latency * (1 + usage) * (1 + failure rate)`; a reported load
-/// can only raise that score, so a backend server that claims to be idle gains
-/// nothing over one that reports nothing. Other failure domains are used when the
-/// own one is absent, ejected or full, and one of them is left out for a second when no
-/// connection opened to two of its nodes. Where guards tell their backend server's pace, the
-/// expected time takes the score's place, and another failure domain is also used when it
-/// is faster by more than the way there is worth.
+/// The node's own backend server is selected while it has a free slot. Otherwise four random
+/// candidates of the same failure domain are compared by `(running + 1) * latency * (1 + usage) *
+/// (1 + failure rate)`. A reported load can only raise this score, so a backend server that claims
+/// to be idle gains nothing over one that reports no load. Other failure domains are used when the
+/// node's own domain has no candidates, is ejected or is full. A failure domain is skipped for one
+/// second after connections to two of its nodes have failed. Once guards report the pace of their
+/// backend servers, the expected latency replaces the score. Another failure domain is then also
+/// used when its expected latency is lower by more than the cost of the detour.
 ///
-/// The state is one entry for each candidate of the view last given to
-/// [`Balancer::adopt`], and for departed ones with calls still running. Each
-/// method but `adopt` takes a time that does not grow with the candidates, unless
-/// most of them are ejected, and none blocks: a node holds the balancer behind one
-/// mutex, locked for each call of a method and never across an await.
+/// The state is one entry for each candidate of the view last passed to [`Balancer::adopt`], and
+/// for each departed candidate with calls in flight. The run time of every method except `adopt`
+/// does not depend on the number of candidates, unless most of them are ejected. No method blocks:
+/// a node keeps the balancer behind a mutex that is locked for each method call and never held
+/// across an await.
 ///
 /// # Examples
 ///
@@ -180,15 +186,15 @@
     me: NodeId,
     settings: BalanceSettings,
     peers: HashMap<NodeId, Peer>,
-    /// The candidates of each service of the view.
+    /// Candidates of each service of the view.
     groups: Vec<Vec<NodeId>>,
-    cuts: UnreachableDomains,
-    /// The mean of the paces that were told, which stands in for one that was not.
+    unreachable: UnreachableDomains,
+    /// Moving average of the reported paces, used for backend servers that have not reported one.
     mean_pace: Option<f64>,
 }
 
 impl Balancer {
-    /// Creates a balancer that has seen nothing.
+    /// Creates a balancer without any candidates.
     #[must_use]
     pub fn new(me: NodeId, settings: BalanceSettings) -> Self {
         Self {
@@ -196,14 +202,14 @@
             settings,
             peers: HashMap::new(),
             groups: Vec::new(),
-            cuts: UnreachableDomains::default(),
+            unreachable: UnreachableDomains::default(),
             mean_pace: None,
         }
     }
 
-    /// Takes over the candidates of a new view and forgets those that left.
+    /// Replaces the candidates by those of a new view and removes the ones that have left.
     ///
-    /// Newly seen ones start slowly, unless none of their service was known.
+    /// New candidates go through slow start, unless no candidate of their service was known before.
     pub fn adopt(&mut self, now: Instant, view: &View) {
         self.peers.values_mut().for_each(|p| p.departed = true);
         self.groups.clear();
@@ -212,7 +218,8 @@
             let ids: Vec<_> = candidates().map(|c| c.id).collect();
             let known = ids.iter().any(|id| self.peers.contains_key(id));
             let since = known.then_some(now);
-            // Who is seen before it takes work starts no more slowly when it does.
+            // Slow start counts from the discovery, even while the backend server takes no requests
+            // yet.
             for id in ids.iter().chain(entry.waiting()) {
                 let peer = self.peers.entry(*id);
                 let peer = peer.or_insert_with(|| Peer::new(now, service, since));
@@ -221,7 +228,7 @@
             }
             for candidate in candidates() {
                 if let Some(peer) = self.peers.get_mut(&candidate.id) {
-                    peer.hear(now, candidate.pace);
+                    peer.apply_announcement(now, candidate.pace);
                     peer.domain = Some(candidate.domain).filter(|_| !candidate.is_near());
                 }
             }
@@ -230,7 +237,7 @@
         self.peers.retain(|_, p| !p.departed || p.running > 0);
     }
 
-    /// Chooses a candidate of `entry` that is not in `exclude`; `None` when there is none.
+    /// Selects a candidate of `entry` that is not in `exclude`, or `None` if there is none.
     pub fn pick<R: Rng + ?Sized>(
         &self,
         now: Instant,
@@ -241,32 +248,32 @@
         self.pick_for(&PickRequirements::default(), now, entry, exclude, rng)
     }
 
-    /// Chooses like [`Balancer::pick`] for a request that asks for more than its service.
+    /// Selects a candidate like [`Balancer::pick`], subject to the requirements of one request.
     pub fn pick_for<R: Rng + ?Sized>(
         &self,
-        need: &PickRequirements,
+        requirements: &PickRequirements,
         now: Instant,
         entry: &ServiceEntry,
         exclude: &[NodeId],
         rng: &mut R,
     ) -> Option<Pick> {
-        let choice = Choice {
+        let selection = Selection {
             balancer: self,
-            need,
+            requirements,
             now,
             exclude,
         };
-        choice.make(entry, rng)
+        selection.select(entry, rng)
     }
 
-    /// Counts a call that was given to `id`.
+    /// Records the start of a call to `id`.
     pub fn started(&mut self, id: NodeId) {
         if let Some(peer) = self.peers.get_mut(&id) {
             peer.running = peer.running.saturating_add(1);
         }
     }
 
-    /// Takes in a finished call; returns whether `id` was ejected for it.
+    /// Records a finished call and returns `true` if it caused the ejection of `id`.
     pub fn finished(&mut self, id: NodeId, now: Instant, sample: &Sample) -> bool {
         let Some(peer) = self.peers.get_mut(&id) else {
             return false;
@@ -274,7 +281,7 @@
         let failed = peer.finish(now, sample, &self.settings);
         match (peer.domain, sample.result) {
             (Some(domain), CallResult::Unreachable) => {
-                self.cuts.failed(domain, id, now);
+                self.unreachable.record_failure(domain, id, now);
             }
             (
                 Some(domain),
@@ -283,7 +290,7 @@
                 | CallResult::LinkBusy
                 | CallResult::ErrorResponse,
             ) => {
-                self.cuts.reached(domain);
+                self.unreachable.record_success(domain);
             }
             (None, _) | (_, CallResult::Failure | CallResult::Cancelled) => {}
         }
@@ -296,46 +303,49 @@
             return false;
         }
         match sample.result {
-            CallResult::Unreachable => failed && self.avoid(id, now),
+            CallResult::Unreachable => failed && self.eject_unreachable(id, now),
             _ => failed && self.eject(id, now),
         }
     }
 
-    /// Returns the time that calls take, as a share of their targets; zero while no pace was told.
+    /// Returns the mean latency of calls relative to their targets, or zero if no pace was
+    /// reported.
     #[must_use]
     pub fn mean_pace(&self) -> f64 {
         self.mean_pace.unwrap_or(0.0)
     }
 
-    /// Returns the number of backend servers that the balancer remembers.
+    /// Returns the number of tracked backend servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether the balancer remembers no backend server.
+    /// Returns `true` if no backend server is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// Tells whether `id` is ejected.
+    /// Returns `true` if `id` is ejected.
     #[must_use]
     pub fn ejected(&self, id: NodeId, now: Instant) -> bool {
         self.peers.get(&id).is_some_and(|p| p.ejected(now))
     }
 
-    /// Takes an unreachable backend server out, unless it is the last one: a failure domain
-    /// that is cut off is more than the share that failures may eject.
-    fn avoid(&mut self, id: NodeId, now: Instant) -> bool {
-        let last = self.left(id, now) <= 1;
+    /// Ejects an unreachable backend server, unless it is the last one in rotation.
+    ///
+    /// The limit on ejections does not apply here, because a failure domain that is cut off can
+    /// hold more candidates than may be ejected for failures.
+    fn eject_unreachable(&mut self, id: NodeId, now: Instant) -> bool {
+        let last = self.active_count(id, now) <= 1;
         match self.peers.get_mut(&id) {
             Some(peer) if !last => {
-                peer.avoid(now, &self.settings);
+                peer.eject_unreachable(now, &self.settings);
                 true
             }
             Some(peer) => {
-                peer.spare();
+                peer.keep_in_rotation();
                 false
             }
             None => false,
@@ -344,29 +354,29 @@
 
     fn eject(&mut self, id: NodeId, now: Instant) -> bool {
         let group = self.group(id);
-        let ejected = group.len() - self.left(id, now);
-        let allowed = (group.len() as f64 * self.settings.ejected).floor();
+        let ejected = group.len() - self.active_count(id, now);
+        let allowed = (group.len() as f64 * self.settings.max_ejected).floor();
         match self.peers.get_mut(&id) {
             Some(peer) if ((ejected + 1) as f64) <= allowed => {
                 peer.eject(now, &self.settings);
                 true
             }
             Some(peer) => {
-                peer.spare();
+                peer.keep_in_rotation();
                 false
             }
             None => false,
         }
     }
 
-    /// Returns the candidates of the service that `id` is one of.
+    /// Returns the candidates of the service that `id` belongs to.
     fn group(&self, id: NodeId) -> &[NodeId] {
         let group = self.peers.get(&id).and_then(|p| self.groups.get(p.service));
         group.map_or(&[][..], Vec::as_slice)
     }
 
-    /// Counts those of the group of `id` that are not ejected.
-    fn left(&self, id: NodeId, now: Instant) -> usize {
+    /// Returns the number of candidates in the group of `id` that are not ejected.
+    fn active_count(&self, id: NodeId, now: Instant) -> usize {
         let group = self.group(id).iter();
         group.filter(|id| !self.ejected(**id, now)).count()
     }
--- a/crates/swiftcart-core/src/balance/pace_announcer.rs
+++ b/crates/swiftcart-core/src/balance/pace_announcer.rs
@@ -1,59 +1,61 @@
-//! When a node tells all others how fast its backend server is.
+//! Announcements of a backend server's pace to all nodes.
 
 use std::time::Duration;
 
 use super::Pace;
 use crate::Instant;
 
-/// The factor by which a pace has to change before it is told again. It lies four standard
-/// deviations from the mean of 32 calls whose times spread by 0.8.
-const CHANGED: f64 = 1.6;
+/// Factor by which a pace has to change before it is announced again. The threshold lies four
+/// standard deviations from the mean of 32 calls whose latencies have a spread of 0.8.
+const CHANGE_FACTOR: f64 = 1.6;
 
-/// The least time between two words. A word costs each node some hundred bytes and a new
-/// view; all of 970 nodes at once would be 500 a second.
-const PAUSE: Duration = Duration::from_secs(2);
+/// Minimum interval between two announcements of a node.
+///
+/// An announcement costs every node about one hundred bytes and a new view. If all of 970 nodes
+/// announced at once, that would be 500 announcements per second.
+const MIN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Decides when a node tells all others the pace of its backend server.
+/// Rate limiter for announcements of the pace of a node's backend server.
 ///
-/// Answers carry the pace to whoever asked. In a large mesh a node has few answers of each
-/// backend server, and learns of one that became slow only after many calls have gone there.
-/// So a pace that has changed by much is spread with the news of the members.
+/// Responses report the pace to the calling nodes. In a large mesh a node gets few responses from
+/// each backend server, and would notice a slow one only after sending many calls to it. A pace
+/// that has changed considerably is therefore gossiped with the membership.
 ///
 /// # Examples
 ///
 /// ```
 /// use swiftcart_core::{Instant, Pace, PaceAnnouncer};
 ///
-/// let mut telling = PaceAnnouncer::default();
+/// let mut announcer = PaceAnnouncer::default();
 /// let at = Instant::from_millis;
-/// assert_eq!(telling.due(at(0), Some(Pace(900))), None, "known from few calls only");
-/// assert_eq!(telling.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
-/// assert_eq!(telling.due(at(5_000), Some(Pace(400))), None, "much the same");
-/// assert_eq!(telling.due(at(6_000), Some(Pace(900))), Some(Pace(900)));
-/// assert_eq!(telling.due(at(6_050), Some(Pace(300))), None, "too soon");
+/// assert_eq!(announcer.due(at(0), Some(Pace(900))), None, "known from few calls only");
+/// assert_eq!(announcer.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
+/// assert_eq!(announcer.due(at(5_000), Some(Pace(400))), None, "little change");
+/// assert_eq!(announcer.due(at(6_000), Some(Pace(900))), Some(Pace(900)));
+/// assert_eq!(announcer.due(at(6_050), Some(Pace(300))), None, "too soon");
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct PaceAnnouncer {
-    /// When the pace was known first.
-    known: Option<Instant>,
-    told: Option<(Instant, Pace)>,
+    /// Time at which a pace was first available.
+    first_known: Option<Instant>,
+    announced: Option<(Instant, Pace)>,
 }
 
 impl PaceAnnouncer {
-    /// Returns the pace when it is to be told now.
+    /// Returns the pace if it has to be announced now.
     pub fn due(&mut self, now: Instant, pace: Option<Pace>) -> Option<Pace> {
         let pace = pace?;
-        let known = *self.known.get_or_insert(now);
-        let due = match self.told {
-            None => now.since(known) >= PAUSE,
-            Some((at, _)) if now.since(at) < PAUSE => false,
-            Some((_, told)) => {
-                let ratio = pace.quotient() / told.quotient();
-                ratio >= CHANGED || ratio <= CHANGED.recip()
+        let first_known = *self.first_known.get_or_insert(now);
+        let due = match self.announced {
+            None => now.since(first_known) >= MIN_INTERVAL,
+            Some((at, _)) if now.since(at) < MIN_INTERVAL => false,
+            Some((_, announced)) => {
+                let ratio = pace.quotient() / announced.quotient();
+                ratio >= CHANGE_FACTOR || ratio <= CHANGE_FACTOR.recip()
             }
         };
         due.then(|| {
-            self.told = Some((now, pace));
+            self.announced = Some((now, pace));
             pace
         })
     }
--- a/crates/swiftcart-core/src/balance/peer.rs
+++ b/crates/swiftcart-core/src/balance/peer.rs
@@ -1,130 +1,135 @@
-//! What a node has seen of one backend server.
+//! State that a node keeps about one backend server.
 
 use std::time::Duration;
 
 use super::{BalanceSettings, CallResult, Pace, Sample};
 use crate::{DomainTag, Instant};
 
-/// The lowest share of its picks that a newly seen backend server gets.
-const SLOW_FLOOR: f64 = 0.1;
+/// Minimum share of its regular load that a backend server gets during slow start.
+const MIN_SLOW_START_SHARE: f64 = 0.1;
 
-/// The weight of one result in the failure rate.
-const FAILURE_WEIGHT: f64 = 0.1;
+/// Weight of one result in the moving averages of the failure rate and the latency.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How much a failure rate of 1 raises the score.
-const FAILURE_COST: f64 = 10.0;
+/// Factor by which a failure rate of 1 raises the score.
+const FAILURE_RATE_WEIGHT: f64 = 10.0;
 
-/// How late the usage begins to count against a backend server whose pace is known: at
-/// half of its slots it adds a sixteenth, at nine tenths two thirds.
-const USAGE_POWER: i32 = 4;
+/// Exponent of the usage in the expected latency. At half of its slots a backend server is expected
+/// to take a sixteenth longer, at nine tenths two thirds longer.
+const USAGE_EXPONENT: i32 = 4;
 
-/// The usage that a refusal stands for: its guard has no place and no queue left.
+/// Usage assumed after a refusal, which means that the guard has neither a slot nor queue space
+/// left.
 const REFUSED_USAGE: f64 = 1.5;
 
-/// How long a link that had no room for a long answer is left aside for others like it: about
-/// four answers of 90 kB over 15 Mbit/s, after which a place is likely again.
-const LINK_MEMORY: Duration = Duration::from_millis(200);
+/// Time for which long responses avoid a link that had no room for one. It is the time of about
+/// four responses of 90 kB over 15 Mbit/s, after which the link is likely to have room again.
+const LINK_BUSY_PERIOD: Duration = Duration::from_millis(200);
 
-/// How long a guard that takes a bounded rate is left alone at most. Longer, and a rate that has risen
-/// would be found late.
-const LONGEST_HELD: Duration = Duration::from_secs(2);
+/// Maximum time for which a rate-limited guard is avoided. With a longer time, an increased rate
+/// would be noticed late.
+const MAX_RATE_LIMIT_WAIT: Duration = Duration::from_secs(2);
 
-/// The failures that a failed connection stands for: two in a row eject by default. It says
-/// more than a missing answer, and a trial costs no more than the time to connect.
-const UNREACHABLE: u32 = 3;
+/// Failures that a failed connection counts for. By default two in a row eject a backend server,
+/// because a failed connection says more than a missing response, and a retry after the ejection
+/// costs no more than the connection attempt.
+const UNREACHABLE_FAILURES: u32 = 3;
 
-/// The doublings of the ejection time that are counted.
-const MOST_DOUBLINGS: u32 = 16;
+/// Maximum number of doublings of the ejection time.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Holds what a node has seen of one backend server.
+/// State that a node keeps about one backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Peer {
     pub(super) service: usize,
-    /// Its failure domain, unless it is the node's own.
+    /// Failure domain of the backend server, or `None` if it is the node's own domain.
     pub(super) domain: Option<DomainTag>,
     pub(super) running: u32,
-    /// Whether it has left the view while calls to it are still running.
+    /// `true` if the backend server has left the view while calls to it are in flight.
     pub(super) departed: bool,
-    /// When it was first seen; `None` for those that were there from the start.
-    since: Option<Instant>,
+    /// Time of discovery, or `None` if the backend server was present from the start.
+    discovered: Option<Instant>,
     latency: Option<f64>,
-    heard: Instant,
+    latency_at: Instant,
     usage: f64,
-    loaded: Instant,
-    /// The last pace heard of.
+    usage_at: Instant,
+    /// Most recent pace, from a response or an announcement.
     pace: Option<Pace>,
-    /// The last one that was told to all nodes.
-    told: Option<Pace>,
-    /// When it last had no room for a long answer.
+    /// Most recent pace that was announced to all nodes.
+    announced: Option<Pace>,
+    /// Time of the last refusal of a long response for lack of link capacity.
     link_busy: Option<Instant>,
-    /// Until when it takes nothing of this node, since a rate bounds what it takes.
-    held: Option<Instant>,
-    failing: f64,
-    judged: Instant,
-    streak: u32,
+    /// End of the time for which the guard accepts no requests of this node because of a rate
+    /// limit.
+    limited_until: Option<Instant>,
+    failure_rate: f64,
+    result_at: Instant,
+    failure_streak: u32,
     ejections: u32,
-    until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 impl Peer {
-    pub(super) const fn new(now: Instant, service: usize, since: Option<Instant>) -> Self {
+    pub(super) const fn new(now: Instant, service: usize, discovered: Option<Instant>) -> Self {
         Self {
             service,
             domain: None,
             running: 0,
             departed: false,
-            since,
+            discovered,
             latency: None,
-            heard: now,
+            latency_at: now,
             usage: 0.0,
-            loaded: now,
+            usage_at: now,
             pace: None,
-            told: None,
+            announced: None,
             link_busy: None,
-            held: None,
-            failing: 0.0,
-            judged: now,
-            streak: 0,
+            limited_until: None,
+            failure_rate: 0.0,
+            result_at: now,
+            failure_streak: 0,
             ejections: 0,
-            until: None,
+            ejected_until: None,
         }
     }
 
-    /// Takes in one finished call; returns whether its failures call for an ejection.
+    /// Records a finished call and returns `true` if the failures call for an ejection.
     pub(super) fn finish(&mut self, now: Instant, sample: &Sample, s: &BalanceSettings) -> bool {
         self.running = self.running.saturating_sub(1);
         if let Some(load) = sample.load {
             self.usage = load.usage();
-            self.loaded = now;
+            self.usage_at = now;
         }
         self.pace = sample.pace.or(self.pace);
         match sample.result {
             CallResult::Success => {
-                self.learn(now, sample.latency, s.memory);
-                self.judge(now, 0.0, s.memory);
-                self.recover(now, s.longest);
+                self.record_latency(now, sample.latency, s.decay_time);
+                self.record_result(now, 0.0, s.decay_time);
+                self.reset_failures(now, s.max_ejection);
                 false
             }
             CallResult::Failure => {
-                self.judge(now, 1.0, s.memory);
-                self.streak = self.streak.saturating_add(1);
-                self.streak >= s.failures && !self.ejected(now)
+                self.record_result(now, 1.0, s.decay_time);
+                self.failure_streak = self.failure_streak.saturating_add(1);
+                self.failure_streak >= s.failure_threshold && !self.ejected(now)
             }
             CallResult::Unreachable => {
-                self.judge(now, 1.0, s.memory);
-                self.streak = self.streak.saturating_add(UNREACHABLE);
-                self.streak >= s.failures && !self.ejected(now)
+                self.record_result(now, 1.0, s.decay_time);
+                self.failure_streak = self.failure_streak.saturating_add(UNREACHABLE_FAILURES);
+                self.failure_streak >= s.failure_threshold && !self.ejected(now)
             }
             CallResult::Refused => {
                 self.usage = self.usage(now, s.load_decay).max(REFUSED_USAGE);
-                self.loaded = now;
-                self.held = sample.again.map(|again| now + again.min(LONGEST_HELD));
+                self.usage_at = now;
+                self.limited_until = sample
+                    .retry_after
+                    .map(|retry_after| now + retry_after.min(MAX_RATE_LIMIT_WAIT));
                 false
             }
-            // It counts in the choice, where others fare better, and ejects nobody: what all
-            // of them call may be at fault.
+            // An error response lowers the preference for this backend server but never ejects it,
+            // because a dependency shared by all backend servers may be at fault.
             CallResult::ErrorResponse => {
-                self.judge(now, 1.0, s.memory);
+                self.record_result(now, 1.0, s.decay_time);
                 false
             }
             CallResult::LinkBusy => {
@@ -135,101 +140,105 @@
         }
     }
 
-    /// Takes the pace that its node has told all others, unless it is known already.
+    /// Applies the pace that the node has announced to all others, unless it is unchanged.
     ///
-    /// A node withdraws it when another process has taken its backend server's place: what was
-    /// learnt is void then, ejections too. Calls that still run are counted on.
-    pub(super) fn hear(&mut self, now: Instant, told: Option<Pace>) {
-        match (self.told, told) {
+    /// A node withdraws its pace when another process has replaced its backend server. All
+    /// measurements and ejections are then reset, but calls in flight are still counted.
+    pub(super) fn apply_announcement(&mut self, now: Instant, announced: Option<Pace>) {
+        match (self.announced, announced) {
             (old, new) if old == new => return,
             (Some(_), None) => {
                 *self = Self {
                     domain: self.domain,
                     running: self.running,
-                    since: self.since,
+                    discovered: self.discovered,
                     ..Self::new(now, self.service, None)
                 }
             }
             (_, Some(pace)) => self.pace = Some(pace),
             (None, None) => {}
         }
-        self.told = told;
+        self.announced = announced;
     }
 
-    /// Takes it out of the choice, for twice as long as the last time.
+    /// Ejects the backend server for twice as long as the last time.
     pub(super) fn eject(&mut self, now: Instant, s: &BalanceSettings) {
-        let factor = 1 << self.ejections.min(MOST_DOUBLINGS);
-        let time = s.ejection.saturating_mul(factor).min(s.longest);
+        let factor = 1 << self.ejections.min(MAX_DOUBLINGS);
+        let time = s.base_ejection.saturating_mul(factor).min(s.max_ejection);
         self.ejections = self.ejections.saturating_add(1);
-        self.until = Some(now + time);
+        self.ejected_until = Some(now + time);
     }
 
-    /// Takes it out of the choice for the time of a first ejection, since a connection that
-    /// heals should be found soon.
-    pub(super) fn avoid(&mut self, now: Instant, s: &BalanceSettings) {
-        self.until = Some(now + s.ejection);
+    /// Ejects the backend server for the duration of a first ejection, so that a recovered
+    /// connection is noticed soon.
+    pub(super) fn eject_unreachable(&mut self, now: Instant, s: &BalanceSettings) {
+        self.ejected_until = Some(now + s.base_ejection);
     }
 
-    /// Leaves it in the choice, since too many are out already; its failures count anew.
-    pub(super) const fn spare(&mut self) {
-        self.streak = 0;
+    /// Keeps the backend server in rotation because too many others are ejected, and resets its
+    /// failure count.
+    pub(super) const fn keep_in_rotation(&mut self) {
+        self.failure_streak = 0;
     }
 
     pub(super) fn ejected(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Tells whether it may be picked: after an ejection, one call at a time until one succeeds.
-    pub(super) fn usable(&self, now: Instant, failures: u32) -> bool {
-        let trial = self.until.is_some() && self.streak >= failures;
+    /// Returns `true` if the backend server may be selected.
+    ///
+    /// After an ejection it gets one call at a time until a call succeeds.
+    pub(super) fn usable(&self, now: Instant, failure_threshold: u32) -> bool {
+        let trial = self.ejected_until.is_some() && self.failure_streak >= failure_threshold;
         !self.ejected(now) && (!trial || self.running == 0)
     }
 
-    /// Returns the share of its picks that it gets, rising over the slow start.
-    pub(super) fn warmth(&self, now: Instant, slow_start: Duration) -> f64 {
-        match self.since {
-            Some(since) if now.since(since) < slow_start => {
-                let share = now.since(since).as_secs_f64() / slow_start.as_secs_f64();
-                share.max(SLOW_FLOOR)
+    /// Returns the share of its regular load that the backend server gets, which rises during slow
+    /// start.
+    pub(super) fn slow_start_share(&self, now: Instant, slow_start: Duration) -> f64 {
+        match self.discovered {
+            Some(discovered) if now.since(discovered) < slow_start => {
+                let share = now.since(discovered).as_secs_f64() / slow_start.as_secs_f64();
+                share.max(MIN_SLOW_START_SHARE)
             }
             _ => 1.0,
         }
     }
 
-    /// Returns the last usage heard of, decayed by its age.
+    /// Returns the last reported usage, decayed by its age.
     pub(super) fn usage(&self, now: Instant, age: Duration) -> f64 {
-        self.usage * decay(now.since(self.loaded), age)
+        self.usage * decay(now.since(self.usage_at), age)
     }
 
-    /// Tells whether it had no room for a long answer of late.
+    /// Returns `true` if the link recently had no room for a long response.
     pub(super) fn is_link_busy(&self, now: Instant) -> bool {
         self.link_busy
-            .is_some_and(|then| now.since(then) < LINK_MEMORY)
+            .is_some_and(|then| now.since(then) < LINK_BUSY_PERIOD)
     }
 
-    /// Tells whether it has said that it takes nothing of this node yet.
-    pub(super) fn is_held(&self, now: Instant) -> bool {
-        self.held.is_some_and(|until| now < until)
+    /// Returns `true` while the guard's rate limit allows no requests of this node.
+    pub(super) fn is_rate_limited(&self, now: Instant) -> bool {
+        self.limited_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the latency, decayed so that a slow one is looked at again.
+    /// Returns the latency, decayed so that a slow backend server is tried again.
     pub(super) fn latency(&self, now: Instant, s: &BalanceSettings) -> Option<f64> {
-        let fresh = decay(now.since(self.heard), s.memory);
+        let fresh = decay(now.since(self.latency_at), s.decay_time);
         self.latency.map(|latency| latency * fresh)
     }
 
-    /// Returns the cost of one more call that takes `latency`.
+    /// Returns the cost of one more call with an expected latency of `latency`.
     pub(super) fn score(&self, now: Instant, latency: f64, s: &BalanceSettings) -> f64 {
         let waiting = f64::from(self.running) + 1.0;
         let usage = 1.0 + s.load_weight * self.usage(now, s.load_decay);
-        let failing = 1.0 + FAILURE_COST * self.failing(now, s.memory);
-        waiting * latency * usage * failing
+        let failure_rate = 1.0 + FAILURE_RATE_WEIGHT * self.failure_rate(now, s.decay_time);
+        waiting * latency * usage * failure_rate
     }
 
-    /// Returns the time to expect for one more call in targets; `mean_pace` stands in for a pace
-    /// that was not told yet.
+    /// Returns the expected latency of one more call in multiples of the target.
     ///
-    /// Calls run side by side until the slots are taken, so the load counts little before.
+    /// `mean_pace` is used if the backend server has not reported a pace. Calls run concurrently
+    /// until the slots are taken, so a low load has little effect.
     pub(super) fn expected(
         &self,
         now: Instant,
@@ -240,39 +249,43 @@
         let pace = self.pace.map_or(mean_pace, Pace::quotient);
         let own = f64::from(self.running) / f64::from(slots.max(1));
         let usage = self.usage(now, s.load_decay).max(own);
-        let failing = 1.0 + FAILURE_COST * self.failing(now, s.memory);
-        pace * (1.0 + usage.powi(USAGE_POWER)) * failing
+        let failure_rate = 1.0 + FAILURE_RATE_WEIGHT * self.failure_rate(now, s.decay_time);
+        pace * (1.0 + usage.powi(USAGE_EXPONENT)) * failure_rate
     }
 
-    /// Returns the share of failed calls, decayed so that a failing one is tried again.
-    fn failing(&self, now: Instant, memory: Duration) -> f64 {
-        self.failing * decay(now.since(self.judged), memory)
+    /// Returns the failure rate, decayed so that a failing backend server is tried again.
+    fn failure_rate(&self, now: Instant, decay_time: Duration) -> f64 {
+        self.failure_rate * decay(now.since(self.result_at), decay_time)
     }
 
-    fn judge(&mut self, now: Instant, failed: f64, memory: Duration) {
-        let old = self.failing(now, memory);
-        self.failing = old + FAILURE_WEIGHT * (failed - old);
-        self.judged = now;
+    fn record_result(&mut self, now: Instant, failed: f64, decay_time: Duration) {
+        let old = self.failure_rate(now, decay_time);
+        self.failure_rate = old + SAMPLE_WEIGHT * (failed - old);
+        self.result_at = now;
     }
 
-    fn learn(&mut self, now: Instant, latency: Duration, memory: Duration) {
+    fn record_latency(&mut self, now: Instant, latency: Duration, decay_time: Duration) {
         let new = latency.as_secs_f64();
         let old = self.latency.unwrap_or(new);
-        let keep = decay(now.since(self.heard), memory).min(1.0 - FAILURE_WEIGHT);
+        let keep = decay(now.since(self.latency_at), decay_time).min(1.0 - SAMPLE_WEIGHT);
         self.latency = Some(old * keep + new * (1.0 - keep));
-        self.heard = now;
+        self.latency_at = now;
     }
 
-    fn recover(&mut self, now: Instant, longest: Duration) {
-        self.streak = 0;
-        if self.until.is_some_and(|until| now.since(until) >= longest) {
-            self.until = None;
+    fn reset_failures(&mut self, now: Instant, max_ejection: Duration) {
+        self.failure_streak = 0;
+        if self
+            .ejected_until
+            .is_some_and(|until| now.since(until) >= max_ejection)
+        {
+            self.ejected_until = None;
             self.ejections = 0;
         }
     }
 }
 
-/// Returns what is left of 1 after `age`, when `constant` leaves 1/e.
+/// Returns the weight of a value of this `age` under exponential decay with time constant
+/// `constant`.
 fn decay(age: Duration, constant: Duration) -> f64 {
     let constant = constant.as_secs_f64().max(f64::MIN_POSITIVE);
     (-age.as_secs_f64() / constant).exp()
--- a/crates/swiftcart-core/src/balance/pick_requirements.rs
+++ b/crates/swiftcart-core/src/balance/pick_requirements.rs
@@ -1,23 +1,23 @@
-//! What a request asks of the backend server that is chosen for it.
+//! Requirements of a request on its backend server.
 
 use super::Payload;
 use crate::AllowedRegions;
 
-/// Says what a request asks of a backend server besides its service.
+/// Requirements of a request on its backend server, apart from the service.
 ///
 /// # Examples
 ///
 /// ```
 /// use swiftcart_core::{Payload, PickRequirements};
 ///
-/// let need = PickRequirements::from(Payload::Heavy);
-/// assert!(need.regions.is_everywhere());
+/// let requirements = PickRequirements::from(Payload::Heavy);
+/// assert!(requirements.regions.is_everywhere());
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct PickRequirements {
-    /// How much the request and its answer weigh on the way.
+    /// Size class of the request and its response.
     pub payload: Payload,
-    /// The regions to which it may be sent.
+    /// Regions to which the request may be sent.
     pub regions: AllowedRegions,
 }
 
--- a/crates/swiftcart-core/src/balance/sample.rs
+++ b/crates/swiftcart-core/src/balance/sample.rs
@@ -1,22 +1,22 @@
-//! What one finished call tells of a backend server.
+//! Measurements taken from one finished call.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Holds a guard's load, as its answers carry it back.
+/// Load of a guard, as reported in its responses.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that the backend server runs.
+    /// Requests that the backend server is executing.
     pub running: u32,
-    /// Requests that wait at the guard.
+    /// Requests queued at the guard.
     pub queued: u32,
-    /// Requests that the guard lets run at once.
+    /// Concurrency limit of the guard.
     pub limit: u32,
 }
 
 impl Load {
-    /// Returns the requests per place; 1 and above means that a new one waits.
+    /// Returns the requests per slot. A new request has to wait at 1 and above.
     ///
     /// # Examples
     ///
@@ -31,17 +31,17 @@
     }
 }
 
-/// Tells how long a backend server's calls take, in thousandths of the time within which
-/// their answers are worth most.
+/// Latency of a backend server relative to the target latency of its calls, in thousandths.
 ///
-/// Calls of one service differ in length, and so do the times set for them; the quotient
-/// compares backend servers whatever calls each of them happened to get.
+/// The target is the time within which a response has its full value. Calls of one service differ
+/// in length and in target, so the ratio makes backend servers comparable whatever calls each of
+/// them has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Pace(pub u32);
 
 impl Pace {
-    /// Returns the quotient.
+    /// Returns the ratio of latency to target.
     ///
     /// # Examples
     ///
@@ -53,47 +53,48 @@
         f64::from(self.0) / 1000.0
     }
 
-    /// Creates a pace from the quotient.
+    /// Creates a pace from the ratio of latency to target.
     #[must_use]
     pub fn from_quotient(quotient: f64) -> Self {
         Self((quotient * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32)
     }
 }
 
-/// Tells how one call at a backend server ended.
+/// Result of one call to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallResult {
-    /// A whole answer came.
+    /// A complete response arrived.
     Success,
-    /// A broken answer, or none in time.
+    /// The response was incomplete or did not arrive in time.
     Failure,
-    /// No connection was made; others are likely to find none either.
+    /// The connection failed. Other nodes are likely to be unable to connect either.
     Unreachable,
-    /// The guard did not take the call; the backend server is not to blame.
+    /// The guard refused the call. The backend server is not at fault.
     Refused,
-    /// The guard has no room for a long answer on its link; others may have a place there.
+    /// The guard's link has no room for a long response. Short ones may still be accepted.
     LinkBusy,
-    /// The backend server answered that it has failed; calls that it made may be to blame.
+    /// The backend server responded with an error, which one of its own calls may have caused.
     ErrorResponse,
-    /// The caller went away, or the call was given up; nothing is learnt.
+    /// The caller disconnected or the call was cancelled. The result has no effect on the
+    /// statistics.
     Cancelled,
 }
 
-/// Holds what one finished call tells.
+/// Measurements of one finished call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Sample {
-    /// The time from the hand-over to the end of the answer.
+    /// Time from sending the request to the end of the response.
     pub latency: Duration,
-    /// How it ended.
+    /// Result of the call.
     pub result: CallResult,
-    /// The load that the answer carried.
+    /// Load reported in the response.
     pub load: Option<Load>,
-    /// The backend server's pace, as the answer carried it.
+    /// Pace of the backend server, as reported in the response.
     pub pace: Option<Pace>,
-    /// The time within which the answer was worth most.
+    /// Target latency of the call: the time within which the response has its full value.
     pub target: Option<Duration>,
-    /// When the guard takes the next request of this node, where a rate bounds what it takes.
-    pub again: Option<Duration>,
+    /// Time until the guard accepts the next request of this node, if a rate limit applies.
+    pub retry_after: Option<Duration>,
 }
 
 impl Sample {
@@ -106,32 +107,32 @@
             load: None,
             pace: None,
             target: None,
-            again: None,
+            retry_after: None,
         }
     }
 
-    /// Adds when the guard takes the next request.
+    /// Sets the time until the guard accepts the next request.
     #[must_use]
-    pub const fn with_retry_after(mut self, again: Option<Duration>) -> Self {
-        self.again = again;
+    pub const fn with_retry_after(mut self, retry_after: Option<Duration>) -> Self {
+        self.retry_after = retry_after;
         self
     }
 
-    /// Adds the pace that the answer carried.
+    /// Sets the pace reported in the response.
     #[must_use]
     pub const fn with_pace(mut self, pace: Pace) -> Self {
         self.pace = Some(pace);
         self
     }
 
-    /// Adds the time within which the answer was worth most.
+    /// Sets the target latency of the call.
     #[must_use]
     pub const fn with_target(mut self, target: Duration) -> Self {
         self.target = Some(target);
         self
     }
 
-    /// Adds the load that the answer carried.
+    /// Sets the load reported in the response.
     #[must_use]
     pub const fn with_load(mut self, load: Load) -> Self {
         self.load = Some(load);
--- a/crates/swiftcart-core/src/balance/unreachable_domains.rs
+++ b/crates/swiftcart-core/src/balance/unreachable_domains.rs
@@ -1,52 +1,59 @@
-//! Failure domains to which no connection opens, as this node's own requests find them.
+//! Detection of unreachable failure domains from failed connections.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::{DomainTag, Instant, NodeId};
 
-/// The nodes of one failure domain to which no connection opened that tell of a cut. One dead
-/// node is no cut; two at once are one in most cases, and are little loss otherwise.
-const TELLING: usize = 2;
+/// Failed nodes of one failure domain after which the whole domain is considered unreachable.
+///
+/// A single failed node is not conclusive. Two at once usually mean that the domain is cut off, and
+/// skipping the domain costs little if it is not.
+const MIN_FAILED_NODES: usize = 2;
 
-/// How long a failed connection counts, and how long its failure domain is left out then. Each
-/// try at a domain that is cut off costs a request the time to connect; the membership takes
-/// 1.2 s to name it.
-const MEMORY: Duration = Duration::from_secs(1);
+/// Time for which a failed connection counts, and for which its failure domain is then skipped.
+///
+/// Each request sent to an unreachable domain loses the time of a connection attempt. The
+/// membership takes 1.2 s to detect that a domain is cut off.
+const FAILURE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Holds the failure domains that this node's requests did not reach lately.
+/// Failure domains to which connections of this node have recently failed.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub(super) struct UnreachableDomains {
-    domains: HashMap<DomainTag, Cut>,
+    domains: HashMap<DomainTag, DomainFailures>,
 }
 
 #[derive(Debug, Default, Clone, PartialEq)]
-struct Cut {
-    /// The nodes to which no connection opened, and when.
-    failed: Vec<(NodeId, Instant)>,
-    until: Option<Instant>,
+struct DomainFailures {
+    /// Nodes to which a connection failed, with the time of the last failure.
+    failed_nodes: Vec<(NodeId, Instant)>,
+    skipped_until: Option<Instant>,
 }
 
 impl UnreachableDomains {
-    /// Notes that no connection to `node` opened.
-    pub(super) fn failed(&mut self, domain: DomainTag, node: NodeId, now: Instant) {
-        let cut = self.domains.entry(domain).or_default();
-        cut.failed
-            .retain(|(id, at)| *id != node && now.since(*at) < MEMORY);
-        cut.failed.push((node, now));
-        if cut.failed.len() >= TELLING {
-            cut.until = Some(now + MEMORY);
+    /// Records a failed connection to `node`.
+    pub(super) fn record_failure(&mut self, domain: DomainTag, node: NodeId, now: Instant) {
+        let failures = self.domains.entry(domain).or_default();
+        failures
+            .failed_nodes
+            .retain(|(id, at)| *id != node && now.since(*at) < FAILURE_WINDOW);
+        failures.failed_nodes.push((node, now));
+        if failures.failed_nodes.len() >= MIN_FAILED_NODES {
+            failures.skipped_until = Some(now + FAILURE_WINDOW);
         }
     }
 
-    /// Notes an answer of a node of `domain`.
-    pub(super) fn reached(&mut self, domain: DomainTag) {
+    /// Records a response from a node of `domain`.
+    pub(super) fn record_success(&mut self, domain: DomainTag) {
         self.domains.remove(&domain);
     }
 
-    /// Tells whether `domain` is left out.
-    pub(super) fn is_cut(&self, domain: DomainTag, now: Instant) -> bool {
-        let until = self.domains.get(&domain).and_then(|cut| cut.until);
-        until.is_some_and(|until| now < until)
+    /// Returns `true` if `domain` is to be skipped.
+    pub(super) fn is_unreachable(&self, domain: DomainTag, now: Instant) -> bool {
+        let skipped_until = self
+            .domains
+            .get(&domain)
+            .and_then(|failures| failures.skipped_until);
+        skipped_until.is_some_and(|until| now < until)
     }
 }
