--- a/crates/swiftcart-core/src/slot_search.rs
+++ b/crates/swiftcart-core/src/slot_search.rs
@@ -1,33 +1,35 @@
-//! The search of one request for a guard that has a place.
+//! Search of one request for a guard with a free slot.
 
 use crate::{NodeId, Patience, Payload, Pick, PickRule, Reason};
 
-/// Guards that are asked for a place before the request waits at one of them. Of three that
-/// are chosen by their load, one has a place as long as a tenth of the slots are free.
-const MOST_ASKED: usize = 3;
+/// Maximum number of guards that are asked for a free slot before the request queues at one. Of
+/// three guards selected by load, one has a free slot as long as a tenth of all slots are free.
+const MAX_ASKED_GUARDS: usize = 3;
 
-/// Tells how far the search is.
+/// Stage of the search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// Guards are asked whether they have a place.
+    /// Guards are asked for a free slot, without queueing.
     Ask,
-    /// None of those asked had one: the request waits at one guard after the other.
-    Wait,
-    /// A long body has waited in vain: the other guards are asked before it is refused.
-    Rest,
+    /// None of the guards asked had a free slot. The request queues at one guard after another.
+    Queue,
+    /// A request with a long body has queued without success. The remaining guards are asked before
+    /// the request is refused.
+    AskRemaining,
 }
 
-/// Decides which guards one request asks, and at which ones it waits.
+/// Search of one request for a guard with a free slot.
 ///
-/// What a node knows of the load elsewhere is as old as its last answer from there. So it
-/// asks guards that are believed to have a place instead of waiting at the first one: one
-/// without a place says so at once, and another one often has one. When none is believed to
-/// have one any more, the request waits; under overload it does so from the start.
+/// A node learns the load of a guard from the guard's last response, which may be out of date. The
+/// request therefore first asks guards that are believed to have a free slot, without queueing at
+/// them. A guard without a free slot refuses at once, and another one often has a free slot. When
+/// no more guards are believed to have one, the request queues. Under overload it queues from the
+/// start.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{SlotSearch, Payload, NodeId, Patience, Pick, PickRule, Reason};
+/// use swiftcart_core::{NodeId, Patience, Payload, Pick, PickRule, Reason, SlotSearch};
 ///
 /// let guard = |n| NodeId(([10, 0, 0, n], 7000).into());
 /// let pick = |n| Pick { id: guard(n), peer: guard(n).0, rule: PickRule::Near, free: true };
@@ -37,26 +39,26 @@
 ///     assert_eq!(slot_search.patience(), Patience::Short);
 ///     slot_search.failed(guard(n), Reason::Overloaded);
 /// }
-/// assert!(slot_search.switch_to_queueing(None), "nobody is left to ask");
+/// assert!(slot_search.switch_to_queueing(None), "no guard is left to ask");
 /// assert_eq!((slot_search.patience(), slot_search.excluded()), (Patience::Full, &[][..]));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotSearch {
     stage: Stage,
     payload: Payload,
-    /// The guards that the request was sent to and that are not to be asked again.
+    /// Guards that have failed and are not asked again.
     excluded: Vec<NodeId>,
-    /// Those of them that only had no place.
+    /// Guards among `excluded` that refused only because they were full.
     full: Vec<NodeId>,
 }
 
 impl SlotSearch {
-    /// Starts the search among `candidates` guards; a single one is not asked twice.
+    /// Creates a search among `candidates` guards. With a single one the request queues at once.
     #[must_use]
     pub const fn new(candidates: usize, payload: Payload) -> Self {
         Self {
             stage: match candidates {
-                0 | 1 => Stage::Wait,
+                0 | 1 => Stage::Queue,
                 _ => Stage::Ask,
             },
             payload,
@@ -65,59 +67,61 @@
         }
     }
 
-    /// Waits at the first guard, for requests of routes without a policy.
+    /// Creates a search that queues at the first guard, for requests of routes without a policy.
     #[must_use]
     pub const fn queueing() -> Self {
         Self {
-            stage: Stage::Wait,
+            stage: Stage::Queue,
             payload: Payload::Light,
             excluded: Vec::new(),
             full: Vec::new(),
         }
     }
 
-    /// Tells how long the next guard may let the request wait.
+    /// Returns how long the request may queue at the next guard.
     #[must_use]
     pub const fn patience(&self) -> Patience {
         match self.stage {
-            Stage::Ask | Stage::Rest => Patience::Short,
-            Stage::Wait => Patience::Full,
+            Stage::Ask | Stage::AskRemaining => Patience::Short,
+            Stage::Queue => Patience::Full,
         }
     }
 
-    /// Returns the guards that are left out of the choice of the next one.
+    /// Returns the guards to exclude from the selection of the next one.
     #[must_use]
     pub fn excluded(&self) -> &[NodeId] {
         &self.excluded
     }
 
-    /// Tells whether the request is to wait now, instead of asking at `next`; the choice is
-    /// then made anew, among those that had no place as well.
+    /// Switches from asking to queueing if `next` is not worth asking, and returns `true` if so.
+    ///
+    /// The guard then has to be selected again, because the full guards are no longer excluded.
     pub fn switch_to_queueing(&mut self, next: Option<&Pick>) -> bool {
         let heavy = self.payload == Payload::Heavy;
-        let asked = match next {
+        let exhausted = match next {
             None => !self.full.is_empty(),
-            Some(pick) if !pick.free || self.full.len() >= MOST_ASKED => true,
+            Some(pick) if !pick.free || self.full.len() >= MAX_ASKED_GUARDS => true,
             Some(pick) => {
-                let stays = heavy && pick.rule == PickRule::Spill || pick.rule == PickRule::Remote;
-                stays && !self.full.is_empty()
+                let stays_local =
+                    heavy && pick.rule == PickRule::Spill || pick.rule == PickRule::Remote;
+                stays_local && !self.full.is_empty()
             }
         };
-        let switch_to_queueing = self.stage == Stage::Ask && asked;
-        if switch_to_queueing {
-            self.stage = Stage::Wait;
+        let switches = self.stage == Stage::Ask && exhausted;
+        if switches {
+            self.stage = Stage::Queue;
             let full = std::mem::take(&mut self.full);
             self.excluded.retain(|id| !full.contains(id));
         }
-        switch_to_queueing
+        switches
     }
 
-    /// Waits from now on, for a request that may go to no other guard than before.
+    /// Queues from now on, for a request that may only be sent to the same guards again.
     pub const fn settle(&mut self) {
-        self.stage = Stage::Wait;
+        self.stage = Stage::Queue;
     }
 
-    /// Notes that the try at `guard` failed for `reason`.
+    /// Records that the attempt at `guard` failed for `reason`.
     pub fn failed(&mut self, guard: NodeId, reason: Reason) {
         self.excluded.push(guard);
         let full = matches!(
@@ -126,7 +130,7 @@
         );
         match (self.stage, self.payload) {
             (Stage::Ask, _) if full => self.full.push(guard),
-            (Stage::Wait, Payload::Heavy) if full => self.stage = Stage::Rest,
+            (Stage::Queue, Payload::Heavy) if full => self.stage = Stage::AskRemaining,
             _ => {}
         }
     }
