--- a/crates/swiftcart-core/src/budget.rs
+++ b/crates/swiftcart-core/src/budget.rs
@@ -1,35 +1,36 @@
-//! A budget of retries that all nodes of a mesh keep together, without a message.
+//! Retry budget of a whole mesh, enforced by each node without coordination.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::{Instant, ServiceName};
 
-/// The part of the mesh's budget that retries of refused requests may use.
+/// Fraction of the mesh's budget available to retries of refused requests.
 ///
-/// The rest is for what the nodes count too late: the calls that backend servers make while
-/// they execute retries count as well, and come after the retries were allowed. With 0.85 a
-/// day at 71 instances reached 1.06 of its budget.
+/// The rest is reserved for retries that the nodes count late: calls made by backend servers while
+/// executing a retry also count, but only after the retry was allowed. With a fraction of 0.85 a
+/// mesh of 71 instances used 1.06 times its budget in a day.
 const REFUSED_SHARE: f64 = 0.5;
 
-/// The part of it that retries of refused requests may use which must not be executed twice.
+/// Fraction of the mesh's budget available to retries of refused non-idempotent requests.
 ///
-/// What lies above the share of the others is theirs alone: their callers may repeat them
-/// after a refusal only, and they weigh twice as much on all of the users' routes.
-const REFUSED_ONCE_SHARE: f64 = 0.7;
+/// The part above the fraction for other refused requests is reserved for these requests, because
+/// their callers may repeat them only after a refusal and they weigh twice as much on all user
+/// routes.
+const REFUSED_NON_IDEMPOTENT_SHARE: f64 = 0.7;
 
-/// The part of it that retries of failed requests may use. Each of them executes the
-/// request once more, with all its calls.
+/// Fraction of the mesh's budget available to retries of failed requests. Each of these retries
+/// executes the request again, with all its calls.
 const FAILED_SHARE: f64 = 0.3;
 
-/// Tells what became of the try before a retry.
+/// Outcome of the attempt before a retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RetryCause {
-    /// The backend server did not execute it.
+    /// The backend server did not execute the request.
     Refused,
-    /// The backend server did not execute it, and it must not be executed twice.
+    /// The backend server did not execute the request, which must not be executed twice.
     RefusedNonIdempotent,
-    /// It was executed, or may have been.
+    /// The request was executed, or may have been.
     Failed,
 }
 
@@ -37,35 +38,37 @@
     const fn share(self) -> f64 {
         match self {
             Self::Refused => REFUSED_SHARE,
-            Self::RefusedNonIdempotent => REFUSED_ONCE_SHARE,
+            Self::RefusedNonIdempotent => REFUSED_NON_IDEMPOTENT_SHARE,
             Self::Failed => FAILED_SHARE,
         }
     }
 }
 
-/// Sets the budget of the whole mesh at each service.
+/// Settings for the retry budget of the whole mesh, which applies to each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MeshRetryBudgetSettings {
-    /// Retries for each request, over the window.
+    /// Retries allowed per request within the window.
     pub share: f64,
-    /// Retries in the window that are there whatever the load, over all nodes.
+    /// Retries allowed within the window regardless of the load, over all nodes.
     pub floor: f64,
-    /// The window, in seconds.
+    /// Length of the sliding window in seconds.
     pub window_s: u32,
 }
 
-/// Bounds this node's part of the retries at each service over a sliding window.
+/// Share of one node in the mesh's retry budget for each service, over a sliding window.
 ///
-/// A node may use the share of the requests that it took itself, and the floor divided by
-/// the number of live nodes; so the sum over all nodes stays below the mesh's budget while
-/// they agree on that number. The calls that a backend server makes while it executes a
-/// retry are retries as well; nobody can tell them from first calls, so each call counts
-/// by the share of retries among what the backend server beside the node is executing.
+/// A node may use the share of the requests that it accepted itself, plus the floor divided by the
+/// number of live nodes. The sum over all nodes therefore stays below the mesh's budget while the
+/// nodes agree on that number. Calls that a backend server makes while executing a retry count as
+/// retries too, but cannot be told apart from first calls. Each call is therefore weighted with the
+/// share of retries among the requests that the local backend server is executing.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{MeshRetryBudget, MeshRetryBudgetSettings, Instant, RetryCause, ServiceName};
+/// use swiftcart_core::{
+///     Instant, MeshRetryBudget, MeshRetryBudgetSettings, RetryCause, ServiceName,
+/// };
 ///
 /// let settings = MeshRetryBudgetSettings { share: 0.2, floor: 4.0, window_s: 10 };
 /// let mut budget = MeshRetryBudget::new(settings);
@@ -79,13 +82,13 @@
     services: BTreeMap<ServiceName, Window>,
 }
 
-/// What happened at one service in each second of the window.
+/// Requests and retries at one service in each second of the window.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Window {
-    /// The number of the current second.
+    /// Number of the current second.
     second: u64,
     current: Counts,
-    /// The seconds before it, the oldest first.
+    /// Counts of the preceding seconds, oldest first.
     past: VecDeque<Counts>,
 }
 
@@ -96,7 +99,7 @@
 }
 
 impl MeshRetryBudget {
-    /// Creates the budget of a node that has taken nothing yet.
+    /// Creates a budget of which nothing has been used.
     #[must_use]
     pub const fn new(settings: MeshRetryBudgetSettings) -> Self {
         Self {
@@ -105,14 +108,15 @@
         }
     }
 
-    /// Counts a request for `service`, which may be a call of a retry by the chance `repeated`.
+    /// Records a request for `service`, which is part of a retry with probability `repeated`.
     pub fn first(&mut self, now: Instant, service: &ServiceName, repeated: f64) {
-        let counts = self.second(now, service);
+        let counts = self.current_counts(now, service);
         counts.requests = counts.requests.saturating_add(1);
         counts.retries += repeated;
     }
 
-    /// Takes one retry at `service` out of the budget, if `nodes` live nodes leave one.
+    /// Takes one retry at `service` out of the budget and returns `true` if this node's share, with
+    /// `nodes` live nodes, has one left.
     pub fn take(
         &mut self,
         now: Instant,
@@ -121,23 +125,23 @@
         cause: RetryCause,
     ) -> bool {
         let settings = self.settings;
-        self.second(now, service);
+        self.current_counts(now, service);
         let Some(window) = self.services.get(service) else {
             return false;
         };
         let total = window.total();
         let own = settings.share * f64::from(total.requests);
         let floor = settings.floor / nodes.max(1) as f64;
-        let there = total.retries + 1.0 <= cause.share() * (own + floor);
-        if there {
-            let counts = self.second(now, service);
+        let available = total.retries + 1.0 <= cause.share() * (own + floor);
+        if available {
+            let counts = self.current_counts(now, service);
             counts.retries += 1.0;
         }
-        there
+        available
     }
 
-    /// Returns the counts of the current second, after moving the window up to it.
-    fn second(&mut self, now: Instant, service: &ServiceName) -> &mut Counts {
+    /// Advances the window to the current second and returns the counts of that second.
+    fn current_counts(&mut self, now: Instant, service: &ServiceName) -> &mut Counts {
         let length = u64::from(self.settings.window_s.max(1));
         let window = self.services.entry(service.clone()).or_default();
         window.advance(now.elapsed(), length);
--- a/crates/swiftcart-core/src/retry.rs
+++ b/crates/swiftcart-core/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: who may try again, how often, and from which budget.
+//! Retries: eligibility, limits and budgets.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,18 +7,18 @@
 use crate::rate::Bucket;
 use crate::{Deadline, HOP_ALLOWANCE, Instant, NodeId, Outcome, Reason};
 
-/// The tries that one call gets over all its levels.
+/// Maximum number of attempts of one call over all levels of the call chain.
 pub const MAX_ATTEMPTS: u8 = 3;
 
-/// Counts the tries that were made of a call before this one, over all levels.
+/// Number of attempts of a call that preceded this one, over all levels of the call chain.
 ///
-/// It travels with the call. A level that gets a call with an attempt above
+/// The number is forwarded with the call. A level that receives a call with an attempt above
 /// [`Attempt::FIRST`] does not retry it.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub u8);
 
 impl Attempt {
-    /// The first try of a call.
+    /// First attempt of a call.
     pub const FIRST: Self = Self(0);
 }
 
@@ -36,21 +36,21 @@
     }
 }
 
-/// Describes a try that failed.
+/// Failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Failure {
-    /// Why it failed.
+    /// Reason for the failure.
     pub reason: Reason,
-    /// Whether the answer says that a level below has retried already.
+    /// `true` if the response says that a lower level has already retried.
     pub retried: bool,
 }
 
-/// Counts the tries that this level makes of one call.
+/// Retry state of one call at this level of the call chain.
 ///
-/// Only one level of a call retries: the one that sees the first failure. Below
-/// it the attempt number is above 0, and above it the answer is marked as
-/// retried. So a call through any number of levels reaches the lowest one at
-/// most [`MAX_ATTEMPTS`] times, where retries at each level would multiply.
+/// Only the level that sees the first failure of a call retries it. Levels below it receive an
+/// attempt number above 0, and levels above it receive a response marked as retried. The lowest
+/// level is therefore reached at most [`MAX_ATTEMPTS`] times, whatever the number of levels. If
+/// every level retried, the attempts would multiply.
 ///
 /// # Examples
 ///
@@ -63,10 +63,10 @@
 /// let now = Instant::from_millis(0);
 /// let due = Deadline::new(now, Duration::from_secs(1));
 /// let mut budget = RetryBudget::new(now, RetrySettings::default());
-/// let mut tries = RetryState::new(Attempt::FIRST);
+/// let mut state = RetryState::new(Attempt::FIRST);
 /// let failure = Failure { reason: Reason::Draining, retried: false };
-/// assert_eq!(tries.retry(now, failure, false, due, &mut budget), Ok(Attempt(1)));
-/// assert!(tries.retried());
+/// assert_eq!(state.retry(now, failure, false, due, &mut budget), Ok(Attempt(1)));
+/// assert!(state.retried());
 ///
 /// let mut below = RetryState::new(Attempt(1));
 /// let refused = below.retry(now, failure, false, due, &mut budget);
@@ -75,38 +75,41 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RetryState {
     received: Attempt,
-    extra: u8,
+    retries: u8,
 }
 
 impl RetryState {
-    /// Creates the count for a call that came with `received`.
+    /// Creates the state of a call that arrived with attempt number `received`.
     #[must_use]
     pub const fn new(received: Attempt) -> Self {
-        Self { received, extra: 0 }
+        Self {
+            received,
+            retries: 0,
+        }
     }
 
-    /// Returns the attempt to send with the current try.
+    /// Returns the attempt number to send with the current attempt.
     #[must_use]
     pub const fn attempt(self) -> Attempt {
-        Attempt(self.received.0.saturating_add(self.extra))
+        Attempt(self.received.0.saturating_add(self.retries))
     }
 
-    /// Tells whether the answer has to be marked as retried.
+    /// Returns `true` if the response has to be marked as retried.
     #[must_use]
     pub const fn retried(self) -> bool {
-        self.extra > 0
+        self.retries > 0
     }
 
-    /// Decides whether the call may be tried again, and counts the try if so.
+    /// Decides whether the call may be retried, and counts the retry if so.
     ///
-    /// `idempotent` says whether the request may run twice without harm. A try
-    /// that may have run is repeated only then.
+    /// `idempotent` is `true` if the request may be executed twice without harm. An attempt that
+    /// may have been executed is retried only in this case.
     ///
     /// # Errors
     ///
-    /// The reason why it may not: [`Reason::TriesSpent`], [`Reason::NotIdempotent`],
-    /// [`Reason::DeadlinePassed`], [`Reason::RetryBudget`], or the failure's own
-    /// reason when no other try could go better.
+    /// Returns the reason why the call may not be retried: [`Reason::TriesSpent`],
+    /// [`Reason::NotIdempotent`], [`Reason::DeadlinePassed`], [`Reason::RetryBudget`], or the
+    /// reason of the failure itself if a retry cannot succeed.
     pub fn retry(
         &mut self,
         now: Instant,
@@ -116,123 +119,127 @@
         budget: &mut RetryBudget,
     ) -> Result<Attempt, Reason> {
         match failure.reason {
-            reason if !goes_better(reason) => Err(reason),
+            reason if !is_retryable(reason) => Err(reason),
             _ if failure.retried || self.received > Attempt::FIRST => Err(Reason::TriesSpent),
-            _ if self.extra + 1 >= MAX_ATTEMPTS => Err(Reason::TriesSpent),
+            _ if self.retries + 1 >= MAX_ATTEMPTS => Err(Reason::TriesSpent),
             reason if reason.outcome() == Outcome::Unknown && !idempotent => {
                 Err(Reason::NotIdempotent)
             }
             _ if due.misses(now, HOP_ALLOWANCE) => Err(Reason::DeadlinePassed),
             _ if !budget.take(now) => Err(Reason::RetryBudget),
             _ => {
-                self.extra += 1;
+                self.retries += 1;
                 Ok(self.attempt())
             }
         }
     }
 }
 
-/// The tries beyond the first that guards may refuse before a request is given up.
+/// Maximum number of retries of one request after refusals by guards.
 ///
-/// A guard's refusal costs a round trip and nothing at a backend server, so that it draws
-/// on no budget; but under overload every guard refuses.
+/// A refusal by a guard costs a round trip but no work at a backend server, so it does not consume
+/// the retry budget. The number is limited because under overload every guard refuses.
 pub const MAX_GUARD_REFUSALS: u8 = 6;
 
-/// The times that one request is sent to backend servers at most.
+/// Maximum number of times that one request is sent to backend servers.
 ///
-/// A route's attempts bound the backend servers that a request is sent to; one that has
-/// refused to run it may be asked again.
+/// The attempts of a route limit the number of different backend servers. A backend server that
+/// refused to execute the request may be tried again.
 pub const MAX_BACKEND_SENDS: u8 = 5;
 
-/// Holds what a route's policy says of tries.
+/// Retry policy of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RetryPolicy {
-    /// Whether the request may be executed more than once.
+    /// `true` if the request may be executed more than once.
     pub idempotent: bool,
-    /// Backend servers that it may be sent to.
+    /// Maximum number of backend servers that the request may be sent to.
     pub attempts: u8,
 }
 
-/// Tells where the next try of a request may go.
+/// Target of the next attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RetryTarget {
-    /// To a backend server that was not tried.
+    /// A backend server that has not received the request.
     Other,
-    /// To one that it was sent to before; it may not be sent to any more of them.
+    /// A backend server that has already received the request, because no further ones are allowed.
     Same,
 }
 
-/// Counts the tries of one request under a route's policy.
+/// Retry state of one request under the policy of its route.
 ///
-/// Only what a backend server was sent counts against the attempts and the budget. A guard
-/// that refuses has sent nothing on.
+/// Only attempts that reached a backend server count against the attempts and the budget. A guard
+/// that refuses a request has not forwarded it.
 ///
 /// # Examples
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{Deadline, Instant, RetryTarget, NodeId, PolicyRetryState, Reason, RetryPolicy};
+/// use swiftcart_core::{
+///     Deadline, Instant, NodeId, PolicyRetryState, Reason, RetryPolicy, RetryTarget,
+/// };
 ///
 /// let now = Instant::from_millis(0);
 /// let due = Deadline::new(now, Duration::from_secs(1));
-/// let terms = RetryPolicy { idempotent: false, attempts: 1 };
+/// let policy = RetryPolicy { idempotent: false, attempts: 1 };
 /// let guard = NodeId(([10, 0, 0, 1], 7000).into());
-/// let mut tries = PolicyRetryState::default();
-/// let full = tries.retry(now, guard, Reason::QueueFull, terms, due, || false);
+/// let mut state = PolicyRetryState::default();
+/// let full = state.retry(now, guard, Reason::QueueFull, policy, due, || false);
 /// assert_eq!(full, Ok(RetryTarget::Other));
-/// assert_eq!(tries.retry(now, guard, Reason::Shed, terms, due, || true), Ok(RetryTarget::Same));
-/// let lost = tries.retry(now, guard, Reason::AnswerBroken, terms, due, || true);
+/// assert_eq!(state.retry(now, guard, Reason::Shed, policy, due, || true), Ok(RetryTarget::Same));
+/// let lost = state.retry(now, guard, Reason::AnswerBroken, policy, due, || true);
 /// assert_eq!(lost, Err(Reason::NotIdempotent));
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct PolicyRetryState {
-    /// The guards whose backend server got the request, or may have.
+    /// Guards whose backend server received, or may have received, the request.
     reached: Vec<NodeId>,
-    /// The times that a backend server got it, or may have.
+    /// Number of times that a backend server received, or may have received, the request.
     sent: u8,
-    /// Tries that a guard refused.
+    /// Attempts refused by a guard.
     refused: u8,
-    /// Whether the budget was asked for the next arrival at a backend server.
-    paid: bool,
+    /// `true` if the budget has already been charged for the next attempt that reaches a backend
+    /// server.
+    budget_charged: bool,
 }
 
 impl PolicyRetryState {
-    /// Returns the guards whose backend server got the request, or may have.
+    /// Returns the guards whose backend server received, or may have received, the request.
     #[must_use]
     pub fn reached(&self) -> &[NodeId] {
         &self.reached
     }
 
-    /// Tells whether the next try is a repeat for the backend servers.
+    /// Returns `true` if a backend server received, or may have received, an earlier attempt.
     #[must_use]
     pub const fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
-    /// Decides whether the request may be tried again after it failed for `reason` at `guard`.
+    /// Decides whether the request may be retried after it failed for `reason` at `guard`.
     ///
-    /// `budget` takes one retry out of the budget; it is called last, only when a backend
-    /// server got the request before, and once for each time that another one may get it.
+    /// `budget` takes one retry out of the budget and returns `true` if there was one. It is called
+    /// after all other checks, only if a backend server may have received an earlier attempt, and
+    /// only once for each further attempt that may reach a backend server.
     ///
     /// # Errors
     ///
-    /// The reason why it may not: [`Reason::TriesSpent`], [`Reason::NotIdempotent`],
-    /// [`Reason::DeadlinePassed`], [`Reason::RetryBudget`], or the failure's own
-    /// reason when no other try could go better.
+    /// Returns the reason why the request may not be retried: [`Reason::TriesSpent`],
+    /// [`Reason::NotIdempotent`], [`Reason::DeadlinePassed`], [`Reason::RetryBudget`], or the
+    /// reason of the failure itself if a retry cannot succeed.
     pub fn retry(
         &mut self,
         now: Instant,
         guard: NodeId,
         reason: Reason,
-        terms: RetryPolicy,
+        policy: RetryPolicy,
         due: Deadline,
         budget: impl FnOnce() -> bool,
     ) -> Result<RetryTarget, Reason> {
         self.count(guard, reason);
-        let spent = self.reached.len() >= usize::from(terms.attempts);
+        let spent = self.reached.len() >= usize::from(policy.attempts);
         match reason {
-            _ if !goes_better(reason) => Err(reason),
-            _ if reason.outcome() == Outcome::Unknown && !terms.idempotent => {
+            _ if !is_retryable(reason) => Err(reason),
+            _ if reason.outcome() == Outcome::Unknown && !policy.idempotent => {
                 Err(Reason::NotIdempotent)
             }
             _ if self.sent >= MAX_BACKEND_SENDS || self.refused > MAX_GUARD_REFUSALS => {
@@ -240,9 +247,9 @@
             }
             _ if spent && reason != Reason::Shed => Err(Reason::TriesSpent),
             _ if due.misses(now, HOP_ALLOWANCE) => Err(Reason::DeadlinePassed),
-            _ if self.sent > 0 && !self.paid && !budget() => Err(Reason::RetryBudget),
+            _ if self.sent > 0 && !self.budget_charged && !budget() => Err(Reason::RetryBudget),
             _ => {
-                self.paid = self.sent > 0;
+                self.budget_charged = self.sent > 0;
                 Ok(if spent {
                     RetryTarget::Same
                 } else {
@@ -253,31 +260,32 @@
     }
 
     fn count(&mut self, guard: NodeId, reason: Reason) {
-        if !has_arrived(reason) {
+        if !may_have_reached(reason) {
             self.refused = self.refused.saturating_add(1);
             return;
         }
         self.sent = self.sent.saturating_add(1);
-        self.paid = false;
+        self.budget_charged = false;
         if !self.reached.contains(&guard) {
             self.reached.push(guard);
         }
     }
 }
 
-/// Tells whether a try that failed so reached a backend server, or may have.
-const fn has_arrived(reason: Reason) -> bool {
+/// Returns `true` if an attempt that failed for `reason` reached, or may have reached, a backend
+/// server.
+const fn may_have_reached(reason: Reason) -> bool {
     matches!(reason, Reason::Shed) || matches!(reason.outcome(), Outcome::Unknown)
 }
 
-/// Sets how many retries a node makes.
+/// Settings for the retry budget of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetrySettings {
-    /// Retries for each first try.
+    /// Retries allowed per first attempt.
     pub share: f64,
-    /// Retries a second that are there whatever the load.
+    /// Retries allowed per second regardless of the load.
     pub floor: f64,
-    /// Retries that can be saved up.
+    /// Maximum number of retries that can accumulate.
     pub burst: f64,
 }
 
@@ -291,10 +299,10 @@
     }
 }
 
-/// Bounds a node's retries to a share of its first tries.
+/// Retry budget that limits a node's retries to a share of its first attempts.
 ///
-/// In any time the retries stay at or below
-/// `burst + floor * seconds + share * first tries`.
+/// Over any period the number of retries is at most
+/// `burst + floor * seconds + share * first attempts`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     share: f64,
@@ -311,19 +319,19 @@
         }
     }
 
-    /// Counts a first try.
+    /// Records a first attempt.
     pub const fn first(&mut self) {
         self.bucket.add(self.share);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes one retry out of the budget and returns `true` if there was one.
     pub fn take(&mut self, now: Instant) -> bool {
         self.bucket.take(now)
     }
 }
 
-/// Tells whether another try, at another guard perhaps, can end better.
-const fn goes_better(reason: Reason) -> bool {
+/// Returns `true` if another attempt, possibly at another guard, may succeed.
+const fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::NotReady
         | Reason::QueueFull
