--- a/crates/swiftcart-core/src/profile.rs
+++ b/crates/swiftcart-core/src/profile.rs
@@ -1,4 +1,4 @@
-//! What a node learns of one route from the requests that it takes there.
+//! Statistics that a node keeps about the requests of one route.
 
 mod request_age;
 mod store;
@@ -9,17 +9,17 @@
 pub use request_age::RequestAgeEstimator;
 pub use store::RouteProfiles;
 
-/// The length from which on an answer counts as long, in bytes.
+/// Minimum length in bytes of a response that counts as long.
 ///
-/// A kilobyte on the way to another failure domain costs about a hundredth of what a short answer is
-/// worth; at 32 kB it is a third, about what a late answer keeps. On a link of 15 Mbit/s others
-/// wait 17 ms behind it.
+/// A kilobyte sent to another failure domain costs about a hundredth of the value of a short
+/// response. At 32 kB the cost is a third, about the value that a late response retains. On a link
+/// of 15 Mbit/s such a response delays others by 17 ms.
 pub const HEAVY_RESPONSE_BYTES: u64 = 32 << 10;
 
-/// The weight of one answer in the mean length of a route's answers.
+/// Weight of one response in the moving average of a route's response length.
 const LENGTH_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Holds what one node has learned of a route.
+/// Statistics that a node keeps about one route.
 ///
 /// # Examples
 ///
@@ -38,26 +38,25 @@
 /// ```
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct RouteProfile {
-    given: RequestAgeEstimator,
-    /// The mean length of the answers, in bytes.
+    age_estimator: RequestAgeEstimator,
+    /// Moving average of the response length in bytes.
     length: Option<f64>,
 }
 
 impl RouteProfile {
-    /// Takes in the time that a caller gives a request, and returns for how long it has been
-    /// trying.
-    pub fn age(&mut self, given: Duration) -> Duration {
-        self.given.age(given)
+    /// Records the time limit of a request and returns how long its caller has been trying.
+    pub fn age(&mut self, time_limit: Duration) -> Duration {
+        self.age_estimator.age(time_limit)
     }
 
-    /// Takes in the length of an answer, in bytes.
+    /// Records the length of a response in bytes.
     pub fn record_response(&mut self, bytes: u64) {
         let bytes = bytes as f64;
         let mean = self.length.get_or_insert(bytes);
         *mean += LENGTH_WEIGHT * (bytes - *mean);
     }
 
-    /// Returns how much the answers weigh on the way; short as long as none was seen.
+    /// Returns the size class of the responses, which is light until a response was recorded.
     #[must_use]
     pub fn payload(&self) -> Payload {
         match self.length {
--- a/crates/swiftcart-core/src/profile/request_age.rs
+++ b/crates/swiftcart-core/src/profile/request_age.rs
@@ -1,29 +1,32 @@
-//! The time that callers give a request at their first try.
+//! Estimation of a request's age from the time limit that its caller sets.
 
 use std::time::Duration;
 
-/// The different times that are counted at once. First tries of a route come with one or a few
-/// of them; those of later tries are all different and make room for each other.
-const KEPT: usize = 8;
+/// Number of different time limits that are counted at once. First attempts of a route use one or a
+/// few time limits. The time limits of retries all differ and replace one another.
+const MAX_COUNTS: usize = 8;
 
-/// The requests after which all counts are halved, so that a change of the callers' habits
-/// shows after about as many.
-const HALVED_AFTER: u32 = 256;
+/// Number of requests after which all counts are halved, so that a change in the callers' time
+/// limits takes effect after about as many requests.
+const HALVING_INTERVAL: u32 = 256;
 
-/// The requests of one time before it counts as that of first tries. Two later tries of the same
-/// millisecond among a few hundred are common, eight of them are not.
-const LEAST_SEEN: u32 = 8;
+/// Minimum count of a time limit before it is attributed to first attempts. Two retries with the
+/// same millisecond value among a few hundred are common, eight are not.
+const MIN_COUNT: u32 = 8;
 
-/// The part of the most frequent time's count from which on another one belongs to first tries
-/// as well: callers of the same route may differ, and a refusal with a fixed time to come back
-/// makes later tries bunch up, over some milliseconds.
-const ALSO_FIRST: u32 = 3;
+/// Divisor of the highest count: a time limit with at least this fraction of it also belongs to
+/// first attempts.
+///
+/// The fraction allows for callers of one route with different time limits. It excludes retries
+/// after refusals with a fixed retry delay, whose time limits cluster within a few milliseconds.
+const FIRST_ATTEMPT_DIVISOR: u32 = 3;
 
-/// Tells by the time that is left to a request whether its caller has tried before.
+/// Estimator for the time since the first attempt of a request.
 ///
-/// A caller that comes back gives the rest of its time only, and says nothing of its first try.
-/// First tries all come with the same time, later ones with what is left of it; so the time that
-/// is most frequent is that of first tries, and what a request lacks of it is its age.
+/// A caller that retries sends only the remaining time and does not mark the request as a retry.
+/// First attempts all have the same time limit, while retries have what is left of it. The most
+/// frequent time limit is therefore the one of first attempts, and the age of a request is its
+/// difference to that limit.
 ///
 /// # Examples
 ///
@@ -32,70 +35,71 @@
 /// use swiftcart_core::RequestAgeEstimator;
 ///
 /// let ms = Duration::from_millis;
-/// let mut given = RequestAgeEstimator::default();
-/// assert_eq!(given.age(ms(700)), ms(0), "nothing is known yet");
+/// let mut estimator = RequestAgeEstimator::default();
+/// assert_eq!(estimator.age(ms(700)), ms(0), "nothing is known yet");
 /// for _ in 0..8 {
-///     given.age(ms(1_200));
+///     estimator.age(ms(1_200));
 /// }
-/// assert_eq!(given.age(ms(900)), ms(300));
-/// assert_eq!(given.age(ms(1_200)), ms(0));
-/// assert_eq!(given.age(ms(5_000)), ms(0), "more time than usual is no age");
+/// assert_eq!(estimator.age(ms(900)), ms(300));
+/// assert_eq!(estimator.age(ms(1_200)), ms(0));
+/// assert_eq!(estimator.age(ms(5_000)), ms(0), "a longer time limit than usual");
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct RequestAgeEstimator {
-    counts: Vec<Count>,
-    seen: u32,
+    counts: Vec<TimeLimitCount>,
+    recorded: u32,
 }
 
-/// How often a time was given.
+/// Number of requests with one time limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Count {
-    /// The time, in milliseconds.
+struct TimeLimitCount {
+    /// Time limit in milliseconds.
     ms: u64,
-    times: u32,
+    requests: u32,
 }
 
 impl RequestAgeEstimator {
-    /// Takes in the time that a request came with, and returns for how long its caller has been
-    /// trying; zero while that is not known.
-    pub fn age(&mut self, given: Duration) -> Duration {
-        let ms = u64::try_from(given.as_millis()).unwrap_or(u64::MAX);
+    /// Records the time limit of a request and returns the estimated time since its first attempt,
+    /// or zero while the usual time limit is not known.
+    pub fn age(&mut self, time_limit: Duration) -> Duration {
+        let ms = u64::try_from(time_limit.as_millis()).unwrap_or(u64::MAX);
         self.count(ms);
-        let Some(usual) = self.usual() else {
+        let Some(most_frequent) = self.most_frequent() else {
             return Duration::ZERO;
         };
-        let here = self.counts.iter().find(|count| count.ms == ms);
-        let first = here.is_some_and(|count| count.times * ALSO_FIRST >= usual.times);
+        let current = self.counts.iter().find(|count| count.ms == ms);
+        let first = current
+            .is_some_and(|count| count.requests * FIRST_ATTEMPT_DIVISOR >= most_frequent.requests);
         match first {
             true => Duration::ZERO,
-            false => Duration::from_millis(usual.ms.saturating_sub(ms)),
+            false => Duration::from_millis(most_frequent.ms.saturating_sub(ms)),
         }
     }
 
-    /// Returns the most frequent time, once it is known.
-    fn usual(&self) -> Option<Count> {
-        let most = self.counts.iter().max_by_key(|count| count.times)?;
-        (most.times >= LEAST_SEEN).then_some(*most)
+    /// Returns the most frequent time limit once it has been seen often enough.
+    fn most_frequent(&self) -> Option<TimeLimitCount> {
+        let highest = self.counts.iter().max_by_key(|count| count.requests)?;
+        (highest.requests >= MIN_COUNT).then_some(*highest)
     }
 
     fn count(&mut self, ms: u64) {
-        self.seen += 1;
-        if self.seen >= HALVED_AFTER {
-            self.seen = 0;
-            self.counts.iter_mut().for_each(|count| count.times /= 2);
+        self.recorded += 1;
+        if self.recorded >= HALVING_INTERVAL {
+            self.recorded = 0;
+            self.counts.iter_mut().for_each(|count| count.requests /= 2);
         }
-        let new = Count { ms, times: 1 };
-        let room = self.counts.len() < KEPT;
+        let new = TimeLimitCount { ms, requests: 1 };
+        let room = self.counts.len() < MAX_COUNTS;
         match self.counts.iter_mut().find(|count| count.ms == ms) {
-            Some(count) => count.times += 1,
+            Some(count) => count.requests += 1,
             None if room => self.counts.push(new),
-            // The rarest gives way; its count is not taken over, so that times which never come
-            // again do not add up.
+            // The rarest time limit is replaced. The new one does not inherit its count, so that
+            // time limits that occur only once do not add up.
             None => {
-                if let Some(rarest) = self.counts.iter_mut().min_by_key(|count| count.times) {
-                    match rarest.times {
+                if let Some(rarest) = self.counts.iter_mut().min_by_key(|count| count.requests) {
+                    match rarest.requests {
                         0 | 1 => *rarest = new,
-                        _ => rarest.times -= 1,
+                        _ => rarest.requests -= 1,
                     }
                 }
             }
--- a/crates/swiftcart-core/src/profile/store.rs
+++ b/crates/swiftcart-core/src/profile/store.rs
@@ -1,18 +1,18 @@
-//! The profiles of all routes that a node takes requests on.
+//! Profiles of all routes on which a node accepts requests.
 
 use std::collections::HashMap;
 
 use super::RouteProfile;
 use crate::RouteKey;
 
-/// The routes that are remembered at most; a profile takes about 250 bytes. Traffic concentrates
-/// on a few routes, and one that is forgotten is known again after some requests.
-const MOST_ROUTES: usize = 512;
+/// Maximum number of stored route profiles of about 250 bytes each. Traffic concentrates on a few
+/// routes, and the profile of a removed route is rebuilt after a few requests.
+const MAX_ROUTES: usize = 512;
 
-/// Holds what a node has learned of each route.
+/// Profiles of the routes of a node.
 ///
-/// The profiles outlive the versions of the configuration: a version that changes a route's
-/// service or its policy leaves its callers the same.
+/// Profiles are kept across configuration versions, because a version that changes the service or
+/// the policy of a route does not change its callers.
 ///
 /// # Examples
 ///
@@ -31,9 +31,9 @@
 }
 
 impl RouteProfiles {
-    /// Returns the profile of a route, an empty one when nothing is known of it.
+    /// Returns the profile of a route, which is created if it does not exist.
     pub fn of(&mut self, route: RouteKey) -> &mut RouteProfile {
-        if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(&route) {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(&route) {
             self.routes.clear();
         }
         self.routes.entry(route).or_default()
--- a/crates/swiftcart-core/src/refusal_history.rs
+++ b/crates/swiftcart-core/src/refusal_history.rs
@@ -1,21 +1,21 @@
-//! Requests that were refused and may come back.
+//! Detection of retried requests from the history of refusals.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::{HeadPrint, Instant};
 
-/// How long a request that was refused is expected; callers come back within their deadlines.
-const EXPECTED_FOR: Duration = Duration::from_secs(10);
+/// Time for which a refused request is remembered. Callers retry within their deadlines.
+const RETENTION: Duration = Duration::from_secs(10);
 
-/// The requests that are expected at most.
-const MOST: usize = 4096;
+/// Maximum number of refusals that are remembered.
+const MAX_REFUSALS: usize = 4096;
 
-/// Tells since when the caller of a request has been trying, where it was refused here before.
+/// History of refused requests, used to find the first attempt of a retried request.
 ///
-/// A caller that comes back sends the same head, and what is left of its time may be all that
-/// tells it from a first try. Each refusal is matched by one request at most: of many callers
-/// who send the same head as many count as having come back as were refused.
+/// A retry has the same head as the first attempt, and may differ from one only in its remaining
+/// time. Each refusal matches at most one later request. If many callers send the same head, no
+/// more of them count as retrying than were refused.
 ///
 /// # Examples
 ///
@@ -23,57 +23,61 @@
 /// use swiftcart_core::{HeadPrint, Instant, RefusalHistory};
 ///
 /// let at = Instant::from_millis;
-/// let mut refusal_history = RefusalHistory::new();
-/// assert_eq!(refusal_history.first_attempt(at(0), HeadPrint(7)), None);
-/// refusal_history.refused(at(5), HeadPrint(7), at(0));
-/// assert_eq!(refusal_history.first_attempt(at(300), HeadPrint(7)), Some(at(0)));
-/// assert_eq!(refusal_history.first_attempt(at(310), HeadPrint(7)), None, "another caller");
+/// let mut history = RefusalHistory::new();
+/// assert_eq!(history.first_attempt(at(0), HeadPrint(7)), None);
+/// history.refused(at(5), HeadPrint(7), at(0));
+/// assert_eq!(history.first_attempt(at(300), HeadPrint(7)), Some(at(0)));
+/// assert_eq!(history.first_attempt(at(310), HeadPrint(7)), None, "another caller");
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct RefusalHistory {
-    /// When those who were refused tried first, the earliest first.
-    expected: HashMap<HeadPrint, VecDeque<Instant>>,
-    /// What is expected, in the order of the refusals.
+    /// Times of the first attempts of refused requests, earliest first.
+    first_attempts: HashMap<HeadPrint, VecDeque<Instant>>,
+    /// Remembered refusals in the order of their time.
     order: VecDeque<(Instant, HeadPrint)>,
 }
 
 impl RefusalHistory {
-    /// Creates a memory that expects nobody.
+    /// Creates an empty history.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a refusal of a request whose caller has been trying since `first`.
+    /// Records the refusal of a request whose first attempt was at `first`.
     pub fn refused(&mut self, now: Instant, head: HeadPrint, first: Instant) {
-        self.forget(now);
-        if self.order.len() >= MOST {
+        self.evict_expired(now);
+        if self.order.len() >= MAX_REFUSALS {
             self.drop_oldest();
         }
         self.order.push_back((now, head));
-        self.expected.entry(head).or_default().push_back(first);
+        self.first_attempts
+            .entry(head)
+            .or_default()
+            .push_back(first);
     }
 
-    /// Takes in a request; returns since when its caller has been trying, when it was refused before.
+    /// Returns the time of the first attempt if the request matches an earlier refusal, which is
+    /// then removed.
     pub fn first_attempt(&mut self, now: Instant, head: HeadPrint) -> Option<Instant> {
-        self.forget(now);
-        let firsts = self.expected.get_mut(&head)?;
-        let first = firsts.pop_front();
-        if firsts.is_empty() {
-            self.expected.remove(&head);
+        self.evict_expired(now);
+        let attempts = self.first_attempts.get_mut(&head)?;
+        let first = attempts.pop_front();
+        if attempts.is_empty() {
+            self.first_attempts.remove(&head);
         }
         first
     }
 
-    fn forget(&mut self, now: Instant) {
-        let is_over = |(at, _): &(Instant, HeadPrint)| now.since(*at) >= EXPECTED_FOR;
-        while self.order.front().is_some_and(is_over) {
+    fn evict_expired(&mut self, now: Instant) {
+        let is_expired = |(at, _): &(Instant, HeadPrint)| now.since(*at) >= RETENTION;
+        while self.order.front().is_some_and(is_expired) {
             self.drop_oldest();
         }
     }
 
-    /// Drops the oldest refusal. Who came back meanwhile was taken out of those expected already,
-    /// and then a later refusal of the same head goes in its place.
+    /// Removes the oldest refusal. If it has already been matched, a later refusal of the same head
+    /// was removed from `first_attempts` in its place.
     fn drop_oldest(&mut self) {
         let Some((_, head)) = self.order.pop_front() else {
             return;
@@ -83,12 +87,12 @@
             .iter()
             .filter(|(_, other)| *other == head)
             .count();
-        if let Some(firsts) = self.expected.get_mut(&head) {
-            while firsts.len() > later {
-                firsts.pop_front();
+        if let Some(attempts) = self.first_attempts.get_mut(&head) {
+            while attempts.len() > later {
+                attempts.pop_front();
             }
-            if firsts.is_empty() {
-                self.expected.remove(&head);
+            if attempts.is_empty() {
+                self.first_attempts.remove(&head);
             }
         }
     }
