--- /dev/null
+++ b/crates/swiftcart-core/src/balance/selection.rs
@@ -0,0 +1,317 @@
+//! Selection among the candidates of a service.
+
+use rand::Rng;
+
+use super::peer::Peer;
+use super::{Balancer, Payload, Pick, PickRequirements, PickRule};
+use crate::{Candidate, Instant, NodeId, ServiceEntry};
+
+/// Random draws for one selection before the candidates are scanned in order.
+const MAX_DRAWS: usize = 8;
+
+/// Number of random candidates that are compared.
+///
+/// Backend servers of one service differ in speed by up to a factor of three, and a third of them
+/// is slow. Two draws hit only slow ones in one selection of nine, four draws in one of eighty.
+/// Comparing all candidates would send the next request of every node to the same backend server.
+const SAMPLE_SIZE: usize = 4;
+
+/// Fraction of the own backend server's expected latency below which another one is preferred.
+///
+/// The hop costs two more connections and their handling, about 0.3 ms, and gives up a slot that is
+/// known to be free.
+const HOP_RATIO: f64 = 0.8;
+
+/// Fraction of another score below which a score counts as better. Closer scores are treated as
+/// equal.
+const BETTER_RATIO: f64 = 0.9;
+
+/// Load of a canary backend server relative to the others. Some releases fail only at full load.
+const CANARY_LOAD: f64 = 1.3;
+
+/// Maximum fraction of a service's requests that is offered to canary backend servers. It applies
+/// where the service has hardly any others.
+const MAX_CANARY_SHARE: f64 = 0.5;
+
+/// Fixed inputs of one selection.
+pub(super) struct Selection<'a> {
+    pub(super) balancer: &'a Balancer,
+    pub(super) requirements: &'a PickRequirements,
+    pub(super) now: Instant,
+    pub(super) exclude: &'a [NodeId],
+}
+
+/// Candidate together with its balancer state, so that the state is looked up only once.
+#[derive(Clone, Copy)]
+struct CandidateState<'a> {
+    candidate: &'a Candidate,
+    peer: Option<&'a Peer>,
+}
+
+impl<'a> Selection<'a> {
+    /// Selects one candidate of `entry`.
+    pub(super) fn select<R: Rng + ?Sized>(
+        &self,
+        entry: &'a ServiceEntry,
+        rng: &mut R,
+    ) -> Option<Pick> {
+        if let Some(canary) = self.canary(entry, rng) {
+            return Some(self.pick(canary, PickRule::Trial));
+        }
+        let regional = self.regional(entry, rng);
+        let remote = self.best(entry.remote(), rng);
+        match (regional, remote) {
+            (Some((state, _)), Some(remote)) if self.outweighs_remote_detour(remote, state) => {
+                Some(self.pick(remote, PickRule::Remote))
+            }
+            (Some((state, rule)), _) => Some(self.pick(state, rule)),
+            (None, Some(remote)) => Some(self.pick(remote, PickRule::Remote)),
+            (None, None) => self.any_candidate(entry.candidates(), rng),
+        }
+    }
+
+    /// Selects one candidate of the node's own region.
+    fn regional<R: Rng + ?Sized>(
+        &self,
+        entry: &'a ServiceEntry,
+        rng: &mut R,
+    ) -> Option<(CandidateState<'a>, PickRule)> {
+        let own = entry.own().map(|c| self.lookup(c));
+        let own = own.filter(|own| self.usable(*own) && !self.is_full(*own));
+        let near = self.best(entry.near(), rng);
+        let here = match (own, near) {
+            (Some(own), Some(near)) if self.worth_a_hop(near, own) => Some((near, PickRule::Near)),
+            (Some(own), _) => Some((own, PickRule::Own)),
+            (None, Some(near)) if !self.is_full(near) => Some((near, PickRule::Near)),
+            (None, _) => None,
+        };
+        let far = self.best(entry.far(), rng);
+        match (here, near, far) {
+            (Some((here, _)), _, Some(far)) if self.outweighs_detour(far, here) => {
+                Some((far, PickRule::Spill))
+            }
+            (Some(here), _, _) => Some(here),
+            (None, Some(near), _) if self.requirements.payload == Payload::Heavy => {
+                Some((near, PickRule::Near))
+            }
+            (None, _, Some(far)) if !self.is_full(far) => Some((far, PickRule::Spill)),
+            (None, Some(near), _) => Some((near, PickRule::Near)),
+            (None, None, Some(far)) => Some((far, PickRule::Spill)),
+            (None, None, None) => None,
+        }
+    }
+
+    /// Returns a canary backend server for a random fraction of the requests.
+    ///
+    /// The fraction gives each canary slightly more load than the other backend servers get. Guards
+    /// refuse requests in excess of the credit of their canary.
+    fn canary<R: Rng + ?Sized>(
+        &self,
+        entry: &'a ServiceEntry,
+        rng: &mut R,
+    ) -> Option<CandidateState<'a>> {
+        let all = entry.tried();
+        if all.is_empty() {
+            return None;
+        }
+        let near = all.iter().filter(|c| c.is_near()).count();
+        // A long body stays in its failure domain.
+        let all = match (near, self.requirements.payload) {
+            (0, Payload::Heavy) => return None,
+            (0, Payload::Light) => all,
+            (near, _) => &all[..near],
+        };
+        let others = entry
+            .candidates()
+            .iter()
+            .filter(|c| near == 0 || c.is_near());
+        let share = CANARY_LOAD * all.len() as f64 / others.count().max(1) as f64;
+        if rng.random::<f64>() >= share.min(MAX_CANARY_SHARE) {
+            return None;
+        }
+        let canary = self.random_usable(all, None, rng)?;
+        (!self.is_full(canary)).then_some(canary)
+    }
+
+    /// Returns `true` if `far`, in another failure domain, is faster than `here` by more than the
+    /// cost of the detour.
+    fn outweighs_detour(&self, far: CandidateState<'_>, here: CandidateState<'_>) -> bool {
+        match (self.expected(far), self.expected(here)) {
+            (Some(there), Some(here)) => {
+                !self.is_full(far) && there + self.requirements.payload.penalty() < here
+            }
+            _ => false,
+        }
+    }
+
+    /// Returns `true` if `remote`, in another region, is faster than `here` by more than the cost
+    /// of the detour.
+    fn outweighs_remote_detour(
+        &self,
+        remote: CandidateState<'_>,
+        here: CandidateState<'_>,
+    ) -> bool {
+        match (self.expected(remote), self.expected(here)) {
+            (Some(there), Some(here)) => {
+                !self.is_full(remote) && there + self.requirements.payload.remote_penalty() < here
+            }
+            _ => false,
+        }
+    }
+
+    /// Returns `true` if `a` is faster than the own backend server `own` by more than the cost of a
+    /// hop.
+    fn worth_a_hop(&self, a: CandidateState<'_>, own: CandidateState<'_>) -> bool {
+        match (self.expected(a), self.expected(own)) {
+            (Some(there), Some(here)) => !self.is_full(a) && there < HOP_RATIO * here,
+            _ => false,
+        }
+    }
+
+    /// Returns the expected latency in multiples of the target.
+    ///
+    /// A backend server without a reported pace counts as average, so that it is tried when the
+    /// others are slow.
+    fn expected(&self, state: CandidateState<'_>) -> Option<f64> {
+        let mean_pace = self.balancer.mean_pace?;
+        let slots = state.candidate.slots;
+        let settings = &self.balancer.settings;
+        let peer = state.peer?;
+        Some(peer.expected(self.now, slots, mean_pace, settings))
+    }
+
+    /// Returns the best of a few random candidates.
+    ///
+    /// Slow start is applied to each draw, so that a newly discovered candidate gets no more than
+    /// its share in a small group either.
+    fn best<R: Rng + ?Sized>(
+        &self,
+        all: &'a [Candidate],
+        rng: &mut R,
+    ) -> Option<CandidateState<'a>> {
+        let mut first = self.random_usable(all, None, rng)?;
+        for _ in 0..MAX_DRAWS {
+            if self.is_warm(first, rng) {
+                break;
+            }
+            first = self.random_usable(all, None, rng)?;
+        }
+        let mut best = first;
+        for _ in 1..SAMPLE_SIZE {
+            match self.random_usable(all, Some(best.candidate.id), rng) {
+                Some(next) if self.is_warm(next, rng) && self.is_better(next, best) => best = next,
+                Some(_) => {}
+                None => break,
+            }
+        }
+        Some(best)
+    }
+
+    /// Returns a random usable candidate other than `excluded`.
+    fn random_usable<R: Rng + ?Sized>(
+        &self,
+        all: &'a [Candidate],
+        excluded: Option<NodeId>,
+        rng: &mut R,
+    ) -> Option<CandidateState<'a>> {
+        if all.is_empty() {
+            return None;
+        }
+        let usable = |c: &'a Candidate| {
+            let state = (Some(c.id) != excluded).then(|| self.lookup(c));
+            state.filter(|state| self.usable(*state))
+        };
+        let mut drawn = (0..MAX_DRAWS.min(all.len())).map(|_| &all[rng.random_range(0..all.len())]);
+        if let Some(state) = drawn.find_map(usable) {
+            return Some(state);
+        }
+        let (head, tail) = all.split_at(rng.random_range(0..all.len()));
+        tail.iter().chain(head).find_map(usable)
+    }
+
+    /// Returns a random candidate, whether or not it is ejected.
+    fn any_candidate<R: Rng + ?Sized>(&self, all: &'a [Candidate], rng: &mut R) -> Option<Pick> {
+        if all.is_empty() {
+            return None;
+        }
+        let (head, tail) = all.split_at(rng.random_range(0..all.len()));
+        let left = |c: &&Candidate| !self.exclude.contains(&c.id) && self.allowed(c);
+        let candidate = tail.iter().chain(head).find(left)?;
+        Some(self.pick(self.lookup(candidate), PickRule::Ejected))
+    }
+
+    fn pick(&self, state: CandidateState<'_>, rule: PickRule) -> Pick {
+        Pick {
+            id: state.candidate.id,
+            peer: state.candidate.peer,
+            rule,
+            free: !self.is_full(state),
+        }
+    }
+
+    fn lookup(&self, candidate: &'a Candidate) -> CandidateState<'a> {
+        let peer = self.balancer.peers.get(&candidate.id);
+        CandidateState { candidate, peer }
+    }
+
+    fn usable(&self, state: CandidateState<'_>) -> bool {
+        let failure_threshold = self.balancer.settings.failure_threshold;
+        !self.exclude.contains(&state.candidate.id)
+            && self.allowed(state.candidate)
+            && !self.is_unreachable(state.candidate)
+            && state
+                .peer
+                .is_none_or(|p| p.usable(self.now, failure_threshold))
+    }
+
+    /// Returns `true` if the request may be sent to the candidate's region.
+    fn allowed(&self, candidate: &Candidate) -> bool {
+        self.requirements.regions.allows(candidate.region)
+    }
+
+    /// Returns `true` if the candidate's failure domain is considered unreachable.
+    fn is_unreachable(&self, candidate: &Candidate) -> bool {
+        !candidate.is_near()
+            && self
+                .balancer
+                .unreachable
+                .is_unreachable(candidate.domain, self.now)
+    }
+
+    fn is_full(&self, state: CandidateState<'_>) -> bool {
+        let age = self.balancer.settings.load_decay;
+        let slots = state.candidate.slots;
+        state.peer.is_some_and(|p| {
+            let link_busy = self.requirements.payload == Payload::Heavy && p.is_link_busy(self.now);
+            link_busy
+                || p.is_rate_limited(self.now)
+                || p.running >= slots
+                || p.usage(self.now, age) >= 1.0
+        })
+    }
+
+    /// Returns `true` with a probability that equals the slow-start share of the candidate.
+    fn is_warm<R: Rng + ?Sized>(&self, state: CandidateState<'_>, rng: &mut R) -> bool {
+        let time = self.balancer.settings.slow_start;
+        let slow_start_share = state
+            .peer
+            .map_or(1.0, |p| p.slow_start_share(self.now, time));
+        slow_start_share >= 1.0 || rng.random::<f64>() < slow_start_share
+    }
+
+    fn is_better(&self, a: CandidateState<'_>, b: CandidateState<'_>) -> bool {
+        if let (Some(a), Some(b)) = (self.expected(a), self.expected(b)) {
+            return a < BETTER_RATIO * b;
+        }
+        let s = &self.balancer.settings;
+        match (a.peer, b.peer) {
+            (Some(a), Some(b)) => {
+                // An unknown latency is assumed to equal the other one.
+                let (la, lb) = (a.latency(self.now, s), b.latency(self.now, s));
+                let (la, lb) = (la.or(lb).unwrap_or(1.0), lb.or(la).unwrap_or(1.0));
+                a.score(self.now, la, s) < BETTER_RATIO * b.score(self.now, lb, s)
+            }
+            _ => false,
+        }
+    }
+}
