--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -1,4 +1,5 @@
-//! How fast a backend server is: measured at its guard, told to all nodes, used in the choice.
+//! Pace of a backend server: measurement at its guard, announcement to all nodes and use in
+//! selection.
 
 mod support;
 
@@ -21,7 +22,7 @@
     Bid::new(Deadline::new(START, Duration::from_secs(60))).with_target(TARGET)
 }
 
-/// A guard whose calls have taken a quarter of their target.
+/// Creates a guard whose calls have taken a quarter of their target.
 fn guard() -> (Admission, SmallRng) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(12);
@@ -37,12 +38,12 @@
 }
 
 #[rstest]
-#[case::calls_that_have_just_begun(8, 50, Pace(250))]
-#[case::calls_that_run_as_long_as_usual(8, 200, Pace(250))]
-#[case::calls_that_run_for_four_times_as_long(8, 400, Pace(500))]
-#[case::calls_that_run_for_ever(8, 4_000, Pace(5_000))]
+#[case::calls_just_started(8, 50, Pace(250))]
+#[case::calls_of_usual_duration(8, 200, Pace(250))]
+#[case::calls_of_four_times_the_duration(8, 400, Pace(500))]
+#[case::stalled_calls(8, 4_000, Pace(5_000))]
 #[case::too_few_calls(2, 4_000, Pace(250))]
-fn the_pace_with(#[case] running: usize, #[case] age_ms: u64, #[case] expected: Pace) {
+fn pace_with_running_calls(#[case] running: usize, #[case] age_ms: u64, #[case] expected: Pace) {
     let (mut guard, mut rng) = guard();
     for _ in 0..running {
         assert!(matches!(guard.offer(START, bid(), &mut rng), Admit::Run(_)));
@@ -51,7 +52,7 @@
 }
 
 #[rstest]
-fn one_long_call_at_the_start_is_soon_forgotten() {
+fn first_long_call_soon_loses_its_weight() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(12);
     for ms in [4_000, 100, 100, 100] {
@@ -63,7 +64,7 @@
         guard.done(ticket, START, &sample);
     }
     let Some(pace) = guard.pace(START) else {
-        unreachable!("calls have ended");
+        unreachable!("a pace is known");
     };
     assert!(pace.quotient() < 3.0, "{pace:?}");
 }
@@ -73,15 +74,19 @@
 #[case::much_faster(2_100, 100, true)]
 #[case::a_little_slower(2_100, 400, false)]
 #[case::much_slower_too_soon(1_900, 900, false)]
-fn a_pace_of_300_is_told_again_after(#[case] ms: u64, #[case] pace: u32, #[case] told: bool) {
-    let mut telling = PaceAnnouncer::default();
-    telling.due(START, Some(Pace(300)));
-    assert_eq!(telling.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
-    let due = telling.due(at(2_000 + ms), Some(Pace(pace)));
-    assert_eq!(due.is_some(), told);
+fn pace_of_300_is_announced_again_after(
+    #[case] ms: u64,
+    #[case] pace: u32,
+    #[case] announced: bool,
+) {
+    let mut announcer = PaceAnnouncer::default();
+    announcer.due(START, Some(Pace(300)));
+    assert_eq!(announcer.due(at(2_000), Some(Pace(300))), Some(Pace(300)));
+    let due = announcer.due(at(2_000 + ms), Some(Pace(pace)));
+    assert_eq!(due.is_some(), announced);
 }
 
-/// Counts the picks of the second of two backend servers, whose pace is told.
+/// Returns the number of picks of the second of two backend servers with announced paces.
 fn picks_of_second(paces: [Option<Pace>; 2]) -> usize {
     let members = [1, 2].map(|n| {
         let mut member = member(n, "sensor", "sur");
@@ -95,13 +100,13 @@
     let mut balancer = Balancer::new(me, BalanceSettings::default());
     balancer.adopt(START, &view);
     let mut rng = SmallRng::seed_from_u64(1);
-    // One answer of the first one, so that a typical pace is known.
+    // One response from the first backend server, so that a mean pace is known.
     let first = members[0].id;
     balancer.started(first);
     let mut sample = Sample::new(Duration::from_millis(100), CallResult::Success);
     sample.pace = paces[0];
     balancer.finished(first, START, &sample);
-    let service = view.service("sensor").expect("the table has it");
+    let service = view.service("sensor").expect("service in the table");
     let pick = |_| balancer.pick(START, service, &[], &mut rng).map(|p| p.id);
     let picks: Vec<_> = (0..100).map(pick).collect();
     picks
@@ -111,21 +116,24 @@
 }
 
 #[rstest]
-#[case::slower_is_left_alone([Some(Pace(250)), Some(Pace(1_000))], 0)]
-#[case::faster_gets_all([Some(Pace(1_000)), Some(Pace(250))], 100)]
-fn a_backend_server_that_was_told_to_be(#[case] paces: [Option<Pace>; 2], #[case] expected: usize) {
+#[case::slower_gets_no_requests([Some(Pace(250)), Some(Pace(1_000))], 0)]
+#[case::faster_gets_all_requests([Some(Pace(1_000)), Some(Pace(250))], 100)]
+fn picks_of_a_backend_server_announced_as(
+    #[case] paces: [Option<Pace>; 2],
+    #[case] expected: usize,
+) {
     assert_eq!(picks_of_second(paces), expected);
 }
 
 #[rstest]
-fn a_told_pace_spreads_and_ends_with_the_backend_server() {
+fn announced_pace_is_dropped_with_its_backend_server() {
     let me = member(1, "sensor", "sur");
     let mut membership = Membership::new(me.clone(), Gossip::default(), Vec::new(), 1);
     membership.tell_pace(START, Pace(900));
     assert_eq!(membership.me().pace, Some(Pace(900)));
     assert!(
         membership.me().incarnation > me.incarnation,
-        "news to the others"
+        "the pace is gossiped"
     );
     let mut other = me.backend.clone().expect("a backend server");
     other.slots += 1;
@@ -133,5 +141,5 @@
     assert_eq!(membership.me().pace, None);
     membership.update_me(START, None);
     membership.tell_pace(START, Pace(700));
-    assert_eq!(membership.me().pace, None, "of no backend server");
+    assert_eq!(membership.me().pace, None, "no backend server");
 }
--- a/crates/swiftcart-core/tests/policy_retries.rs
+++ b/crates/swiftcart-core/tests/policy_retries.rs
@@ -1,4 +1,4 @@
-//! Tries under a route's policy, and the budget that all nodes share.
+//! Retries under a route's policy, and the retry budget of the mesh.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     Deadline::new(START, Duration::from_secs(1))
 }
 
-const fn terms(idempotent: bool, attempts: u8) -> RetryPolicy {
+const fn policy(idempotent: bool, attempts: u8) -> RetryPolicy {
     RetryPolicy {
         idempotent,
         attempts,
@@ -23,62 +23,62 @@
 }
 
 #[rstest]
-#[case::a_guard_that_is_full(Reason::QueueFull, terms(false, 1), false, Ok(RetryTarget::Other))]
-#[case::a_guard_that_drains(Reason::Draining, terms(false, 1), false, Ok(RetryTarget::Other))]
-#[case::a_peer_out_of_reach(
+#[case::full_guard(Reason::QueueFull, policy(false, 1), false, Ok(RetryTarget::Other))]
+#[case::draining_guard(Reason::Draining, policy(false, 1), false, Ok(RetryTarget::Other))]
+#[case::unreachable_peer(
     Reason::PeerUnreachable,
-    terms(false, 1),
+    policy(false, 1),
     false,
     Ok(RetryTarget::Other)
 )]
-#[case::a_refusal_of_the_backend_server(
+#[case::backend_server_refusal(Reason::Shed, policy(false, 2), true, Ok(RetryTarget::Other))]
+#[case::backend_server_refusal_with_one_attempt(
     Reason::Shed,
-    terms(false, 2),
+    policy(false, 1),
     true,
-    Ok(RetryTarget::Other)
+    Ok(RetryTarget::Same)
+)]
+#[case::backend_server_refusal_without_budget(
+    Reason::Shed,
+    policy(false, 2),
+    false,
+    Err(Reason::RetryBudget)
 )]
-#[case::the_same_with_one_attempt(Reason::Shed, terms(false, 1), true, Ok(RetryTarget::Same))]
-#[case::the_same_without_budget(Reason::Shed, terms(false, 2), false, Err(Reason::RetryBudget))]
-#[case::a_lost_answer(Reason::AnswerBroken, terms(true, 2), true, Ok(RetryTarget::Other))]
-#[case::the_same_without_another_attempt(
+#[case::broken_response(Reason::AnswerBroken, policy(true, 2), true, Ok(RetryTarget::Other))]
+#[case::broken_response_without_attempts_left(
     Reason::AnswerBroken,
-    terms(true, 1),
+    policy(true, 1),
     true,
     Err(Reason::TriesSpent)
 )]
-#[case::a_lost_answer_of_what_may_run_once(
+#[case::broken_response_of_a_non_idempotent_request(
     Reason::AnswerBroken,
-    terms(false, 2),
+    policy(false, 2),
     true,
     Err(Reason::NotIdempotent)
 )]
-#[case::a_failure_of_the_backend_server(
-    Reason::ServerError,
-    terms(true, 2),
-    true,
-    Ok(RetryTarget::Other)
-)]
-#[case::no_route(Reason::NoRoute, terms(true, 2), true, Err(Reason::NoRoute))]
-fn after(
+#[case::backend_server_error(Reason::ServerError, policy(true, 2), true, Ok(RetryTarget::Other))]
+#[case::no_route(Reason::NoRoute, policy(true, 2), true, Err(Reason::NoRoute))]
+fn retry_decision_after(
     #[case] reason: Reason,
-    #[case] terms: RetryPolicy,
+    #[case] policy: RetryPolicy,
     #[case] budget: bool,
     #[case] expected: Result<RetryTarget, Reason>,
 ) {
-    let mut tries = PolicyRetryState::default();
-    let next = tries.retry(START, guard(1), reason, terms, due(), || budget);
+    let mut state = PolicyRetryState::default();
+    let next = state.retry(START, guard(1), reason, policy, due(), || budget);
     assert_eq!(next, expected);
 }
 
 #[test]
-fn a_request_reaches_no_more_backend_servers_than_its_attempts() {
-    let mut tries = PolicyRetryState::default();
+fn request_reaches_no_more_backend_servers_than_its_attempts() {
+    let mut state = PolicyRetryState::default();
     let mut shed = |n| {
-        tries.retry(
+        state.retry(
             START,
             guard(n),
             Reason::Shed,
-            terms(false, 2),
+            policy(false, 2),
             due(),
             || true,
         )
@@ -86,21 +86,21 @@
     let next = [shed(1), shed(2), shed(1), shed(2), shed(1)];
     let (other, same) = (Ok(RetryTarget::Other), Ok(RetryTarget::Same));
     assert_eq!(next, [other, same, same, same, Err(Reason::TriesSpent)]);
-    assert_eq!(tries.reached(), [guard(1), guard(2)]);
+    assert_eq!(state.reached(), [guard(1), guard(2)]);
 }
 
 #[test]
-fn guards_that_refuse_are_asked_so_often_only() {
-    let mut tries = PolicyRetryState::default();
+fn guard_refusals_are_limited() {
+    let mut state = PolicyRetryState::default();
     let mut full = |n| {
-        let terms = terms(true, 2);
-        tries.retry(START, guard(n), Reason::QueueFull, terms, due(), || false)
+        let policy = policy(true, 2);
+        state.retry(START, guard(n), Reason::QueueFull, policy, due(), || false)
     };
     let allowed = (1..20).take_while(|n| full(*n).is_ok()).count();
     assert_eq!(allowed, usize::from(MAX_GUARD_REFUSALS));
 }
 
-/// A budget of 10 s of which nothing is used.
+/// Creates an unused budget with a window of 10 s.
 fn budget(share: f64, floor: f64) -> MeshRetryBudget {
     MeshRetryBudget::new(MeshRetryBudgetSettings {
         share,
@@ -110,12 +110,12 @@
 }
 
 #[rstest]
-#[case::alone(1, 100, RetryCause::Refused, 14)]
-#[case::of_two(2, 100, RetryCause::Refused, 12)]
-#[case::of_two_without_requests(2, 0, RetryCause::Refused, 2)]
-#[case::of_requests_that_run_once(1, 100, RetryCause::RefusedNonIdempotent, 20)]
-#[case::of_failed_requests(1, 100, RetryCause::Failed, 8)]
-fn the_part_of_the_budget(
+#[case::single_node(1, 100, RetryCause::Refused, 14)]
+#[case::one_of_two_nodes(2, 100, RetryCause::Refused, 12)]
+#[case::one_of_two_nodes_without_requests(2, 0, RetryCause::Refused, 2)]
+#[case::refused_non_idempotent_requests(1, 100, RetryCause::RefusedNonIdempotent, 20)]
+#[case::failed_requests(1, 100, RetryCause::Failed, 8)]
+fn share_of_the_budget(
     #[case] nodes: usize,
     #[case] requests: u32,
     #[case] cause: RetryCause,
@@ -132,8 +132,8 @@
 
 #[rstest]
 #[case::within_the_window(9_999, 0)]
-#[case::after_it(10_000, 3)]
-fn retries_are_forgotten(#[case] ms: u64, #[case] expected: usize) {
+#[case::after_the_window(10_000, 3)]
+fn retries_leave_the_window(#[case] ms: u64, #[case] expected: usize) {
     let mut budget = budget(0.0, 6.0);
     let service = ServiceName::new("booking");
     let mut take_all = |now| {
@@ -146,18 +146,18 @@
 }
 
 #[test]
-fn calls_of_retries_use_up_the_budget_of_the_service_that_is_called() {
+fn calls_made_by_retries_consume_the_budget_of_the_called_service() {
     let mut budget = budget(0.2, 0.0);
     let service = ServiceName::new("booking");
     for _ in 0..100 {
         budget.first(START, &service, 0.085);
     }
     let taken = (0..100).take_while(|_| budget.take(START, &service, 1, RetryCause::Refused));
-    assert_eq!(taken.count(), 1, "of 10, 8.5 may have been used");
+    assert_eq!(taken.count(), 1, "8.5 of 10 retries are used by calls");
 }
 
 #[test]
-fn requests_that_run_once_keep_a_part_of_the_budget_for_themselves() {
+fn part_of_the_budget_is_reserved_for_non_idempotent_requests() {
     let mut budget = budget(0.2, 0.0);
     let service = ServiceName::new("booking");
     (0..100).for_each(|_| budget.first(START, &service, 0.0));
--- a/crates/swiftcart-core/tests/profile.rs
+++ b/crates/swiftcart-core/tests/profile.rs
@@ -1,89 +1,89 @@
-//! What a node learns of a route: how old requests are, and how long answers are.
+//! Route profiles: the estimated age of requests and the length of responses.
 
 use std::time::Duration;
 
 use rstest::rstest;
 use swiftcart_core::*;
 
-const FIRST_MS: u64 = 1_200;
+const FIRST_LIMIT_MS: u64 = 1_200;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// A route whose first tries all come with 1,200 ms, as often as asked for.
-fn known(times: u32) -> RequestAgeEstimator {
-    let mut given = RequestAgeEstimator::default();
+/// Creates an estimator that has recorded `times` first attempts with a limit of 1,200 ms.
+fn estimator_after(times: u32) -> RequestAgeEstimator {
+    let mut estimator = RequestAgeEstimator::default();
     for _ in 0..times {
-        given.age(ms(FIRST_MS));
+        estimator.age(ms(FIRST_LIMIT_MS));
     }
-    given
+    estimator
 }
 
 #[rstest]
-#[case::a_first_try(1_200, 0)]
-#[case::a_caller_that_comes_back(850, 350)]
-#[case::a_caller_with_more_time(6_000, 0)]
-#[case::a_caller_without_time(0, 1_200)]
-fn the_age_is_what_the_usual_time_lacks(#[case] given_ms: u64, #[case] age_ms: u64) {
-    assert_eq!(known(20).age(ms(given_ms)), ms(age_ms));
+#[case::first_attempt(1_200, 0)]
+#[case::retry(850, 350)]
+#[case::longer_time_limit(6_000, 0)]
+#[case::no_time_left(0, 1_200)]
+fn age_is_the_difference_to_the_usual_time_limit(#[case] limit_ms: u64, #[case] age_ms: u64) {
+    assert_eq!(estimator_after(20).age(ms(limit_ms)), ms(age_ms));
 }
 
 #[test]
-fn nothing_has_an_age_before_first_tries_are_known() {
-    assert_eq!(known(7).age(ms(850)), Duration::ZERO);
+fn age_is_zero_before_first_attempts_are_known() {
+    assert_eq!(estimator_after(7).age(ms(850)), Duration::ZERO);
 }
 
 #[test]
-fn later_tries_with_all_kinds_of_times_are_never_taken_for_first_ones() {
-    let mut given = known(30);
+fn retries_with_various_time_limits_are_not_taken_for_first_attempts() {
+    let mut estimator = estimator_after(30);
     for i in 0..2_000 {
-        let first = given.age(ms(FIRST_MS));
+        let first = estimator.age(ms(FIRST_LIMIT_MS));
         let left = 300 + (i * 37) % 700;
-        let later = given.age(ms(left));
-        assert_eq!((first, later), (Duration::ZERO, ms(FIRST_MS - left)));
+        let retry = estimator.age(ms(left));
+        assert_eq!((first, retry), (Duration::ZERO, ms(FIRST_LIMIT_MS - left)));
     }
 }
 
 #[test]
-fn two_kinds_of_callers_are_both_at_their_first_try() {
-    let mut given = RequestAgeEstimator::default();
+fn two_time_limits_of_first_attempts_are_recognized() {
+    let mut estimator = RequestAgeEstimator::default();
     for _ in 0..200 {
-        given.age(ms(FIRST_MS));
-        given.age(ms(FIRST_MS));
-        given.age(ms(800));
+        estimator.age(ms(FIRST_LIMIT_MS));
+        estimator.age(ms(FIRST_LIMIT_MS));
+        estimator.age(ms(800));
     }
-    assert_eq!(given.age(ms(800)), Duration::ZERO);
-    assert_eq!(given.age(ms(700)), ms(500));
+    assert_eq!(estimator.age(ms(800)), Duration::ZERO);
+    assert_eq!(estimator.age(ms(700)), ms(500));
 }
 
 #[test]
-fn callers_that_change_their_time_are_followed() {
-    let mut given = known(1_000);
+fn change_of_the_usual_time_limit_is_followed() {
+    let mut estimator = estimator_after(1_000);
     let mut wrong = 0;
     for _ in 0..1_000 {
-        wrong += u32::from(given.age(ms(900)) > Duration::ZERO);
+        wrong += u32::from(estimator.age(ms(900)) > Duration::ZERO);
     }
-    assert!(wrong < 600, "{wrong} first tries taken for later ones");
-    assert_eq!(given.age(ms(900)), Duration::ZERO);
-    assert_eq!(given.age(ms(600)), ms(300));
+    assert!(wrong < 600, "{wrong} first attempts taken for retries");
+    assert_eq!(estimator.age(ms(900)), Duration::ZERO);
+    assert_eq!(estimator.age(ms(600)), ms(300));
 }
 
 #[rstest]
-#[case::of_short_answers(&[1_500, 9_000, 5_000], Payload::Light)]
-#[case::of_long_answers(&[90_000, 40_000, 120_000], Payload::Heavy)]
-#[case::of_short_answers_and_one_long_one(&[1_500, 1_500, 1_500, 90_000], Payload::Light)]
-fn a_route_weighs_as_much_as_its_answers(#[case] answers: &[u64], #[case] payload: Payload) {
+#[case::short_responses(&[1_500, 9_000, 5_000], Payload::Light)]
+#[case::long_responses(&[90_000, 40_000, 120_000], Payload::Heavy)]
+#[case::short_responses_and_one_long_response(&[1_500, 1_500, 1_500, 90_000], Payload::Light)]
+fn payload_follows_response_length(#[case] responses: &[u64], #[case] payload: Payload) {
     let mut profiles = RouteProfiles::default();
     let route = RouteKey::new("//hire.example/plots/");
-    for bytes in answers {
+    for bytes in responses {
         profiles.of(route).record_response(*bytes);
     }
     assert_eq!(profiles.of(route).payload(), payload);
 }
 
 #[test]
-fn the_routes_that_are_remembered_are_bounded() {
+fn number_of_stored_routes_is_bounded() {
     let mut profiles = RouteProfiles::default();
     for i in 0..10_000 {
         profiles
--- a/crates/swiftcart-core/tests/retry.rs
+++ b/crates/swiftcart-core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries stay within the budget, the deadline and one level of a call.
+//! Retries stay within the budget, within the deadline and at one level of the call chain.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 #[rstest]
-#[case::not_run_goes_elsewhere(Reason::QueueFull, false, 0, false, 1000, Ok(Attempt(1)))]
+#[case::not_run(Reason::QueueFull, false, 0, false, 1000, Ok(Attempt(1)))]
 #[case::unknown_and_idempotent(Reason::Timeout, false, 0, true, 1000, Ok(Attempt(1)))]
 #[case::unknown_and_not_idempotent(
     Reason::AnswerBroken,
@@ -33,19 +33,12 @@
     1000,
     Err(Reason::NotIdempotent)
 )]
-#[case::came_as_a_retry(Reason::QueueFull, false, 1, true, 1000, Err(Reason::TriesSpent))]
-#[case::retried_below(Reason::QueueFull, true, 0, true, 1000, Err(Reason::TriesSpent))]
+#[case::received_as_retry(Reason::QueueFull, false, 1, true, 1000, Err(Reason::TriesSpent))]
+#[case::retried_by_a_lower_level(Reason::QueueFull, true, 0, true, 1000, Err(Reason::TriesSpent))]
 #[case::no_time_left(Reason::QueueFull, false, 0, true, 4, Err(Reason::DeadlinePassed))]
-#[case::no_other_guard_knows_better(
-    Reason::KeyReused,
-    false,
-    0,
-    true,
-    1000,
-    Err(Reason::KeyReused)
-)]
-#[case::the_caller_is_gone(Reason::CallerGone, false, 0, true, 1000, Err(Reason::CallerGone))]
-fn a_failure_is_retried_or_not(
+#[case::not_retryable(Reason::KeyReused, false, 0, true, 1000, Err(Reason::KeyReused))]
+#[case::caller_gone(Reason::CallerGone, false, 0, true, 1000, Err(Reason::CallerGone))]
+fn retry_decision(
     #[case] reason: Reason,
     #[case] retried: bool,
     #[case] received: u8,
@@ -54,14 +47,14 @@
     #[case] expected: Result<Attempt, Reason>,
 ) {
     let failure = Failure { reason, retried };
-    let mut tries = RetryState::new(Attempt(received));
-    let decision = tries.retry(START, failure, idempotent, due(left), &mut budget(1.0));
+    let mut state = RetryState::new(Attempt(received));
+    let decision = state.retry(START, failure, idempotent, due(left), &mut budget(1.0));
     assert_eq!(decision, expected);
-    assert_eq!(tries.retried(), expected.is_ok());
+    assert_eq!(state.retried(), expected.is_ok());
 }
 
 #[rstest]
-fn an_empty_budget_refuses_and_ten_first_tries_fill_it() {
+fn empty_budget_refuses_until_first_attempts_refill_it() {
     let failure = Failure {
         reason: Reason::Draining,
         retried: false,
@@ -76,8 +69,10 @@
     assert_eq!(retry(&mut budget), Ok(Attempt(1)));
 }
 
-/// Sends a call through `levels`; the lowest one fails, and `up` levels cannot even reach it.
-fn call(levels: u32, up: &[bool], received: Attempt, reached: &mut u32) -> Failure {
+/// Sends a call through `levels`, of which the lowest one fails.
+///
+/// The first attempt to reach a level marked in `disconnected` fails to connect.
+fn call(levels: u32, disconnected: &[bool], received: Attempt, reached: &mut u32) -> Failure {
     let Some(below) = levels.checked_sub(1) else {
         *reached += 1;
         return Failure {
@@ -86,19 +81,20 @@
         };
     };
     let mut budget = budget(100.0);
-    let mut tries = RetryState::new(received);
+    let mut state = RetryState::new(received);
     loop {
-        let refused = up.get(below as usize).copied().unwrap_or(false) && !tries.retried();
+        let refused =
+            disconnected.get(below as usize).copied().unwrap_or(false) && !state.retried();
         let failure = match refused {
             true => Failure {
                 reason: Reason::ConnectFailed,
                 retried: false,
             },
-            false => call(below, up, tries.attempt(), reached),
+            false => call(below, disconnected, state.attempt(), reached),
         };
-        let next = tries.retry(START, failure, true, due(1000), &mut budget);
+        let next = state.retry(START, failure, true, due(1000), &mut budget);
         if next.is_err() {
-            let retried = failure.retried || tries.retried();
+            let retried = failure.retried || state.retried();
             return Failure { retried, ..failure };
         }
     }
@@ -108,14 +104,14 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(200) })]
 
     #[test]
-    fn seven_levels_try_the_lowest_no_more_than_one_level_does(up in prop::collection::vec(any::<bool>(), 7)) {
+    fn lowest_of_seven_levels_is_reached_at_most_max_attempts_times(disconnected in prop::collection::vec(any::<bool>(), 7)) {
         let mut reached = 0;
-        call(7, &up, Attempt::FIRST, &mut reached);
-        prop_assert!(reached <= u32::from(MAX_ATTEMPTS), "{} tries", reached);
+        call(7, &disconnected, Attempt::FIRST, &mut reached);
+        prop_assert!(reached <= u32::from(MAX_ATTEMPTS), "{} attempts", reached);
     }
 
     #[test]
-    fn retries_stay_below_a_tenth_of_the_first_tries(events in prop::collection::vec((any::<bool>(), 0..200_u64), 1..2000)) {
+    fn retries_stay_within_the_budget(events in prop::collection::vec((any::<bool>(), 0..200_u64), 1..2000)) {
         let settings = RetrySettings::default();
         let mut budget = RetryBudget::new(START, settings);
         let (mut first, mut retries, mut now) = (0_u32, 0_u32, START);
@@ -134,7 +130,7 @@
 
 #[rstest]
 #[case::plain("250", 60_000, Ok(250))]
-#[case::cut_to_the_longest("90000", 60_000, Ok(60_000))]
+#[case::limited_to_the_maximum("90000", 60_000, Ok(60_000))]
 #[case::zero("0", 60_000, Ok(0))]
 #[case::negative(
     "-1",
@@ -150,21 +146,21 @@
         "Swiftcart-Deadline-Ms: number too large to fit in target type; send the time left in whole milliseconds"
     )
 )]
-fn a_deadline_is_read(
+fn deadline_is_parsed(
     #[case] text: &str,
-    #[case] longest: u64,
+    #[case] maximum: u64,
     #[case] expected: Result<u64, &str>,
 ) {
     let now = Instant::from_millis(77);
-    let read = Deadline::parse(now, text, Duration::from_millis(longest));
-    let read = read
+    let parsed = Deadline::parse(now, text, Duration::from_millis(maximum));
+    let parsed = parsed
         .map(|due| due.left(now).as_millis() as u64)
         .map_err(|e| e.to_string());
-    assert_eq!(read, expected.map_err(str::to_owned));
+    assert_eq!(parsed, expected.map_err(str::to_owned));
 }
 
 #[rstest]
-fn seven_hops_use_up_their_allowances() {
+fn each_hop_deducts_its_allowance() {
     let mut now = START;
     let mut left = Some(38);
     let mut hops = 0;
--- a/crates/swiftcart-core/tests/slot_search.rs
+++ b/crates/swiftcart-core/tests/slot_search.rs
@@ -1,4 +1,4 @@
-//! Which guards a request asks for a place, and where it waits.
+//! Search for a free slot: which guards are asked, and when the request queues.
 
 use std::time::Duration;
 
@@ -28,37 +28,41 @@
 
 #[rstest]
 #[case::many_candidates(SlotSearch::new(5, Payload::Light), Patience::Short)]
-#[case::a_single_candidate(SlotSearch::new(1, Payload::Light), Patience::Full)]
-#[case::a_route_without_a_policy(SlotSearch::queueing(), Patience::Full)]
-fn the_first_guard(#[case] slot_search: SlotSearch, #[case] expected: Patience) {
+#[case::single_candidate(SlotSearch::new(1, Payload::Light), Patience::Full)]
+#[case::route_without_policy(SlotSearch::queueing(), Patience::Full)]
+fn patience_at_the_first_guard(#[case] slot_search: SlotSearch, #[case] expected: Patience) {
     assert_eq!(slot_search.patience(), expected);
 }
 
 #[rstest]
-#[case::a_guard_with_a_place(Some(near(1)), false)]
-#[case::a_guard_that_is_believed_full(Some(pick(1, PickRule::Near, false)), true)]
-#[case::nobody(None, false)]
-fn without_a_refusal_the_request_waits_at(#[case] next: Option<Pick>, #[case] waits: bool) {
+#[case::free_guard(Some(near(1)), false)]
+#[case::guard_believed_full(Some(pick(1, PickRule::Near, false)), true)]
+#[case::no_guard(None, false)]
+fn request_queues_before_any_refusal(#[case] next: Option<Pick>, #[case] queues: bool) {
     let mut slot_search = SlotSearch::new(5, Payload::Light);
-    assert_eq!(slot_search.switch_to_queueing(next.as_ref()), waits);
-    assert_eq!(slot_search.patience() == Patience::Full, waits);
+    assert_eq!(slot_search.switch_to_queueing(next.as_ref()), queues);
+    assert_eq!(slot_search.patience() == Patience::Full, queues);
 }
 
 #[rstest]
-#[case::light_goes_on_asking_in_another_domain(Payload::Light, PickRule::Spill, false)]
-#[case::heavy_waits_in_its_own_domain(Payload::Heavy, PickRule::Spill, true)]
-#[case::heavy_goes_on_asking_in_its_own_domain(Payload::Heavy, PickRule::Near, false)]
-fn after_one_refusal(#[case] payload: Payload, #[case] rule: PickRule, #[case] waits: bool) {
+#[case::light_asks_in_another_domain(Payload::Light, PickRule::Spill, false)]
+#[case::heavy_queues_in_its_own_domain(Payload::Heavy, PickRule::Spill, true)]
+#[case::heavy_asks_in_its_own_domain(Payload::Heavy, PickRule::Near, false)]
+fn request_queues_after_one_refusal(
+    #[case] payload: Payload,
+    #[case] rule: PickRule,
+    #[case] queues: bool,
+) {
     let mut slot_search = SlotSearch::new(5, payload);
     slot_search.failed(guard(1), Reason::Overloaded);
     assert_eq!(
         slot_search.switch_to_queueing(Some(&pick(2, rule, true))),
-        waits
+        queues
     );
 }
 
 #[rstest]
-fn three_guards_are_asked_and_all_of_them_may_be_waited_at() {
+fn request_queues_at_any_guard_after_asking_three() {
     let mut slot_search = SlotSearch::new(9, Payload::Light);
     for n in 1..=3 {
         assert!(!slot_search.switch_to_queueing(Some(&near(n))));
@@ -73,7 +77,7 @@
 }
 
 #[rstest]
-fn a_guard_that_failed_otherwise_is_not_waited_at() {
+fn guard_with_another_failure_stays_excluded() {
     let mut slot_search = SlotSearch::new(2, Payload::Light);
     slot_search.failed(guard(1), Reason::PeerUnreachable);
     slot_search.failed(guard(2), Reason::Overloaded);
@@ -82,9 +86,9 @@
 }
 
 #[rstest]
-#[case::light_waits_at_the_next(Payload::Light, Patience::Full)]
+#[case::light_queues_at_the_next(Payload::Light, Patience::Full)]
 #[case::heavy_only_asks(Payload::Heavy, Patience::Short)]
-fn after_waiting_in_vain(#[case] payload: Payload, #[case] expected: Patience) {
+fn patience_after_queueing_has_failed(#[case] payload: Payload, #[case] expected: Patience) {
     let mut slot_search = SlotSearch::new(3, payload);
     slot_search.failed(guard(1), Reason::Overloaded);
     assert!(slot_search.switch_to_queueing(None));
@@ -93,14 +97,14 @@
 }
 
 #[rstest]
-fn a_request_that_may_go_nowhere_else_waits() {
+fn request_without_other_targets_queues() {
     let mut slot_search = SlotSearch::new(9, Payload::Light);
     slot_search.settle();
     assert_eq!(slot_search.patience(), Patience::Full);
 }
 
-/// A guard with one slot taken by a call that takes 100 ms.
-fn busy() -> (Admission, SmallRng) {
+/// Creates a guard whose only slot is taken by a call of 100 ms.
+fn busy_guard() -> (Admission, SmallRng) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut guard = Admission::new(START, AdmissionSettings::default()).with_slots(1);
     let due = Deadline::new(START, Duration::from_secs(5));
@@ -116,10 +120,10 @@
 }
 
 #[rstest]
-#[case::that_asks_on_is_refused_without_a_time(Patience::Short, None)]
-#[case::that_may_wait_is_queued(Patience::Full, Some(()))]
-fn at_a_busy_guard_a_request(#[case] patience: Patience, #[case] queued: Option<()>) {
-    let (mut guard, mut rng) = busy();
+#[case::short_patience_is_refused_without_a_retry_delay(Patience::Short, None)]
+#[case::full_patience_is_queued(Patience::Full, Some(()))]
+fn request_at_a_busy_guard(#[case] patience: Patience, #[case] queued: Option<()>) {
+    let (mut guard, mut rng) = busy_guard();
     let bid = Bid::new(Deadline::new(START, Duration::from_secs(5)))
         .with_target(Duration::from_millis(1000))
         .with_patience(patience);
@@ -131,10 +135,10 @@
 }
 
 #[rstest]
-fn a_refusal_that_follows_a_paid_retry_costs_no_other() {
-    let mut tries = PolicyRetryState::default();
+fn guard_refusal_after_a_charged_retry_is_free() {
+    let mut state = PolicyRetryState::default();
     let due = Deadline::new(START, Duration::from_secs(1));
-    let terms = RetryPolicy {
+    let policy = RetryPolicy {
         idempotent: true,
         attempts: 3,
     };
@@ -147,12 +151,12 @@
         Reason::QueueFull,
     ];
     for (n, reason) in (1..).zip(reasons) {
-        let pay = || {
+        let take_retry = || {
             taken += 1;
             true
         };
-        let next = tries.retry(START, guard(n), reason, terms, due, pay);
+        let next = state.retry(START, guard(n), reason, policy, due, take_retry);
         assert!(next.is_ok(), "{next:?}");
     }
-    assert_eq!(taken, 2, "one for each refusal of a backend server");
+    assert_eq!(taken, 2, "one retry for each refusal by a backend server");
 }
--- a/crates/swiftcart-core/tests/support/mod.rs
+++ b/crates/swiftcart-core/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! Members and views for the tests of the call policies.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Members and views for tests of balancing, retries and views.
+#![allow(dead_code, reason = "each test target uses a subset")]
 
 use std::net::SocketAddr;
 
 use swiftcart_core::*;
 
-/// Names the node number `n`.
+/// Returns the ID of node `n`.
 pub fn node(n: u16) -> NodeId {
     NodeId(SocketAddr::from(([127, 0, 0, 1], n)))
 }
 
-/// Describes node `n` with a ready backend server of ten slots.
+/// Creates the member of node `n` with a ready backend server of ten slots.
 pub fn member(n: u16, service: &str, domain: &str) -> Member {
     let NodeId(addr) = node(n);
     Member {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Builds the view that node 1 in `norte` has.
+/// Creates the view of node 1, which is in `norte`.
 pub fn view(table: &Table, members: &[Member]) -> View {
     let domain = FailureDomain::new("norte");
     View::new(Version(1), table, members.iter(), node(1), &domain)
