--- a/crates/swiftcart-core/src/admission/gauge.rs
+++ b/crates/swiftcart-core/src/admission/gauge.rs
@@ -38,7 +38,7 @@
     /// run, in targets.
     pub(super) fn pace(&self, ages: impl Iterator<Item = f64>) -> Option<Pace> {
         let ended = self.mean?;
-        Some(Pace::from_quotient(ended.max(overdue(ages))))
+        Some(Pace::from_ratio(ended.max(overdue(ages))))
     }
 }
 
--- a/crates/swiftcart-core/src/balance.rs
+++ b/crates/swiftcart-core/src/balance.rs
@@ -158,7 +158,7 @@
 /// use swiftcart_core::{BalanceSettings, Balancer, Instant, NodeId};
 /// # use swiftcart_core::{Backend, FailureDomain, Incarnation, Limits, Liveness, Member};
 /// # use swiftcart_core::{Readiness, ServiceName, Table, Version, View};
-/// # let me = NodeId("127.0.0.1:1".parse()?);
+/// # let node_id = NodeId("127.0.0.1:1".parse()?);
 /// # let domain = FailureDomain::new("sur");
 /// # let addr = "127.0.0.1:2".parse()?;
 /// # let backend = Backend {
@@ -167,15 +167,16 @@
 /// # };
 /// # let member = Member {
 /// #     id: NodeId(addr), sync: addr, peer: addr, admin: addr, domain: domain.clone(),
-/// #     incarnation: Incarnation(1), liveness: Liveness::Alive, backend: Some(backend), pace: None,
+/// #     incarnation: Incarnation(1), liveness: Liveness::Alive, backend: Some(backend),
+/// #     pace: None,
 /// # };
 /// # let table = Table::new().with_service("sensor", Limits::default());
-/// # let view = View::new(Version(1), &table, [&member].into_iter(), me, &domain);
+/// # let view = View::new(Version(1), &table, [&member].into_iter(), node_id, &domain);
 /// let now = Instant::from_millis(0);
 /// let mut rng = SmallRng::seed_from_u64(1);
-/// let mut balancer = Balancer::new(me, BalanceSettings::default());
+/// let mut balancer = Balancer::new(node_id, BalanceSettings::default());
 /// balancer.adopt(now, &view);
-/// let service = view.service("sensor").expect("the table has it");
+/// let service = view.service("sensor").expect("service in the table");
 /// let pick = balancer.pick(now, service, &[], &mut rng).expect("one candidate");
 /// assert_eq!(pick.id, member.id);
 /// assert_eq!(balancer.pick(now, service, &[member.id], &mut rng), None);
@@ -183,7 +184,7 @@
 /// ```
 #[derive(Debug, Clone, PartialEq)]
 pub struct Balancer {
-    me: NodeId,
+    node_id: NodeId,
     settings: BalanceSettings,
     peers: HashMap<NodeId, Peer>,
     /// Candidates of each service of the view.
@@ -196,9 +197,9 @@
 impl Balancer {
     /// Creates a balancer without any candidates.
     #[must_use]
-    pub fn new(me: NodeId, settings: BalanceSettings) -> Self {
+    pub fn new(node_id: NodeId, settings: BalanceSettings) -> Self {
         Self {
-            me,
+            node_id,
             settings,
             peers: HashMap::new(),
             groups: Vec::new(),
@@ -294,7 +295,7 @@
             }
             (None, _) | (_, CallResult::Failure | CallResult::Cancelled) => {}
         }
-        if let Some(pace) = sample.pace.map(Pace::quotient) {
+        if let Some(pace) = sample.pace.map(Pace::ratio) {
             let mean_pace = self.mean_pace.get_or_insert(pace);
             *mean_pace += PACE_WEIGHT * (pace - *mean_pace);
         }
--- a/crates/swiftcart-core/src/balance/pace_announcer.rs
+++ b/crates/swiftcart-core/src/balance/pace_announcer.rs
@@ -50,7 +50,7 @@
             None => now.since(first_known) >= MIN_INTERVAL,
             Some((at, _)) if now.since(at) < MIN_INTERVAL => false,
             Some((_, announced)) => {
-                let ratio = pace.quotient() / announced.quotient();
+                let ratio = pace.ratio() / announced.ratio();
                 ratio >= CHANGE_FACTOR || ratio <= CHANGE_FACTOR.recip()
             }
         };
--- a/crates/swiftcart-core/src/balance/peer.rs
+++ b/crates/swiftcart-core/src/balance/peer.rs
@@ -246,7 +246,7 @@
         mean_pace: f64,
         s: &BalanceSettings,
     ) -> f64 {
-        let pace = self.pace.map_or(mean_pace, Pace::quotient);
+        let pace = self.pace.map_or(mean_pace, Pace::ratio);
         let own = f64::from(self.running) / f64::from(slots.max(1));
         let usage = self.usage(now, s.load_decay).max(own);
         let failure_rate = 1.0 + FAILURE_RATE_WEIGHT * self.failure_rate(now, s.decay_time);
--- a/crates/swiftcart-core/src/balance/sample.rs
+++ b/crates/swiftcart-core/src/balance/sample.rs
@@ -46,17 +46,17 @@
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(swiftcart_core::Pace(250).quotient(), 0.25);
+    /// assert_eq!(swiftcart_core::Pace(250).ratio(), 0.25);
     /// ```
     #[must_use]
-    pub fn quotient(self) -> f64 {
+    pub fn ratio(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
 
     /// Creates a pace from the ratio of latency to target.
     #[must_use]
-    pub fn from_quotient(quotient: f64) -> Self {
-        Self((quotient * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32)
+    pub fn from_ratio(ratio: f64) -> Self {
+        Self((ratio * 1000.0).clamp(1.0, f64::from(u32::MAX)) as u32)
     }
 }
 
--- a/crates/swiftcart-core/src/slot_search.rs
+++ b/crates/swiftcart-core/src/slot_search.rs
@@ -53,7 +53,9 @@
 }
 
 impl SlotSearch {
-    /// Creates a search among `candidates` guards. With a single one the request queues at once.
+    /// Creates a search among `candidates` guards.
+    ///
+    /// A single candidate is not asked twice, so the request queues at it from the start.
     #[must_use]
     pub const fn new(candidates: usize, payload: Payload) -> Self {
         Self {
--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -66,7 +66,7 @@
     let Some(pace) = guard.pace(START) else {
         unreachable!("a pace is known");
     };
-    assert!(pace.quotient() < 3.0, "{pace:?}");
+    assert!(pace.ratio() < 3.0, "{pace:?}");
 }
 
 #[rstest]
