--- a/crates/swiftcart-core/src/admission/pace_estimator.rs
+++ b/crates/swiftcart-core/src/admission/pace_estimator.rs
@@ -42,7 +42,7 @@
     /// `ages` are the ages of the running calls, as multiples of their targets.
     pub(super) fn pace(&self, ages: impl Iterator<Item = f64>) -> Option<Pace> {
         let ended = self.mean?;
-        Some(Pace::from_quotient(ended.max(overdue(ages))))
+        Some(Pace::from_ratio(ended.max(overdue(ages))))
     }
 }
 
--- /dev/null
+++ b/crates/swiftcart-core/src/slot_search.rs
@@ -0,0 +1,139 @@
+//! Search of one request for a guard with a free slot.
+
+use crate::{NodeId, Payload, Pick, PickRule, QueueWait, Reason};
+
+/// Maximum number of guards that are asked for a free slot before the request queues at one. Of
+/// three guards selected by load, one has a free slot as long as a tenth of all slots are free.
+const MAX_ASKED_GUARDS: usize = 3;
+
+/// Stage of the search.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Stage {
+    /// Guards are asked for a free slot, without queueing.
+    Ask,
+    /// None of the guards asked had a free slot. The request queues at one guard after another.
+    Queue,
+    /// A request with a long body has queued without success. The remaining guards are asked before
+    /// the request is refused.
+    AskRemaining,
+}
+
+/// Search of one request for a guard with a free slot.
+///
+/// A node learns the load of a guard from the guard's last response, which may be out of date. The
+/// request therefore first asks guards that are believed to have a free slot, without queueing at
+/// them. A guard without a free slot refuses at once, and another one often has a free slot. When
+/// no more guards are believed to have one, the request queues. Under overload it queues from the
+/// start.
+///
+/// # Examples
+///
+/// ```
+/// use swiftcart_core::{NodeId, QueueWait, Payload, Pick, PickRule, Reason, SlotSearch};
+///
+/// let guard = |n| NodeId(([10, 0, 0, n], 7000).into());
+/// let pick = |n| Pick { id: guard(n), peer: guard(n).0, rule: PickRule::Near, free: true };
+/// let mut slot_search = SlotSearch::new(2, Payload::Light);
+/// for n in 1..=2 {
+///     assert!(!slot_search.switch_to_queueing(Some(&pick(n))));
+///     assert_eq!(slot_search.queue_wait(), QueueWait::Short);
+///     slot_search.failed(guard(n), Reason::Overloaded);
+/// }
+/// assert!(slot_search.switch_to_queueing(None), "no guard is left to ask");
+/// assert_eq!((slot_search.queue_wait(), slot_search.excluded()), (QueueWait::Full, &[][..]));
+/// ```
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct SlotSearch {
+    stage: Stage,
+    payload: Payload,
+    /// Guards that have failed and are not asked again.
+    excluded: Vec<NodeId>,
+    /// Guards among `excluded` that refused only because they were full.
+    full: Vec<NodeId>,
+}
+
+impl SlotSearch {
+    /// Creates a search among `candidates` guards.
+    ///
+    /// A single candidate is not asked twice, so the request queues at it from the start.
+    #[must_use]
+    pub const fn new(candidates: usize, payload: Payload) -> Self {
+        Self {
+            stage: match candidates {
+                0 | 1 => Stage::Queue,
+                _ => Stage::Ask,
+            },
+            payload,
+            excluded: Vec::new(),
+            full: Vec::new(),
+        }
+    }
+
+    /// Creates a search that queues at the first guard, for requests of routes without a policy.
+    #[must_use]
+    pub const fn queueing() -> Self {
+        Self {
+            stage: Stage::Queue,
+            payload: Payload::Light,
+            excluded: Vec::new(),
+            full: Vec::new(),
+        }
+    }
+
+    /// Returns how long the request may queue at the next guard.
+    #[must_use]
+    pub const fn queue_wait(&self) -> QueueWait {
+        match self.stage {
+            Stage::Ask | Stage::AskRemaining => QueueWait::Short,
+            Stage::Queue => QueueWait::Full,
+        }
+    }
+
+    /// Returns the guards to exclude from the selection of the next one.
+    #[must_use]
+    pub fn excluded(&self) -> &[NodeId] {
+        &self.excluded
+    }
+
+    /// Switches from asking to queueing if `next` is not worth asking, and returns `true` if so.
+    ///
+    /// The guard then has to be selected again, because the full guards are no longer excluded.
+    pub fn switch_to_queueing(&mut self, next: Option<&Pick>) -> bool {
+        let heavy = self.payload == Payload::Heavy;
+        let exhausted = match next {
+            None => !self.full.is_empty(),
+            Some(pick) if !pick.free || self.full.len() >= MAX_ASKED_GUARDS => true,
+            Some(pick) => {
+                let stays_local =
+                    heavy && pick.rule == PickRule::Spill || pick.rule == PickRule::Remote;
+                stays_local && !self.full.is_empty()
+            }
+        };
+        let switches = self.stage == Stage::Ask && exhausted;
+        if switches {
+            self.stage = Stage::Queue;
+            let full = std::mem::take(&mut self.full);
+            self.excluded.retain(|id| !full.contains(id));
+        }
+        switches
+    }
+
+    /// Queues from now on, for a request that may only be sent to the same guards again.
+    pub const fn settle(&mut self) {
+        self.stage = Stage::Queue;
+    }
+
+    /// Records that the attempt at `guard` failed for `reason`.
+    pub fn failed(&mut self, guard: NodeId, reason: Reason) {
+        self.excluded.push(guard);
+        let full = matches!(
+            reason,
+            Reason::QueueFull | Reason::LinkBusy | Reason::Overloaded | Reason::Throttled
+        );
+        match (self.stage, self.payload) {
+            (Stage::Ask, _) if full => self.full.push(guard),
+            (Stage::Queue, Payload::Heavy) if full => self.stage = Stage::AskRemaining,
+            _ => {}
+        }
+    }
+}
--- a/crates/swiftcart-core/tests/support/mesh_load.rs
+++ b/crates/swiftcart-core/tests/support/mesh_load.rs
@@ -94,8 +94,8 @@
 struct Call {
     ingress: usize,
     arrived: Instant,
-    asking: Asking,
-    tries: PolicyTries,
+    slot_search: SlotSearch,
+    tries: PolicyRetryState,
     sent: Instant,
 }
 
@@ -230,8 +230,8 @@
         self.calls.push(Call {
             ingress: self.rng.random_range(0..self.load.nodes),
             arrived: self.now,
-            asking: Asking::new(self.load.servers, Payload::Light),
-            tries: PolicyTries::default(),
+            slot_search: SlotSearch::new(self.load.servers, Payload::Light),
+            tries: PolicyRetryState::default(),
             sent: self.now,
         });
         let call = self.calls.len() - 1;
@@ -246,11 +246,11 @@
     fn send(&mut self, call: usize) {
         let ingress = self.calls[call].ingress;
         let entry = self.views[ingress].service("sensor").expect("the service");
-        let asking = &mut self.calls[call].asking;
+        let slot_search = &mut self.calls[call].slot_search;
         let pick = loop {
-            let excluded = asking.excluded().to_vec();
+            let excluded = slot_search.excluded().to_vec();
             let pick = self.balancers[ingress].pick(self.now, entry, &excluded, &mut self.rng);
-            if !asking.turns(pick.as_ref()) {
+            if !slot_search.switch_to_queueing(pick.as_ref()) {
                 break pick;
             }
         };
@@ -267,7 +267,7 @@
     fn offer(&mut self, call: usize, id: NodeId) {
         let request = AdmissionRequest::new(self.due(call))
             .with_target(TARGET)
-            .with_queue_wait(self.calls[call].asking.queue_wait());
+            .with_queue_wait(self.calls[call].slot_search.queue_wait());
         let now = self.now;
         let guard = self.guards.get_mut(&id).expect("a guard");
         let started = guard.admission.resume(now);
@@ -316,7 +316,9 @@
     fn reply_refused(&mut self, id: NodeId, call: usize, refusal: Refusal) {
         let reason = refusal.reason;
         let again = refusal.retry_after.filter(|_| reason == Reason::Throttled);
-        let sample = self.sample(id, call, CallResult::Refused).with_again(again);
+        let sample = self
+            .sample(id, call, CallResult::Refused)
+            .with_retry_after(again);
         self.schedule(HOP_LATENCY, Event::Refused(call, id, reason, sample));
     }
 
@@ -368,8 +370,8 @@
         self.balancers[ingress].finished(id, self.now, &sample);
         let due = self.due(call);
         let call_state = &mut self.calls[call];
-        call_state.asking.failed(id, reason);
-        let terms = Terms {
+        call_state.slot_search.failed(id, reason);
+        let terms = RetryPolicy {
             idempotent: true,
             attempts: 2,
         };
