--- a/crates/swiftcart-core/examples/member_cost.rs
+++ b/crates/swiftcart-core/examples/member_cost.rs
@@ -132,7 +132,9 @@
                 } else {
                     Readiness::Ready
                 };
-                net.call(at, |m, now| m.update_me(now, Some(backend(at, readiness))));
+                net.call(at, |m, now| {
+                    m.update_backend(now, Some(backend(at, readiness)))
+                });
             }
             Load::Deaths => deaths.kill(net, at),
         }
@@ -199,9 +201,9 @@
                 Event::Boot => net.boot_plain(at),
                 Event::Found => net.call(at, |m, now| m.add_seeds(now, everyone.clone())),
                 Event::Announced => net.call(at, |m, now| {
-                    m.update_me(now, Some(backend(at, Readiness::Ready)))
+                    m.update_backend(now, Some(backend(at, Readiness::Ready)))
                 }),
-                Event::Told(pace) => net.call(at, |m, now| m.tell_pace(now, Pace(pace))),
+                Event::Told(pace) => net.call(at, |m, now| m.announce_pace(now, Pace(pace))),
             }
         }
         net.run(10);
--- a/crates/swiftcart-core/src/member.rs
+++ b/crates/swiftcart-core/src/member.rs
@@ -5,7 +5,7 @@
 
 mod action;
 mod entry;
-mod gate;
+mod limiter;
 mod list;
 mod membership;
 mod news;
@@ -21,12 +21,12 @@
 
 pub use action::*;
 pub use entry::*;
-pub use gate::*;
+pub use limiter::*;
 pub use membership::*;
 pub use settings::*;
 pub use succession::*;
 
-pub use list::BUCKETS;
+pub use list::HASH_BUCKETS;
 
 use list::{Applied, List};
 use news::NewsQueue;
--- a/crates/swiftcart-core/src/member/action.rs
+++ b/crates/swiftcart-core/src/member/action.rs
@@ -12,7 +12,7 @@
     /// Pull the differing part of the member list from this node.
     ///
     /// Hand the entries to [`Membership::merge`](crate::Membership::merge). When the
-    /// peer is busy, call [`Membership::pull_busy`](crate::Membership::pull_busy); after any
+    /// peer is busy, call [`Membership::postpone_pulls`](crate::Membership::pull_busy); after any
     /// other failure there is nothing to do: the membership asks again.
     Pull(NodeId),
     /// This failure domain cannot be reached any more; its entries are kept.
--- a/crates/swiftcart-core/src/member/gate.rs
+++ b/crates/swiftcart-core/src/member/limiter.rs
@@ -8,8 +8,8 @@
 
 /// Tells whether a pull is served now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum SyncAdmit {
-    /// Serve it, and call [`SyncGate::done`] afterwards.
+pub enum SyncAdmission {
+    /// Serve it, and call [`SyncLimiter::done`] afterwards.
     Serve,
     /// Answer that the node is busy.
     Busy {
@@ -23,17 +23,17 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{SyncAdmit, Instant, SyncGate};
+/// use swiftcart_core::{SyncAdmission, Instant, SyncLimiter};
 ///
-/// let mut gate = SyncGate::new(1, 100);
+/// let mut gate = SyncLimiter::new(1, 100);
 /// let now = Instant::default();
-/// assert_eq!(gate.admit(now), SyncAdmit::Serve);
-/// assert!(matches!(gate.admit(now), SyncAdmit::Busy { .. }));
+/// assert_eq!(gate.admit(now), SyncAdmission::Serve);
+/// assert!(matches!(gate.admit(now), SyncAdmission::Busy { .. }));
 /// gate.done();
-/// assert_eq!(gate.admit(now), SyncAdmit::Serve);
+/// assert_eq!(gate.admit(now), SyncAdmission::Serve);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SyncGate {
+pub struct SyncLimiter {
     width: u32,
     rate: u32,
     open: u32,
@@ -43,7 +43,7 @@
     second: Instant,
 }
 
-impl SyncGate {
+impl SyncLimiter {
     /// Creates a gate for `width` pulls at once and `rate` pulls a second, each at least one.
     #[must_use]
     pub fn new(width: u32, rate: u32) -> Self {
@@ -60,7 +60,7 @@
     /// Asks to serve one pull.
     ///
     /// The wait grows with the number already refused, so that a herd comes back spread out.
-    pub fn admit(&mut self, now: Instant) -> SyncAdmit {
+    pub fn admit(&mut self, now: Instant) -> SyncAdmission {
         if now.since(self.second) >= Duration::from_secs(1) {
             self.second = now;
             self.served = 0;
@@ -70,11 +70,11 @@
             true => {
                 self.open += 1;
                 self.served += 1;
-                SyncAdmit::Serve
+                SyncAdmission::Serve
             }
             false => {
                 self.refused = self.refused.saturating_add(1);
-                SyncAdmit::Busy {
+                SyncAdmission::Busy {
                     retry_after: self.wait(),
                 }
             }
--- a/crates/swiftcart-core/src/member/list.rs
+++ b/crates/swiftcart-core/src/member/list.rs
@@ -6,7 +6,7 @@
 use crate::{FailureDomain, Incarnation, Instant, Liveness, Member, News, NodeId, Status};
 
 /// The number of parts in which two lists are compared.
-pub const BUCKETS: usize = 64;
+pub const HASH_BUCKETS: usize = 64;
 
 /// Tells what became of news.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     records: BTreeMap<NodeId, Record>,
     /// The live nodes of each failure domain in ring order.
     rings: BTreeMap<FailureDomain, Vec<(u64, NodeId)>>,
-    buckets: [u32; BUCKETS],
+    buckets: [u32; HASH_BUCKETS],
     live: usize,
     bound: usize,
 }
@@ -49,7 +49,7 @@
         Self {
             records: BTreeMap::new(),
             rings: BTreeMap::new(),
-            buckets: [0; BUCKETS],
+            buckets: [0; HASH_BUCKETS],
             live: 0,
             bound,
         }
@@ -127,7 +127,7 @@
         self.live
     }
 
-    pub const fn buckets(&self) -> [u32; BUCKETS] {
+    pub const fn buckets(&self) -> [u32; HASH_BUCKETS] {
         self.buckets
     }
 
@@ -250,7 +250,7 @@
 }
 
 const fn bucket_of(key: u64) -> u8 {
-    (key % BUCKETS as u64) as u8
+    (key % HASH_BUCKETS as u64) as u8
 }
 
 /// Hashes what two lists must agree on; a suspicion counts as alive.
--- a/crates/swiftcart-core/src/member/membership.rs
+++ b/crates/swiftcart-core/src/member/membership.rs
@@ -225,16 +225,16 @@
     }
 
     /// Notes that the peer was too busy to serve the pull, and for how long.
-    pub fn pull_busy(&mut self, now: Instant, retry_after: Duration) {
+    pub fn postpone_pulls(&mut self, now: Instant, retry_after: Duration) {
         let spread = self.rng.random_range(1.0..1.5);
         self.next_pull = now + retry_after.mul_f64(spread);
     }
 
     /// Announces the backend server beside this node, its changes, or its absence.
-    pub fn update_me(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
+    pub fn update_backend(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
         match self.me.backend == backend {
             true => std::mem::take(&mut self.out),
-            false => self.replace_me(now, backend),
+            false => self.replace_backend(now, backend),
         }
     }
 
@@ -242,7 +242,7 @@
     /// that is told of it.
     ///
     /// The pace is withdrawn, by which the other nodes know that theirs was another's.
-    pub fn replace_me(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
+    pub fn replace_backend(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
         self.me.backend = backend;
         self.me.pace = None;
         self.step_over(now, self.me.incarnation);
@@ -250,7 +250,7 @@
     }
 
     /// Tells all nodes how long the calls of the own backend server take.
-    pub fn tell_pace(&mut self, now: Instant, pace: Pace) -> Vec<Action> {
+    pub fn announce_pace(&mut self, now: Instant, pace: Pace) -> Vec<Action> {
         if self.me.backend.is_some() && self.me.pace != Some(pace) {
             self.me.pace = Some(pace);
             self.step_over(now, self.me.incarnation);
@@ -289,7 +289,7 @@
     /// Returns whom to tell of something that every node is to know: some nodes of the own
     /// failure domain, and now and then one of another. Who found it out itself tells each of the
     /// others.
-    pub fn audience(&mut self, own: bool) -> Vec<NodeId> {
+    pub fn broadcast_targets(&mut self, own: bool) -> Vec<NodeId> {
         let mut told = self.near_peers(self.settings.fanout);
         match own {
             true => told.extend(self.one_of_each()),
--- a/crates/swiftcart-core/src/member/prober.rs
+++ b/crates/swiftcart-core/src/member/prober.rs
@@ -66,7 +66,7 @@
             false => self.settings.retry_every,
         };
         self.next_retry = now + every.mul_f64(self.rng.random_range(0.75..1.25));
-        self.list.forget(now, self.settings.dead_memory);
+        self.list.forget(now, self.settings.tombstone_ttl);
         let live: Vec<&FailureDomain> = self.list.domains().collect();
         self.reach.keep(&live);
         let lost = |id: &&NodeId| !self.list.get(**id).is_some_and(|m| m.liveness.is_live());
--- a/crates/swiftcart-core/src/member/settings.rs
+++ b/crates/swiftcart-core/src/member/settings.rs
@@ -10,7 +10,7 @@
 /// use std::time::Duration;
 /// use swiftcart_core::Gossip;
 ///
-/// let slow = Gossip { suspicion: Duration::from_secs(3), ..Gossip::new() };
+/// let slow = Gossip { suspicion_timeout: Duration::from_secs(3), ..Gossip::new() };
 /// assert_eq!(slow.probe_interval, Duration::from_millis(500));
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -20,7 +20,7 @@
     /// How long a probe waits for its answer before others are asked to try.
     pub ack_timeout: Duration,
     /// How long a suspected node has to refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// How many nodes are asked to probe in this node's place.
     pub indirect: usize,
     /// One probe in this many goes to another failure domain.
@@ -32,7 +32,7 @@
     /// How many nodes hear at once of a suspicion, a death, a refutation or a departure.
     pub fanout: usize,
     /// How long a dead node is remembered.
-    pub dead_memory: Duration,
+    pub tombstone_ttl: Duration,
     /// The most live entries, and the most dead ones, that are kept.
     pub bound: usize,
     /// A tick that comes this much late tells that the process was paused.
@@ -58,13 +58,13 @@
         Self {
             probe_interval: Duration::from_millis(500),
             ack_timeout: Duration::from_millis(200),
-            suspicion: Duration::from_millis(1500),
+            suspicion_timeout: Duration::from_millis(1500),
             indirect: 3,
             cross_share: 4,
             news_bytes: 700,
             news_factor: 1,
             fanout: 3,
-            dead_memory: Duration::from_secs(24 * 60 * 60),
+            tombstone_ttl: Duration::from_secs(24 * 60 * 60),
             bound: 4096,
             pause: Duration::from_secs(1),
             grace: Duration::from_secs(3),
--- a/crates/swiftcart-core/src/member/succession.rs
+++ b/crates/swiftcart-core/src/member/succession.rs
@@ -48,7 +48,7 @@
 
 /// Tells whether an announcement counts, and why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Heard {
+pub enum AnnouncementOutcome {
     /// It is the newest one of the backend server that is known.
     Newer,
     /// It is the first one of another backend server.
@@ -60,28 +60,28 @@
     /// Its process has left, or another backend server has taken its place.
     Retired,
     /// It lacks its start, which the backend servers here tell.
-    Unstarted,
+    MissingStart,
 }
 
-impl Heard {
+impl AnnouncementOutcome {
     /// Tells whether the announcement is in force from now on.
     ///
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_core::Heard;
+    /// use swiftcart_core::AnnouncementOutcome;
     ///
-    /// assert!(Heard::Restarted.counts());
-    /// assert!(!Heard::Late.counts());
+    /// assert!(AnnouncementOutcome::Restarted.is_accepted());
+    /// assert!(!AnnouncementOutcome::Late.is_accepted());
     /// ```
     #[must_use]
-    pub const fn counts(self) -> bool {
+    pub const fn is_accepted(self) -> bool {
         matches!(self, Self::Newer | Self::Replaced | Self::Restarted)
     }
 
     /// Tells whether what was learnt of the backend server before is void.
     #[must_use]
-    pub const fn is_first(self) -> bool {
+    pub const fn is_new_process(self) -> bool {
         matches!(self, Self::Replaced | Self::Restarted)
     }
 
@@ -94,7 +94,7 @@
             Self::Restarted => "restarted",
             Self::Late => "late",
             Self::Retired => "retired",
-            Self::Unstarted => "unstarted",
+            Self::MissingStart => "unstarted",
         }
     }
 }
@@ -112,17 +112,17 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Announced, Heard, Instant, StartTime, Succession};
+/// use swiftcart_core::{Announced, AnnouncementOutcome, Instant, StartTime, Succession};
 ///
 /// let now = Instant::from_millis(0);
 /// let said = |start, seq| Announced { id: "i-1", start: Some(StartTime(start)), seq };
 /// let mut succession = Succession::default();
-/// assert_eq!(succession.hear(now, said(1_000, 7)), Heard::Replaced);
-/// assert_eq!(succession.hear(now, said(9_000, 1)), Heard::Restarted);
-/// assert_eq!(succession.hear(now, said(1_000, 8)), Heard::Late);
+/// assert_eq!(succession.on_announcement(now, said(1_000, 7)), AnnouncementOutcome::Replaced);
+/// assert_eq!(succession.on_announcement(now, said(9_000, 1)), AnnouncementOutcome::Restarted);
+/// assert_eq!(succession.on_announcement(now, said(1_000, 8)), AnnouncementOutcome::Late);
 /// assert!(!succession.leave(now, "i-1", Some(StartTime(1_000)), StartTime(9_500)));
 /// assert!(succession.leave(now, "i-1", Some(StartTime(9_000)), StartTime(9_500)));
-/// assert_eq!(succession.hear(now, said(9_000, 2)), Heard::Retired);
+/// assert_eq!(succession.on_announcement(now, said(9_000, 2)), AnnouncementOutcome::Retired);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Succession {
@@ -152,12 +152,14 @@
 
 impl Succession {
     /// Takes an announcement.
-    pub fn hear(&mut self, now: Instant, said: Announced<'_>) -> Heard {
+    pub fn on_announcement(&mut self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
         let heard = self.judge(now, said);
         match heard {
-            Heard::Newer | Heard::Restarted => self.renew(now, said),
-            Heard::Replaced => self.replace(now, said),
-            Heard::Late | Heard::Retired | Heard::Unstarted => return heard,
+            AnnouncementOutcome::Newer | AnnouncementOutcome::Restarted => self.renew(now, said),
+            AnnouncementOutcome::Replaced => self.replace(now, said),
+            AnnouncementOutcome::Late
+            | AnnouncementOutcome::Retired
+            | AnnouncementOutcome::MissingStart => return heard,
         }
         self.newest = said.start.map(|start| (start, now)).or(self.newest);
         heard
@@ -200,19 +202,19 @@
         self.current.as_ref().and_then(|current| current.start)
     }
 
-    fn judge(&self, now: Instant, said: Announced<'_>) -> Heard {
+    fn judge(&self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
         let mut retired = self.retired.iter().filter(|gone| gone.id == said.id);
         match (&self.current, said.start) {
-            _ if retired.any(|gone| gone.covers(now, said.start)) => Heard::Retired,
-            (_, None) if self.newest(now).is_some() => Heard::Unstarted,
+            _ if retired.any(|gone| gone.covers(now, said.start)) => AnnouncementOutcome::Retired,
+            (_, None) if self.newest(now).is_some() => AnnouncementOutcome::MissingStart,
             (Some(current), start) if current.id == said.id && current.start == start => {
                 current.judge(now, said)
             }
             (_, Some(start)) if self.newest(now).is_some_and(|newest| start < newest) => {
-                Heard::Late
+                AnnouncementOutcome::Late
             }
-            (Some(current), _) if current.id == said.id => Heard::Restarted,
-            _ => Heard::Replaced,
+            (Some(current), _) if current.id == said.id => AnnouncementOutcome::Restarted,
+            _ => AnnouncementOutcome::Replaced,
         }
     }
 
@@ -254,12 +256,12 @@
 
 impl Current {
     /// Judges an announcement of the same process, or of one that tells no start either.
-    fn judge(&self, now: Instant, said: Announced<'_>) -> Heard {
+    fn judge(&self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
         let silent = now.since(self.heard) >= MEMORY;
         match said.seq > self.seq {
-            true => Heard::Newer,
-            false if self.start.is_none() && silent => Heard::Restarted,
-            false => Heard::Late,
+            true => AnnouncementOutcome::Newer,
+            false if self.start.is_none() && silent => AnnouncementOutcome::Restarted,
+            false => AnnouncementOutcome::Late,
         }
     }
 }
--- a/crates/swiftcart-core/src/member/verdict.rs
+++ b/crates/swiftcart-core/src/member/verdict.rs
@@ -37,7 +37,7 @@
         self.probes.clear();
         self.reach.forgive();
         self.next_probe = now;
-        let deadline = self.grace_until + self.settings.suspicion;
+        let deadline = self.grace_until + self.settings.suspicion_timeout;
         for watch in self.suspects.values_mut() {
             watch.deadline = deadline;
         }
@@ -77,7 +77,7 @@
         }
         let over = self.suspects.iter().filter(|(_, w)| w.deadline <= now);
         let over: Vec<NodeId> = over.map(|(id, _)| *id).collect();
-        let later = now + self.settings.suspicion;
+        let later = now + self.settings.suspicion_timeout;
         for id in over {
             match (self.may_accuse(now), self.suspects.get_mut(&id)) {
                 (true, _) => self.declare(now, id, Liveness::Dead),
@@ -100,8 +100,8 @@
         let watched = entry.is_some_and(|m| self.is_own(m) && m.liveness == Liveness::Suspect);
         match watched {
             true => {
-                let slack = self.settings.suspicion * self.health / WORST_HEALTH;
-                let deadline = now.max(self.grace_until) + self.settings.suspicion + slack;
+                let slack = self.settings.suspicion_timeout * self.health / WORST_HEALTH;
+                let deadline = now.max(self.grace_until) + self.settings.suspicion_timeout + slack;
                 let ahead = self.settings.ack_timeout * 2 * LAST_ASKS;
                 self.suspects.entry(id).or_insert(Watch {
                     deadline,
@@ -178,7 +178,7 @@
 
     /// Tells whether a missed answer says more of the other node than of this one.
     fn may_accuse(&self, now: Instant) -> bool {
-        let deaf = now.since(self.last_heard) > self.settings.suspicion;
+        let deaf = now.since(self.last_heard) > self.settings.suspicion_timeout;
         now >= self.grace_until && !deaf
     }
 }
--- a/crates/swiftcart-core/src/member/view.rs
+++ b/crates/swiftcart-core/src/member/view.rs
@@ -1,6 +1,6 @@
 //! What a node can be asked about the others.
 
-use super::{BUCKETS, Membership};
+use super::{HASH_BUCKETS, Membership};
 use crate::{FailureDomain, Liveness, Member, MemberCounts, NodeId};
 
 impl Membership {
@@ -66,7 +66,7 @@
 
     /// Returns the hashes of the list's parts, which a pull sends along.
     #[must_use]
-    pub const fn buckets(&self) -> [u32; BUCKETS] {
+    pub const fn buckets(&self) -> [u32; HASH_BUCKETS] {
         self.list.buckets()
     }
 
@@ -74,10 +74,10 @@
     ///
     /// A list of another length counts as different everywhere.
     #[must_use]
-    pub fn entries_for(&self, theirs: &[u32]) -> Vec<Member> {
+    pub fn differing_entries(&self, theirs: &[u32]) -> Vec<Member> {
         let mine = self.list.buckets();
         let differs = |i: &u8| theirs.get(usize::from(*i)) != mine.get(usize::from(*i));
-        let buckets: Vec<u8> = (0..BUCKETS as u8).filter(differs).collect();
+        let buckets: Vec<u8> = (0..HASH_BUCKETS as u8).filter(differs).collect();
         self.list.entries_of(&buckets)
     }
 
--- a/crates/swiftcart-core/tests/member.rs
+++ b/crates/swiftcart-core/tests/member.rs
@@ -33,7 +33,7 @@
 #[case::gone(None)]
 fn a_change_of_a_backend_server_is_known_everywhere_soon(#[case] news: Option<Backend>) {
     let mut net = Net::settled(&[40, 40, 40], 2);
-    net.call(2, |m, now| m.update_me(now, news.clone()));
+    net.call(2, |m, now| m.update_backend(now, news.clone()));
     let known = |m: &Membership| m.member(id(2)).unwrap().backend == news;
     net.until("known", 5_000, |net| net.running().all(|(_, m)| known(m)));
 }
@@ -42,13 +42,13 @@
 fn a_backend_server_that_equals_the_one_before_is_told_everywhere_and_its_pace_is_withdrawn() {
     let mut net = Net::settled(&[40, 40, 40], 2);
     let same = Some(backend(2, Readiness::Ready));
-    net.call(2, |m, now| m.update_me(now, same.clone()));
-    net.call(2, |m, now| m.tell_pace(now, Pace(300)));
+    net.call(2, |m, now| m.update_backend(now, same.clone()));
+    net.call(2, |m, now| m.announce_pace(now, Pace(300)));
     let pace = |m: &Membership| m.member(id(2)).unwrap().pace;
     net.until("told", 5_000, |net| {
         net.running().all(|(_, m)| pace(m).is_some())
     });
-    net.call(2, |m, now| m.replace_me(now, same.clone()));
+    net.call(2, |m, now| m.replace_backend(now, same.clone()));
     net.until("void", 5_000, |net| {
         net.running().all(|(_, m)| pace(m).is_none())
     });
@@ -104,7 +104,7 @@
     net.run(2_000);
     net.kill(2);
     net.call(3, |m, now| {
-        m.update_me(now, Some(backend(3, Readiness::Draining)))
+        m.update_backend(now, Some(backend(3, Readiness::Draining)))
     });
     net.run(13_000);
     net.resume(1);
@@ -132,7 +132,7 @@
         })
     };
     net.until("told apart", 15_000, split);
-    net.call(20, |m, now| m.update_me(now, None));
+    net.call(20, |m, now| m.update_backend(now, None));
     net.kill(1);
     net.run(60_000);
     let kept = |(_, m): (usize, &Membership)| m.live_in(&domain(2)).count() == 8;
@@ -466,7 +466,7 @@
 fn a_pull_brings_what_differs(#[case] mine: usize, #[case] theirs: usize, #[case] least: usize) {
     let mut a = machine(Gossip::new(), mine, 0);
     let b = machine(Gossip::new(), theirs, 0);
-    let entries = b.entries_for(&a.buckets());
+    let entries = b.differing_entries(&a.buckets());
     assert!(entries.len() >= least && (least > 0 || entries.is_empty()));
     a.merge(Instant::from_millis(2), entries);
     assert_eq!((a.hash(), a.buckets()), (b.hash(), b.buckets()));
@@ -474,13 +474,13 @@
 
 #[test]
 fn a_gate_serves_its_rate_and_sends_the_rest_away_further_and_further() {
-    let mut gate = SyncGate::new(8, 2);
+    let mut gate = SyncLimiter::new(8, 2);
     let now = Instant::from_millis(5_000);
-    let wait = |ms| SyncAdmit::Busy {
+    let wait = |ms| SyncAdmission::Busy {
         retry_after: Duration::from_millis(ms),
     };
-    let answers: Vec<SyncAdmit> = (0..4).map(|_| gate.admit(now)).collect();
-    let served = SyncAdmit::Serve;
+    let answers: Vec<SyncAdmission> = (0..4).map(|_| gate.admit(now)).collect();
+    let served = SyncAdmission::Serve;
     assert_eq!(answers, [served, served, wait(1_500), wait(2_000)]);
     assert_eq!(gate.admit(Instant::from_millis(6_000)), served);
 }
--- a/crates/swiftcart-core/tests/member_herd.rs
+++ b/crates/swiftcart-core/tests/member_herd.rs
@@ -46,7 +46,7 @@
         let due = (0..nodes).filter(|at| net.now / 50 == 2 + (at * 7 % 30) as u64);
         for at in due.collect::<Vec<_>>() {
             let shown = Some(backend(at, Readiness::Ready));
-            net.call(at, |m, now| m.update_me(now, shown));
+            net.call(at, |m, now| m.update_backend(now, shown));
         }
         net.run(50);
         let offered = |m: &Membership| m.members().filter(|m| m.backend.is_some()).count();
@@ -76,7 +76,7 @@
     net.run(5_000);
     let idle = far(&net) - before;
     net.call(2, |m, now| {
-        m.update_me(now, Some(backend(2, Readiness::Draining)))
+        m.update_backend(now, Some(backend(2, Readiness::Draining)))
     });
     let drains = |m: &Membership| {
         let shown = m.member(id(2)).and_then(|m| m.backend.as_ref());
--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -121,7 +121,7 @@
 fn a_told_pace_spreads_and_ends_with_the_backend_server() {
     let me = member(1, "sensor", "sur");
     let mut membership = Membership::new(me.clone(), Gossip::default(), Vec::new(), 1);
-    membership.tell_pace(START, Pace(900));
+    membership.announce_pace(START, Pace(900));
     assert_eq!(membership.me().pace, Some(Pace(900)));
     assert!(
         membership.me().incarnation > me.incarnation,
@@ -129,9 +129,9 @@
     );
     let mut other = me.backend.clone().expect("a backend server");
     other.slots += 1;
-    membership.update_me(START, Some(other));
+    membership.update_backend(START, Some(other));
     assert_eq!(membership.me().pace, None);
-    membership.update_me(START, None);
-    membership.tell_pace(START, Pace(700));
+    membership.update_backend(START, None);
+    membership.announce_pace(START, Pace(700));
     assert_eq!(membership.me().pace, None, "of no backend server");
 }
--- a/crates/swiftcart-core/tests/support/net.rs
+++ b/crates/swiftcart-core/tests/support/net.rs
@@ -23,7 +23,7 @@
     pub machine: Option<Membership>,
     pub domain: usize,
     pub paused: bool,
-    pub gate: SyncGate,
+    pub gate: SyncLimiter,
     socket: Vec<Vec<u8>>,
     /// Sealed bytes of datagrams sent, and bytes of pulls asked for and served.
     pub sent: u64,
@@ -80,7 +80,7 @@
                 machine: None,
                 domain,
                 paused: false,
-                gate: SyncGate::new(2, 5),
+                gate: SyncLimiter::new(2, 5),
                 socket: Vec::new(),
                 sent: 0,
                 pulled: 0,
@@ -296,12 +296,12 @@
             return;
         };
         let admission = node.gate.admit(now);
-        if let SyncAdmit::Busy { retry_after } = admission {
+        if let SyncAdmission::Busy { retry_after } = admission {
             node.busy += 1;
             let asker = self.nodes[at].machine.as_mut().expect("the node runs");
-            return asker.pull_busy(now, retry_after);
+            return asker.postpone_pulls(now, retry_after);
         }
-        let entries = machine.entries_for(&buckets);
+        let entries = machine.differing_entries(&buckets);
         let bytes = postcard::to_stdvec(&(&buckets[..], &entries)).expect("entries encode");
         node.pulled += bytes.len() as u64;
         node.gate.done();
--- a/crates/swiftcart-node/src/admin/announce.rs
+++ b/crates/swiftcart-node/src/admin/announce.rs
@@ -15,7 +15,7 @@
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
 use slog::{info, warn};
-use swiftcart_core::{Announced, Backend, Heard, Readiness, Release};
+use swiftcart_core::{Announced, AnnouncementOutcome, Backend, Readiness, Release};
 use tokio::time::{Instant, sleep_until};
 
 use crate::logging::Event;
@@ -50,7 +50,7 @@
     Path(id): Path<String>,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<Taken>, AnnounceError> {
-    let taken = read(body).and_then(|body| hear(&shared, &id, &body));
+    let taken = read(body).and_then(|body| on_announcement(&shared, &id, &body));
     taken.inspect_err(|err| refused(&shared, &id, err))?;
     Ok(Json(Taken {}))
 }
@@ -70,7 +70,7 @@
     body.map_err(AnnounceError::Body)
 }
 
-fn hear(shared: &Shared, id: &str, body: &[u8]) -> Result<(), AnnounceError> {
+fn on_announcement(shared: &Shared, id: &str, body: &[u8]) -> Result<(), AnnounceError> {
     let (found, plain) = Named::parse(body, shared.settings.limits.silence_ms())?;
     let start = found.start(&shared.settings.announcements)?;
     let seq = found.seq;
@@ -81,28 +81,31 @@
         release: Release::new(found.release.as_str()),
         warm: now + Duration::from_millis(found.warmup_ms.into()),
     };
-    let heard = shared.registration().hear(now, said, process);
+    let heard = shared.registration().on_announcement(now, said, process);
     let heard = heard.ok_or_else(|| AnnounceError::Id(id.into()))?;
     let outcome = heard.as_str();
     shared
         .counters
         .count("swiftcart_announcements_total", "outcome", outcome);
     match heard {
-        Heard::Newer => {}
-        Heard::Unstarted => return Err(AnnounceError::NoStart),
-        Heard::Replaced | Heard::Restarted | Heard::Late | Heard::Retired => {
+        AnnouncementOutcome::Newer => {}
+        AnnouncementOutcome::MissingStart => return Err(AnnounceError::NoStart),
+        AnnouncementOutcome::Replaced
+        | AnnouncementOutcome::Restarted
+        | AnnouncementOutcome::Late
+        | AnnouncementOutcome::Retired => {
             info!(shared.logger, ""; "event" => Event::Announced, "instance" => id,
                 "start" => start.map(|start| start.0), "seq" => seq, "outcome" => outcome,
                 "service" => %found.service, "warmup_ms" => found.warmup_ms,
                 "domain" => &found.domain, "release" => &found.release);
         }
     }
-    if heard.counts() {
+    if heard.is_accepted() {
         let warmup = Duration::from_millis(found.warmup_ms.into());
         shared.warmup.with(|state| state.announced(now + warmup));
         let until = Instant::now() + Duration::from_millis(plain.ttl_ms);
         shared.expiry.send_replace(Some(until));
-        show(shared, Some(&plain.into()), heard.is_first());
+        show(shared, Some(&plain.into()), heard.is_new_process());
     }
     Ok(())
 }
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -195,7 +195,7 @@
         self.take_misses();
         let actions = self.membership.tick(now);
         self.act(actions);
-        self.tell_pace();
+        self.announce_pace();
         self.tell_findings(now);
         self.tell_quotas(now);
         self.tell_drains(now);
@@ -281,7 +281,7 @@
             (None, SyncRequest::Whole) => self.tell_whole(),
             (None, SyncRequest::Feed { from }) => SyncReply::Feed(self.stream.source.answer(from)),
             (None, SyncRequest::Members { buckets }) => {
-                SyncReply::Members(self.membership.entries_for(&buckets))
+                SyncReply::Members(self.membership.differing_entries(&buckets))
             }
         };
         self.pulls.answer(pending, &reply);
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -71,7 +71,7 @@
                 digest,
                 ..DrainMessage::default()
             };
-            for id in self.membership.audience(false).into_iter().take(1) {
+            for id in self.membership.broadcast_targets(false).into_iter().take(1) {
                 self.net.send(id, &Datagram::Drains(message.clone()));
             }
         }
@@ -134,7 +134,7 @@
     }
 
     fn send_drains(&mut self, own: bool, message: &DrainMessage) {
-        for id in self.membership.audience(own) {
+        for id in self.membership.broadcast_targets(own) {
             self.net.send(id, &Datagram::Drains(message.clone()));
         }
     }
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -67,7 +67,7 @@
     /// Asks some nodes what they know: a process that has started remembers nothing.
     fn ask_findings(&mut self) {
         let question = self.shared.suspects.with(|quarantine| quarantine.ask());
-        for id in self.membership.audience(true) {
+        for id in self.membership.broadcast_targets(true) {
             self.net.send(id, &Datagram::Findings(question.clone()));
         }
     }
@@ -81,7 +81,7 @@
         if due.list.is_empty() {
             return;
         }
-        let told = self.membership.audience(due.own);
+        let told = self.membership.broadcast_targets(due.own);
         for findings in Findings::pack(digest, due.list) {
             for id in &told {
                 self.net.send(*id, &Datagram::Findings(findings.clone()));
@@ -94,7 +94,7 @@
             quarantine.sweep(now);
             quarantine.word()
         });
-        for id in self.membership.audience(false).into_iter().take(1) {
+        for id in self.membership.broadcast_targets(false).into_iter().take(1) {
             self.net.send(id, &Datagram::Findings(word.clone()));
         }
     }
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -20,8 +20,8 @@
         let backend = self.shown(now, backend);
         let identity = self.shared.registration().identity().cloned();
         let actions = match self.identity == identity {
-            true => self.membership.update_me(now, backend),
-            false => self.membership.replace_me(now, backend),
+            true => self.membership.update_backend(now, backend),
+            false => self.membership.replace_backend(now, backend),
         };
         self.identity = identity;
         // What is known of the pace may be another backend server's.
@@ -63,21 +63,21 @@
         let backend = self.backend.borrow().clone();
         let shown = self.shown(now, backend);
         if !self.left && self.membership.me().backend != shown {
-            let actions = self.membership.update_me(now, shown);
+            let actions = self.membership.update_backend(now, shown);
             self.act(actions);
             self.stale = true;
         }
     }
 
     /// Tells all nodes when the own backend server has become much faster or slower.
-    pub(super) fn tell_pace(&mut self) {
+    pub(super) fn announce_pace(&mut self) {
         let now = self.now();
         let pace = match self.shared.pace.load(Ordering::Relaxed) {
             0 => None,
             pace => Some(Pace(pace)),
         };
         if let Some(pace) = self.telling.due(now, pace) {
-            let actions = self.membership.tell_pace(now, pace);
+            let actions = self.membership.announce_pace(now, pace);
             self.act(actions);
         }
     }
--- a/crates/swiftcart-node/src/control/placed.rs
+++ b/crates/swiftcart-node/src/control/placed.rs
@@ -4,7 +4,7 @@
 
 use slog::info;
 use swiftcart_core::{
-    Compact, Instant, NodeId, Placed, PullAnswer, SyncAdmit, SyncGate, SyncReply, Version,
+    Compact, Instant, NodeId, Placed, PullAnswer, SyncAdmission, SyncLimiter, SyncReply, Version,
 };
 
 use super::control_loop::Control;
@@ -40,7 +40,7 @@
     version: Version,
     /// When it was needed last.
     used: Instant,
-    gate: SyncGate,
+    gate: SyncLimiter,
 }
 
 impl Wholes {
@@ -50,7 +50,7 @@
             placed: None,
             version: Version::NONE,
             used: Instant::default(),
-            gate: SyncGate::new(AT_ONCE, rate),
+            gate: SyncLimiter::new(AT_ONCE, rate),
         }
     }
 
@@ -78,7 +78,7 @@
         let Some(newest) = newest.filter(|newest| newest.version > Version::NONE) else {
             return SyncReply::Feed(PullAnswer::Current);
         };
-        if let SyncAdmit::Busy { retry_after } = self.wholes.gate.admit(now) {
+        if let SyncAdmission::Busy { retry_after } = self.wholes.gate.admit(now) {
             let retry_ms = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
             return SyncReply::Busy { retry_ms };
         }
--- a/crates/swiftcart-node/src/control/pulls.rs
+++ b/crates/swiftcart-node/src/control/pulls.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    Instant, MeshKey, NodeId, SyncAdmit, SyncGate, SyncReply, SyncRequest, open_sync, seal_sync,
+    Instant, MeshKey, NodeId, SyncAdmission, SyncLimiter, SyncReply, SyncRequest, open_sync,
+    seal_sync,
 };
 use tokio::sync::mpsc;
 
@@ -27,7 +28,7 @@
     shared: Arc<Shared>,
     key: MeshKey,
     inputs: mpsc::Sender<Input>,
-    gate: SyncGate,
+    gate: SyncLimiter,
     open: BTreeSet<NodeId>,
 }
 
@@ -44,7 +45,7 @@
             shared,
             key,
             inputs,
-            gate: SyncGate::new(GATE.0, GATE.1),
+            gate: SyncLimiter::new(GATE.0, GATE.1),
             open: BTreeSet::new(),
         }
     }
@@ -90,11 +91,11 @@
     /// Tells whether a request is served now, or the answer that sends the asker away.
     pub(super) fn admit(&mut self, now: Instant) -> Option<SyncReply> {
         match self.gate.admit(now) {
-            SyncAdmit::Serve => {
+            SyncAdmission::Serve => {
                 self.gate.done();
                 None
             }
-            SyncAdmit::Busy { retry_after } => {
+            SyncAdmission::Busy { retry_after } => {
                 let retry_ms = u32::try_from(retry_after.as_millis()).unwrap_or(u32::MAX);
                 let name = "swiftcart_pulls_dropped_total";
                 self.shared.counters.count(name, "reason", "busy");
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -68,7 +68,7 @@
         if now >= self.watching.next_compare {
             self.watching.next_compare = now + COMPARE;
             let word = self.watching.rollouts.word();
-            for id in self.membership.audience(false).into_iter().take(1) {
+            for id in self.membership.broadcast_targets(false).into_iter().take(1) {
                 self.tell_words(id, word.clone());
             }
         }
@@ -189,7 +189,7 @@
     /// Asks some nodes what they know: a process that has started remembers nothing.
     fn ask_rollouts(&mut self) {
         let question = self.watching.rollouts.ask();
-        for id in self.membership.audience(true) {
+        for id in self.membership.broadcast_targets(true) {
             self.tell_words(id, question.clone());
         }
     }
@@ -215,7 +215,7 @@
             return;
         }
         let digest = self.watching.rollouts.digest();
-        let told = self.membership.audience(true);
+        let told = self.membership.broadcast_targets(true);
         for words in RolloutWords::pack(digest, due) {
             for id in &told {
                 self.tell_words(*id, words.clone());
--- a/crates/swiftcart-node/src/registration.rs
+++ b/crates/swiftcart-node/src/registration.rs
@@ -1,7 +1,7 @@
 //! What a node knows of the identity of the backend server beside it.
 
 use http::HeaderValue;
-use swiftcart_core::{Announced, Heard, Instant, Release, StartTime, Succession};
+use swiftcart_core::{Announced, AnnouncementOutcome, Instant, Release, StartTime, Succession};
 
 use crate::logging::unix_ms;
 
@@ -46,15 +46,20 @@
 
 impl Registration {
     /// Takes an announcement; `None` when its id cannot be passed on in a header.
-    pub fn hear(&mut self, now: Instant, said: Announced<'_>, process: Process) -> Option<Heard> {
+    pub fn on_announcement(
+        &mut self,
+        now: Instant,
+        said: Announced<'_>,
+        process: Process,
+    ) -> Option<AnnouncementOutcome> {
         let id = HeaderValue::from_str(said.id).ok()?;
-        let heard = self.succession.hear(now, said);
-        if heard.counts() {
+        let heard = self.succession.on_announcement(now, said);
+        if heard.is_accepted() {
             let start = said.start;
             let release = process.release;
             self.identity = Some(Identity { id, start, release });
             self.warm = process.warm;
-            self.leaving &= !heard.is_first();
+            self.leaving &= !heard.is_new_process();
         }
         Some(heard)
     }
--- a/crates/swiftcart-node/src/settings/gossip.rs
+++ b/crates/swiftcart-node/src/settings/gossip.rs
@@ -47,9 +47,9 @@
         Timing {
             probe_interval: ms(self.probe_ms),
             ack_timeout: ms(self.ack_ms),
-            suspicion: ms(self.suspicion_ms),
+            suspicion_timeout: ms(self.suspicion_ms),
             indirect: usize::try_from(self.indirect).unwrap_or(usize::MAX),
-            dead_memory: Duration::from_secs(self.remember_s.into()),
+            tombstone_ttl: Duration::from_secs(self.remember_s.into()),
             ..Timing::new()
         }
     }
