--- a/crates/swiftcart-core/src/member.rs
+++ b/crates/swiftcart-core/src/member.rs
@@ -1,22 +1,23 @@
-//! Membership: who takes part, who is believed alive, and how nodes agree on it.
+//! Cluster membership: a gossip protocol with failure detection, similar to SWIM.
 //!
-//! Inside a failure domain the nodes probe each other and may declare one dead.
-//! Between failure domains they only pass news on and note what they can reach.
+//! Nodes of the same failure domain probe each other and may declare a node dead. Between failure
+//! domains, nodes only exchange updates and track which failure domains are reachable. Nodes
+//! compare hashes of their member lists and pull the differing entries (anti-entropy).
 
 mod action;
+mod dissemination;
 mod entry;
 mod limiter;
 mod list;
 mod membership;
-mod news;
 mod peers;
 mod probe;
 mod prober;
-mod reach;
+mod reachability;
 mod settings;
-mod spread;
 mod succession;
-mod verdict;
+mod suspicion;
+mod update_queue;
 mod view;
 
 pub use action::*;
@@ -28,7 +29,7 @@
 
 pub use list::HASH_BUCKETS;
 
-use list::{Applied, List};
-use news::NewsQueue;
-use probe::{Kind, Probe, Probes, Relay};
-use reach::Reach;
+use list::{ApplyOutcome, MemberList};
+use probe::{PendingProbes, Probe, ProbeKind, RelayedProbe};
+use reachability::DomainReachability;
+use update_queue::UpdateQueue;
--- a/crates/swiftcart-core/src/member/action.rs
+++ b/crates/swiftcart-core/src/member/action.rs
@@ -1,47 +1,47 @@
-//! What the membership asks of the process around it, and what it counts.
+//! Actions that the membership requests from its caller, and its counters.
 
 use crate::{Datagram, FailureDomain, NodeId};
 
-/// Asks the process for something, or tells it what has changed.
+/// Action requested from the embedding process, or notification of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send this datagram.
+    /// Send the datagram to the node.
     Send(NodeId, Datagram),
-    /// What is known of this node has changed.
+    /// The entry of the node has changed.
     Changed(NodeId),
-    /// Pull the differing part of the member list from this node.
+    /// Pull the differing entries of the member list from the node.
     ///
-    /// Hand the entries to [`Membership::merge`](crate::Membership::merge). When the
-    /// peer is busy, call [`Membership::postpone_pulls`](crate::Membership::pull_busy); after any
-    /// other failure there is nothing to do: the membership asks again.
+    /// Pass the entries to [`Membership::merge`](crate::Membership::merge). If the peer is busy,
+    /// call [`Membership::postpone_pulls`](crate::Membership::postpone_pulls). Other failures
+    /// need no handling, since the membership requests another pull.
     Pull(NodeId),
-    /// This failure domain cannot be reached any more; its entries are kept.
+    /// The failure domain has become unreachable; its entries are kept.
     Unreachable(FailureDomain),
-    /// This failure domain is reached again.
+    /// The failure domain is reachable again.
     Reachable(FailureDomain),
 }
 
-/// Counts what the membership has done since its start.
+/// Counters of the membership since its start.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MemberCounts {
     /// Probes sent.
     pub probes: u64,
-    /// Probes that got no answer, neither directly nor through others.
-    pub missed: u64,
-    /// Suspicions that started here.
+    /// Probes that were answered neither directly nor through other nodes.
+    pub missed_probes: u64,
+    /// Suspicions that this node started.
     pub suspected: u64,
-    /// Nodes declared dead here.
-    pub declared: u64,
-    /// Accusations of this node that it refuted.
+    /// Nodes that this node declared dead.
+    pub declared_dead: u64,
+    /// Wrong claims about this node that it refuted.
     pub refuted: u64,
-    /// Pauses of this process that it noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Accusations withheld because this process was paused or hears nobody.
-    pub withheld: u64,
-    /// Member list pulls asked for.
+    /// Suspicions withheld because this process was paused or receives no datagrams.
+    pub withheld_suspicions: u64,
+    /// Requested pulls of a member list.
     pub pulls: u64,
-    /// Entries refused because the list was full.
-    pub full: u64,
-    /// Requests to probe for others that were refused because too many were open.
-    pub busy: u64,
+    /// Entries rejected because the member list was full.
+    pub rejected_entries: u64,
+    /// Indirect probe requests rejected because too many relayed probes were pending.
+    pub rejected_relays: u64,
 }
--- a/crates/swiftcart-core/src/member/entry.rs
+++ b/crates/swiftcart-core/src/member/entry.rs
@@ -1,4 +1,4 @@
-//! Nodes, the backend servers beside them, and what is known of each.
+//! Nodes, their backend servers, and the member list entry of a node.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::{Pace, ServiceName};
 
-/// Names a node by the address of its membership datagrams; a restart keeps it.
+/// Identifier of a node: the address of its membership datagrams, which survives a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub SocketAddr);
@@ -18,13 +18,13 @@
     }
 }
 
-/// Names a failure domain, for example `norte`.
+/// Name of a failure domain, for example `norte`.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FailureDomain(pub String);
 
 impl FailureDomain {
-    /// Creates a failure domain's name.
+    /// Creates a failure domain from its name.
     #[must_use]
     pub fn new(name: impl Into<String>) -> Self {
         Self(name.into())
@@ -32,7 +32,7 @@
 }
 
 impl Liveness {
-    /// Tells whether the node takes part: alive, or suspected and not yet given up.
+    /// Returns `true` if the node is alive or suspected.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
@@ -45,17 +45,17 @@
     }
 }
 
-/// Orders the lives and refutations of one node; greater is newer.
+/// Incarnation number, which orders the updates about one node; greater is newer.
 ///
-/// A process starts at its wall clock in milliseconds and steps over whatever
-/// its peers remember of an earlier life.
+/// A process starts with its wall clock in milliseconds. If its peers remember a greater
+/// incarnation of an earlier process, it continues above that one.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Tells what the members believe of a node; a later variant wins at equal incarnation.
+/// Liveness of a node; at equal incarnation, a later variant takes precedence.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -64,73 +64,73 @@
     /// The node answers probes.
     #[default]
     Alive,
-    /// The node missed a probe and has time left to refute.
+    /// The node missed a probe and can still refute the suspicion.
     Suspect,
     /// The suspicion was not refuted in time.
     Dead,
-    /// The node stopped by itself.
+    /// The node left the mesh when it stopped.
     Left,
 }
 
-/// Tells whether a backend server takes new work.
+/// Readiness of a backend server to take new requests.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Readiness {
-    /// The backend server is starting and takes no work yet.
+    /// The backend server is starting and takes no requests yet.
     Warming,
-    /// The backend server takes work.
+    /// The backend server takes requests.
     #[default]
     Ready,
-    /// The backend server finishes what it has and takes no new work.
+    /// The backend server finishes its in-flight requests and takes no new ones.
     Draining,
-    /// The backend server takes a few requests, since its release is on trial. Only nodes say this,
-    /// and those of the release before drop what they cannot read.
+    /// The backend server takes a small share of the requests, since its release is a canary. Only
+    /// nodes send this value; nodes of the previous release drop messages that they cannot decode.
     OnTrial,
 }
 
-/// Describes a backend server as it announces itself to the node beside it.
+/// Description of a backend server, as it announces itself to its node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// The service that it belongs to.
+    /// Service that the backend server belongs to.
     pub service: ServiceName,
-    /// Where the node beside it reaches it.
+    /// Address at which the node reaches the backend server.
     pub addr: SocketAddr,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Whether it takes new work.
+    /// Readiness to take new requests.
     pub readiness: Readiness,
 }
 
-/// Holds what the members know of one node.
+/// Member list entry of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The node's name and address for membership datagrams (UDP).
+    /// Identifier of the node, and its address for membership datagrams (UDP).
     pub id: NodeId,
-    /// Where the node pulls and serves state (TCP).
+    /// Address at which the node serves state pulls (TCP).
     pub sync: SocketAddr,
-    /// Where other nodes hand it requests for its own backend server (HTTP).
+    /// Address at which other nodes send requests for its backend server (HTTP).
     pub peer: SocketAddr,
-    /// Where operators read its state (HTTP).
+    /// Address at which operators read its state (HTTP).
     pub admin: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: FailureDomain,
-    /// The order of this news among all news of the node.
+    /// Incarnation of the node; a greater one supersedes this entry.
     pub incarnation: Incarnation,
-    /// Whether the node is believed alive.
+    /// Liveness of the node, as far as known.
     pub liveness: Liveness,
-    /// The backend server beside it, when one has announced itself.
+    /// Backend server of the node, if one has announced itself.
     pub backend: Option<Backend>,
-    /// How long that one's calls take, when it is known; not told again for each change.
+    /// Pace of the backend server's calls, if known; small changes are not announced.
     pub pace: Option<Pace>,
 }
 
 impl Member {
-    /// Creates the entry of a live node that serves everything on the address of its name.
+    /// Creates the entry of a live node whose addresses all equal its identifier.
     #[must_use]
     pub const fn new(id: NodeId, domain: FailureDomain, incarnation: Incarnation) -> Self {
         Self {
@@ -146,21 +146,21 @@
         }
     }
 
-    /// Sets where the node serves state pulls.
+    /// Sets the address at which the node serves state pulls.
     #[must_use]
     pub const fn with_sync(mut self, addr: SocketAddr) -> Self {
         self.sync = addr;
         self
     }
 
-    /// Sets where the node takes requests from other nodes.
+    /// Sets the address at which the node takes requests from other nodes.
     #[must_use]
     pub const fn with_peer(mut self, addr: SocketAddr) -> Self {
         self.peer = addr;
         self
     }
 
-    /// Sets where operators read the node's state.
+    /// Sets the address at which operators read the state of the node.
     #[must_use]
     pub const fn with_admin(mut self, addr: SocketAddr) -> Self {
         self.admin = addr;
--- a/crates/swiftcart-core/src/member/limiter.rs
+++ b/crates/swiftcart-core/src/member/limiter.rs
@@ -1,94 +1,101 @@
-//! Bounds how many state pulls a node serves, so that a returning herd cannot drown it.
+//! Admission control for state pulls, so that many nodes starting at once cannot overload a node.
 
 use std::time::Duration;
 
 use crate::Instant;
 
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+/// Maximum time after which a rejected node is told to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Tells whether a pull is served now.
+/// Admission decision for a state pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SyncAdmission {
-    /// Serve it, and call [`SyncLimiter::done`] afterwards.
+    /// The pull is admitted; call [`SyncLimiter::done`] when it ends.
     Serve,
-    /// Answer that the node is busy.
+    /// The pull is rejected, since the node is busy.
     Busy {
-        /// When the asking node should come back.
+        /// Time after which the requesting node should retry.
         retry_after: Duration,
     },
 }
 
-/// Admits state pulls: at most so many at once and so many a second.
+/// Limiter for state pulls, by concurrency and by rate per second.
 ///
 /// # Examples
 ///
 /// ```
 /// use swiftcart_core::{SyncAdmission, Instant, SyncLimiter};
 ///
-/// let mut gate = SyncLimiter::new(1, 100);
+/// let mut limiter = SyncLimiter::new(1, 100);
 /// let now = Instant::default();
-/// assert_eq!(gate.admit(now), SyncAdmission::Serve);
-/// assert!(matches!(gate.admit(now), SyncAdmission::Busy { .. }));
-/// gate.done();
-/// assert_eq!(gate.admit(now), SyncAdmission::Serve);
+/// assert_eq!(limiter.admit(now), SyncAdmission::Serve);
+/// assert!(matches!(limiter.admit(now), SyncAdmission::Busy { .. }));
+/// limiter.done();
+/// assert_eq!(limiter.admit(now), SyncAdmission::Serve);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SyncLimiter {
-    width: u32,
-    rate: u32,
-    open: u32,
-    /// The pulls admitted and refused in the current second.
-    served: u32,
-    refused: u32,
-    second: Instant,
+    max_concurrent: u32,
+    /// Pulls admitted per second.
+    max_rate: u32,
+    in_flight: u32,
+    /// Pulls admitted in the current window of one second.
+    admitted: u32,
+    /// Pulls rejected in the current window.
+    rejected: u32,
+    window_start: Instant,
 }
 
 impl SyncLimiter {
-    /// Creates a gate for `width` pulls at once and `rate` pulls a second, each at least one.
+    /// Creates a limiter for `max_concurrent` pulls at once and `max_rate` pulls per second.
+    ///
+    /// Both limits are raised to at least one.
     #[must_use]
-    pub fn new(width: u32, rate: u32) -> Self {
+    pub fn new(max_concurrent: u32, max_rate: u32) -> Self {
         Self {
-            width: width.max(1),
-            rate: rate.max(1),
-            open: 0,
-            served: 0,
-            refused: 0,
-            second: Instant::default(),
+            max_concurrent: max_concurrent.max(1),
+            max_rate: max_rate.max(1),
+            in_flight: 0,
+            admitted: 0,
+            rejected: 0,
+            window_start: Instant::default(),
         }
     }
 
-    /// Asks to serve one pull.
+    /// Admits or rejects one pull.
     ///
-    /// The wait grows with the number already refused, so that a herd comes back spread out.
+    /// The retry time grows with the number of rejected pulls, which spreads the retries of many
+    /// nodes.
     pub fn admit(&mut self, now: Instant) -> SyncAdmission {
-        if now.since(self.second) >= Duration::from_secs(1) {
-            self.second = now;
-            self.served = 0;
-            self.refused = 0;
+        if now.since(self.window_start) >= Duration::from_secs(1) {
+            self.window_start = now;
+            self.admitted = 0;
+            self.rejected = 0;
         }
-        match self.open < self.width && self.served < self.rate {
+        match self.in_flight < self.max_concurrent && self.admitted < self.max_rate {
             true => {
-                self.open += 1;
-                self.served += 1;
+                self.in_flight += 1;
+                self.admitted += 1;
                 SyncAdmission::Serve
             }
             false => {
-                self.refused = self.refused.saturating_add(1);
+                self.rejected = self.rejected.saturating_add(1);
                 SyncAdmission::Busy {
-                    retry_after: self.wait(),
+                    retry_after: self.retry_after(),
                 }
             }
         }
     }
 
-    /// Ends one admitted pull.
+    /// Releases one admitted pull.
     pub const fn done(&mut self) {
-        self.open = self.open.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    fn wait(&self) -> Duration {
-        let turn = Duration::from_secs(1) / self.rate;
-        turn.saturating_mul(self.rate.saturating_add(self.refused))
-            .min(LONGEST_WAIT)
+    fn retry_after(&self) -> Duration {
+        let interval = Duration::from_secs(1) / self.max_rate;
+        interval
+            .saturating_mul(self.max_rate.saturating_add(self.rejected))
+            .min(MAX_RETRY_AFTER)
     }
 }
--- a/crates/swiftcart-core/src/member/list.rs
+++ b/crates/swiftcart-core/src/member/list.rs
@@ -1,106 +1,108 @@
-//! The member list: entries, which of two news wins, and the hash over all of it.
+//! Member list: entries, precedence of updates, and the hash of the list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::{FailureDomain, Incarnation, Instant, Liveness, Member, News, NodeId, Status};
+use crate::{FailureDomain, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId, Status};
 
-/// The number of parts in which two lists are compared.
+/// Number of buckets whose hashes are compared between two member lists.
 pub const HASH_BUCKETS: usize = 64;
 
-/// Tells what became of news.
+/// Result of applying an update to the member list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Applied {
-    /// It changed the list.
+pub(super) enum ApplyOutcome {
+    /// The update changed the list.
     Changed,
-    /// The list held it already.
-    Known,
-    /// The list holds something newer.
-    Older,
-    /// It tells too little to be kept.
-    Ignored,
+    /// The list already held the same state.
+    Duplicate,
+    /// The list holds a newer state.
+    Stale,
+    /// The update lacks the entry that it needs to be stored.
+    Incomplete,
     /// The list is full.
-    Full,
+    ListFull,
 }
 
 #[derive(Debug, Clone)]
 struct Record {
     member: Member,
     hash: u32,
-    since: Instant,
+    changed_at: Instant,
 }
 
-/// Holds one entry for each node, live or remembered as dead.
+/// Member list with one entry per node, including tombstones of nodes that died or left.
 ///
-/// The hash covers live entries only, suspected or not: tombstones are forgotten at
-/// different times, and a suspicion is settled before a comparison would matter.
+/// The hash covers live entries only, since tombstones expire at different times on different
+/// nodes. It ignores suspicion, which is resolved before a difference would matter.
 #[derive(Debug, Clone)]
-pub(super) struct List {
+pub(super) struct MemberList {
     records: BTreeMap<NodeId, Record>,
-    /// The live nodes of each failure domain in ring order.
+    /// Live nodes of each failure domain in ring order.
     rings: BTreeMap<FailureDomain, Vec<(u64, NodeId)>>,
+    /// Hash of the live entries in each bucket.
     buckets: [u32; HASH_BUCKETS],
     live: usize,
-    bound: usize,
+    /// Maximum number of live entries, and of tombstones.
+    max_entries: usize,
 }
 
-impl List {
-    pub fn new(bound: usize) -> Self {
+impl MemberList {
+    pub fn new(max_entries: usize) -> Self {
         Self {
             records: BTreeMap::new(),
             rings: BTreeMap::new(),
             buckets: [0; HASH_BUCKETS],
             live: 0,
-            bound,
+            max_entries,
         }
     }
 
-    /// Applies news when it is newer than what the list holds.
-    pub fn apply(&mut self, now: Instant, news: News) -> Applied {
-        match news {
-            News::Entry(member) => self.apply_entry(now, member),
-            News::Status(status) => self.apply_status(now, status),
+    /// Applies an update if it is newer than the state in the list.
+    pub fn apply(&mut self, now: Instant, update: MemberUpdate) -> ApplyOutcome {
+        match update {
+            MemberUpdate::Entry(member) => self.apply_entry(now, member),
+            MemberUpdate::Status(status) => self.apply_status(now, status),
         }
     }
 
-    /// Puts an entry without asking what is newer.
-    pub fn put(&mut self, now: Instant, member: Member) {
-        self.take(member.id);
+    /// Inserts or replaces an entry without comparing incarnations.
+    pub fn insert(&mut self, now: Instant, member: Member) {
+        self.remove(member.id);
         let record = Record {
             hash: hash_of(&member),
-            since: now,
+            changed_at: now,
             member,
         };
-        self.link(&record.member, record.hash);
+        self.add_to_index(&record.member, record.hash);
         self.records.insert(record.member.id, record);
-        if self.records.len() - self.live > self.bound {
-            self.drop_oldest();
+        if self.records.len() - self.live > self.max_entries {
+            self.evict_oldest_tombstone();
         }
     }
 
-    /// Forgets tombstones older than `memory`.
-    pub fn forget(&mut self, now: Instant, memory: Duration) {
-        let old: Vec<NodeId> = self
+    /// Removes the tombstones that are at least `ttl` old.
+    pub fn expire_tombstones(&mut self, now: Instant, ttl: Duration) {
+        let expired: Vec<NodeId> = self
             .tombstones()
-            .filter(|r| now.since(r.since) >= memory)
+            .filter(|r| now.since(r.changed_at) >= ttl)
             .map(|r| r.member.id)
             .collect();
-        for id in old {
-            self.take(id);
+        for id in expired {
+            self.remove(id);
         }
     }
 
-    /// Returns the dead nodes, which may have come back unnoticed.
+    /// Returns the nodes declared dead, which may have restarted unnoticed.
     pub fn dead(&self) -> impl Iterator<Item = NodeId> {
         self.tombstones()
             .filter(|r| r.member.liveness == Liveness::Dead)
             .map(|r| r.member.id)
     }
 
-    /// Returns the nodes that died or left within `memory`, which may be on their way back.
-    pub fn departed(&self, now: Instant, memory: Duration) -> impl Iterator<Item = NodeId> {
+    /// Returns the nodes that died or left within `ttl`, which may be restarting.
+    pub fn departed(&self, now: Instant, ttl: Duration) -> impl Iterator<Item = NodeId> {
         self.tombstones()
-            .filter(move |r| now.since(r.since) < memory)
+            .filter(move |r| now.since(r.changed_at) < ttl)
             .map(|r| r.member.id)
     }
 
@@ -131,81 +133,88 @@
         self.buckets
     }
 
-    /// Returns all entries, live and dead, of these buckets.
-    pub fn entries_of(&self, buckets: &[u8]) -> Vec<Member> {
+    /// Returns all entries of the buckets, including tombstones.
+    pub fn entries_in(&self, buckets: &[u8]) -> Vec<Member> {
         let wanted = |id: NodeId| buckets.contains(&bucket_of(ring_key(id)));
         self.iter().filter(|m| wanted(m.id)).cloned().collect()
     }
 
-    /// Returns the hash over the whole list.
+    /// Returns the hash of the whole list.
     pub fn hash(&self) -> u32 {
-        let fold = |sum: u32, b: &u32| (sum ^ b).rotate_left(5).wrapping_mul(0x9e37_79b1);
-        self.buckets.iter().fold(0, fold)
+        let combine = |hash: u32, b: &u32| (hash ^ b).rotate_left(5).wrapping_mul(0x9e37_79b1);
+        self.buckets.iter().fold(0, combine)
     }
 
-    fn apply_entry(&mut self, now: Instant, member: Member) -> Applied {
-        let news = (member.incarnation, member.liveness);
+    fn apply_entry(&mut self, now: Instant, member: Member) -> ApplyOutcome {
+        let update = (member.incarnation, member.liveness);
         match self.get(member.id).map(|m| (m.incarnation, m.liveness)) {
-            None if self.is_full(member.liveness) => Applied::Full,
+            None if self.is_full(member.liveness) => ApplyOutcome::ListFull,
             None => {
-                self.put(now, member);
-                Applied::Changed
+                self.insert(now, member);
+                ApplyOutcome::Changed
+            }
+            Some(known) if update < known => ApplyOutcome::Stale,
+            Some(known) if update == known => ApplyOutcome::Duplicate,
+            Some((_, old)) if !old.is_live() && self.is_full(member.liveness) => {
+                ApplyOutcome::ListFull
             }
-            Some(known) if news < known => Applied::Older,
-            Some(known) if news == known => Applied::Known,
-            Some((_, old)) if !old.is_live() && self.is_full(member.liveness) => Applied::Full,
             Some(_) => {
-                self.put(now, member);
-                Applied::Changed
+                self.insert(now, member);
+                ApplyOutcome::Changed
             }
         }
     }
 
-    /// Applies a status; one that skips an entry we lack is kept only when the node is gone.
-    fn apply_status(&mut self, now: Instant, status: Status) -> Applied {
-        let news = (status.incarnation, status.liveness);
+    /// Applies a status update.
+    ///
+    /// A status with a greater incarnation follows an entry that this list lacks. The status is
+    /// applied only if the node has died or left.
+    fn apply_status(&mut self, now: Instant, status: Status) -> ApplyOutcome {
+        let update = (status.incarnation, status.liveness);
         let Some(known) = self.get(status.id) else {
-            return Applied::Ignored;
+            return ApplyOutcome::Incomplete;
         };
         match (known.incarnation, known.liveness) {
-            old if news < old => Applied::Older,
-            old if news == old => Applied::Known,
-            (old, _) if status.liveness.is_live() && status.incarnation > old => Applied::Ignored,
+            old if update < old => ApplyOutcome::Stale,
+            old if update == old => ApplyOutcome::Duplicate,
+            (old, _) if status.liveness.is_live() && status.incarnation > old => {
+                ApplyOutcome::Incomplete
+            }
             _ => {
                 let member = Member {
                     incarnation: status.incarnation,
                     liveness: status.liveness,
                     ..known.clone()
                 };
-                self.put(now, member);
-                Applied::Changed
+                self.insert(now, member);
+                ApplyOutcome::Changed
             }
         }
     }
 
     const fn is_full(&self, liveness: Liveness) -> bool {
-        liveness.is_live() && self.live >= self.bound
+        liveness.is_live() && self.live >= self.max_entries
     }
 
     fn tombstones(&self) -> impl Iterator<Item = &Record> {
-        let gone = |r: &&Record| !r.member.liveness.is_live();
-        self.records.values().filter(gone)
+        let departed = |r: &&Record| !r.member.liveness.is_live();
+        self.records.values().filter(departed)
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self.tombstones().min_by_key(|r| r.since);
+    fn evict_oldest_tombstone(&mut self) {
+        let oldest = self.tombstones().min_by_key(|r| r.changed_at);
         if let Some(id) = oldest.map(|r| r.member.id) {
-            self.take(id);
+            self.remove(id);
         }
     }
 
-    fn take(&mut self, id: NodeId) {
+    fn remove(&mut self, id: NodeId) {
         if let Some(record) = self.records.remove(&id) {
-            self.unlink(&record.member, record.hash);
+            self.remove_from_index(&record.member, record.hash);
         }
     }
 
-    fn link(&mut self, member: &Member, hash: u32) {
+    fn add_to_index(&mut self, member: &Member, hash: u32) {
         if !member.liveness.is_live() {
             return;
         }
@@ -214,11 +223,11 @@
         if let Err(at) = ring.binary_search(&key) {
             ring.insert(at, key);
             self.live += 1;
-            self.toggle(key.0, hash);
+            self.xor_bucket(key.0, hash);
         }
     }
 
-    fn unlink(&mut self, member: &Member, hash: u32) {
+    fn remove_from_index(&mut self, member: &Member, hash: u32) {
         if !member.liveness.is_live() {
             return;
         }
@@ -232,18 +241,18 @@
             if ring.is_empty() {
                 self.rings.remove(&member.domain);
             }
-            self.toggle(key.0, hash);
+            self.xor_bucket(key.0, hash);
         }
     }
 
-    fn toggle(&mut self, key: u64, hash: u32) {
+    fn xor_bucket(&mut self, key: u64, hash: u32) {
         if let Some(bucket) = self.buckets.get_mut(usize::from(bucket_of(key))) {
             *bucket ^= hash;
         }
     }
 }
 
-/// Returns the node's place on the ring, which has nothing to do with where it stands.
+/// Returns the position of a node on the ring, a hash that is independent of its location.
 pub(super) fn ring_key(id: NodeId) -> u64 {
     let bytes = postcard::to_stdvec(&id).unwrap_or_default();
     crate::Digest::of(&bytes).short()
@@ -253,11 +262,11 @@
     (key % HASH_BUCKETS as u64) as u8
 }
 
-/// Hashes what two lists must agree on; a suspicion counts as alive.
+/// Returns the hash of the fields on which two lists must agree; liveness is left out.
 fn hash_of(member: &Member) -> u32 {
     let Incarnation(number) = member.incarnation;
-    let view = (member.id, number, &member.domain, &member.backend);
-    let bytes = postcard::to_stdvec(&view).unwrap_or_default();
+    let fields = (member.id, number, &member.domain, &member.backend);
+    let bytes = postcard::to_stdvec(&fields).unwrap_or_default();
     let short = crate::Digest::of(&bytes).short();
     (short >> 32) as u32
 }
--- a/crates/swiftcart-core/src/member/membership.rs
+++ b/crates/swiftcart-core/src/member/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of one node: its state, and the events that move it.
+//! Membership state machine of one node: its state and its inputs.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,20 +7,24 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-use super::spread::{Difference, status_of};
-use super::verdict::Watch;
-use super::{Action, Applied, Gossip, Kind, List, MemberCounts, NewsQueue, Probes, Reach, Relay};
+use super::dissemination::{ListMismatch, status_of};
+use super::suspicion::Suspicion;
+use super::{
+    Action, ApplyOutcome, DomainReachability, Gossip, MemberCounts, MemberList, PendingProbes,
+    ProbeKind, RelayedProbe, UpdateQueue,
+};
 use crate::{
-    Backend, Beat, Datagram, Head, Incarnation, Instant, Liveness, Member, News, NodeId, Pace,
+    Backend, Beat, Datagram, Head, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId,
+    Pace,
 };
 
-/// Seeds that are asked at once; some of those that a directory names may be gone.
-const SEEDS_AT_ONCE: usize = 6;
+/// Number of seeds that are probed at once, since some nodes in a directory may have stopped.
+const SEEDS_PROBED_AT_ONCE: usize = 6;
 
-/// Decides whom a node takes for alive, and what it tells the others.
+/// Membership state machine, which performs no I/O.
 ///
-/// The process around it calls [`Membership::tick`] every 50 to 100 ms, hands in each
-/// opened datagram, and carries out the returned [`Action`]s.
+/// The embedding process calls [`Membership::tick`] every 50 to 100 ms, passes in each decoded
+/// datagram, and carries out the returned [`Action`]s.
 ///
 /// # Examples
 ///
@@ -42,44 +46,50 @@
     pub(super) seeds: Vec<NodeId>,
     pub(super) head: Head,
     pub(super) rng: SmallRng,
-    pub(super) list: List,
-    pub(super) news: NewsQueue,
-    pub(super) probes: Probes,
-    pub(super) reach: Reach,
-    /// The suspected nodes of the own failure domain.
-    pub(super) suspects: BTreeMap<NodeId, Watch>,
-    /// The rest of the current round over the own failure domain.
-    pub(super) round: VecDeque<NodeId>,
-    /// Whether there is news that should not wait for the next probe.
+    pub(super) list: MemberList,
+    /// Updates that are still to be sent to other nodes.
+    pub(super) updates: UpdateQueue,
+    pub(super) probes: PendingProbes,
+    pub(super) reachability: DomainReachability,
+    /// Suspected nodes of the own failure domain.
+    pub(super) suspects: BTreeMap<NodeId, Suspicion>,
+    /// Nodes of the own failure domain still to be probed in the current round.
+    pub(super) probe_round: VecDeque<NodeId>,
+    /// `true` if an update should be sent before the next probe.
     pub(super) urgent: bool,
-    pub(super) slot: u32,
+    /// Number of the current probe interval.
+    pub(super) probe_slot: u32,
     pub(super) next_probe: Instant,
     pub(super) next_urgent: Instant,
-    pub(super) next_retry: Instant,
+    pub(super) next_rejoin: Instant,
     pub(super) next_pull: Instant,
     pub(super) last_tick: Instant,
     pub(super) last_heard: Instant,
     pub(super) last_change: Instant,
-    /// Nobody is accused before this.
+    /// Time before which this node declares no node suspected or dead.
     pub(super) grace_until: Instant,
-    pub(super) differs: Option<Difference>,
-    /// The same against other failure domains, while others of this one pull from there.
-    pub(super) far_differs: Option<Difference>,
-    /// The rounds of news in which each other failure domain is still told of this node.
-    pub(super) own_rounds: u32,
+    /// Mismatch with the lists from which this node pulls.
+    pub(super) mismatch: Option<ListMismatch>,
+    /// Mismatch with lists of other failure domains, from which the delegates pull.
+    pub(super) cross_mismatch: Option<ListMismatch>,
+    /// Remaining rounds in which this node announces itself to every other failure domain.
+    pub(super) announce_rounds: u32,
+    /// `true` while this node considers its member list complete.
     pub(super) synced: bool,
-    /// Whether another node's list was ever taken over.
+    /// `true` once a list of another node was merged.
     pub(super) merged: bool,
-    /// How badly this node's own probes fare, from 0 to [`super::verdict::WORST_HEALTH`].
-    pub(super) health: u32,
+    /// Measure of this node's own missed probes, from 0 to
+    /// [`super::suspicion::MAX_HEALTH_PENALTY`].
+    pub(super) health_penalty: u32,
     pub(super) counts: MemberCounts,
-    pub(super) out: Vec<Action>,
+    pub(super) actions: Vec<Action>,
 }
 
 impl Membership {
-    /// Creates the membership of `me`, which knows nobody but the addresses of `seeds`.
+    /// Creates the membership of the node `me`, which knows only the addresses of `seeds`.
     ///
-    /// `me.incarnation` is the wall clock in milliseconds; `seed` feeds all random choices.
+    /// `me.incarnation` is the wall clock in milliseconds. `seed` initializes the random number
+    /// generator.
     #[must_use]
     pub fn new(me: Member, settings: Gossip, seeds: Vec<NodeId>, seed: u64) -> Self {
         let me = Member {
@@ -88,8 +98,8 @@
         };
         let seeds: Vec<NodeId> = seeds.into_iter().filter(|id| *id != me.id).collect();
         let start = Instant::default();
-        let mut list = List::new(settings.bound);
-        list.put(start, me.clone());
+        let mut list = MemberList::new(settings.max_entries);
+        list.insert(start, me.clone());
         Self {
             synced: seeds.is_empty(),
             merged: false,
@@ -98,91 +108,90 @@
             head: Head::default(),
             rng: SmallRng::seed_from_u64(seed),
             list,
-            news: NewsQueue::default(),
-            probes: Probes::default(),
-            reach: Reach::default(),
+            updates: UpdateQueue::default(),
+            probes: PendingProbes::default(),
+            reachability: DomainReachability::default(),
             suspects: BTreeMap::new(),
-            round: VecDeque::new(),
+            probe_round: VecDeque::new(),
             urgent: false,
-            slot: 0,
+            probe_slot: 0,
             next_probe: start,
             next_urgent: start,
-            next_retry: start,
+            next_rejoin: start,
             next_pull: start,
             last_tick: start,
             last_heard: start,
             last_change: start,
             grace_until: start,
-            differs: None,
-            far_differs: None,
-            own_rounds: 0,
-            health: 0,
+            mismatch: None,
+            cross_mismatch: None,
+            announce_rounds: 0,
+            health_penalty: 0,
             counts: MemberCounts::default(),
-            out: Vec::new(),
+            actions: Vec::new(),
             settings,
         }
     }
 
-    /// Adds addresses of nodes to join through, and asks some of them at once.
+    /// Adds seed nodes and probes some of them at once.
     ///
-    /// While none of them has answered with its list of members, this node does not know
-    /// the members.
+    /// This node is not synced until it has merged the member list of another node.
     pub fn add_seeds(&mut self, now: Instant, seeds: Vec<NodeId>) -> Vec<Action> {
-        self.start(now);
+        self.init_timers(now);
         for id in seeds {
             if id != self.me.id && !self.seeds.contains(&id) {
                 self.seeds.push(id);
             }
         }
         let unknown = |id: &&NodeId| !self.list.get(**id).is_some_and(|m| m.liveness.is_live());
-        let asked: Vec<NodeId> = self.seeds.iter().filter(unknown).copied().collect();
+        let candidates: Vec<NodeId> = self.seeds.iter().filter(unknown).copied().collect();
         self.synced = self.merged || (self.synced && self.seeds.is_empty());
-        for id in asked.choose_multiple(&mut self.rng, SEEDS_AT_ONCE) {
-            self.probe_as(now, *id, Kind::Stray);
+        for id in candidates.choose_multiple(&mut self.rng, SEEDS_PROBED_AT_ONCE) {
+            self.probe_as(now, *id, ProbeKind::BestEffort);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Moves time on: sends probes, gives up on those that missed theirs, asks for pulls.
+    /// Advances time: sends due probes, expires unanswered probes and requests pulls.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
-        self.start(now);
-        self.notice_pause(now);
+        self.init_timers(now);
+        self.detect_pause(now);
         self.last_tick = now;
         if self.me.liveness.is_live() {
             self.expire_probes(now);
             self.expire_suspects(now);
             self.expire_domains(now);
             self.send_probes(now);
-            self.send_urgent(now);
-            self.find_lost(now);
-            self.ask_pull(now);
+            self.send_urgent_updates(now);
+            self.probe_lost_nodes(now);
+            self.request_pull(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Takes in one opened datagram.
+    /// Processes one decoded datagram.
     ///
-    /// Messages that are not the membership's own only tell that their sender lives.
+    /// Messages of other protocols only show that their sender is alive.
     pub fn on_datagram(&mut self, now: Instant, from: NodeId, datagram: Datagram) -> Vec<Action> {
         if from == self.me.id {
             return Vec::new();
         }
-        self.start(now);
-        self.notice_pause(now);
+        self.init_timers(now);
+        self.detect_pause(now);
         match datagram {
             Datagram::Probe { seq, beat } => {
-                let beat = self.answer(now, from, beat);
+                let beat = self.answer_probe(now, from, beat);
                 self.send(from, Datagram::Ack { seq, beat });
             }
             Datagram::Ack { seq, beat } => {
-                let replies = self.hear(now, from, beat);
+                let replies = self.process_beat(now, from, beat);
                 self.on_ack(seq, from);
                 self.reply(from, replies);
             }
             Datagram::ProbeFor { seq, target } => self.on_probe_for(now, from, seq, target),
             Datagram::AckFor { seq, target } => self.on_ack_for(seq, target),
             Datagram::Gossip { news } => {
-                let replies = self.learn(now, news);
+                let replies = self.apply_all(now, news);
                 self.reply(from, replies);
             }
             Datagram::Leave { incarnation } => self.on_leave(now, from, incarnation),
@@ -197,128 +206,132 @@
             | Datagram::Quotas(_)
             | Datagram::Drains(_) => {}
         }
-        self.heard(now, from);
-        std::mem::take(&mut self.out)
+        self.record_contact(now, from);
+        std::mem::take(&mut self.actions)
     }
 
-    /// Takes in the entries of a pull.
+    /// Merges the entries of a pull.
     ///
-    /// They are not passed on, since every node compares lists itself, unless this node pulls for
-    /// its failure domain: the others have nobody else to hear it from.
+    /// Changed entries are not gossiped, since every node compares lists itself. A delegate gossips
+    /// them, since the other nodes of its failure domain have no other source for the changes.
     pub fn merge(&mut self, now: Instant, entries: Vec<Member>) -> Vec<Action> {
-        self.start(now);
-        let carries = self.merged && self.is_delegate();
+        self.init_timers(now);
+        let gossips = self.merged && self.is_delegate();
         self.synced = true;
         self.merged = true;
-        self.differs = None;
-        self.far_differs = None;
+        self.mismatch = None;
+        self.cross_mismatch = None;
         for member in entries {
             let id = member.id;
-            let news = News::Entry(member);
+            let update = MemberUpdate::Entry(member);
             match id == self.me.id {
-                true => self.answer_news_of_me(now, &news),
-                false if carries => drop(self.accept(now, news)),
-                false => drop(self.absorb(now, news)),
+                true => self.refute_if_wrong(now, &update),
+                false if gossips => drop(self.apply_and_queue(now, update)),
+                false => drop(self.apply_and_track(now, update)),
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Notes that the peer was too busy to serve the pull, and for how long.
+    /// Postpones the next pull, since the peer was too busy to serve one.
     pub fn postpone_pulls(&mut self, now: Instant, retry_after: Duration) {
-        let spread = self.rng.random_range(1.0..1.5);
-        self.next_pull = now + retry_after.mul_f64(spread);
+        let jitter = self.rng.random_range(1.0..1.5);
+        self.next_pull = now + retry_after.mul_f64(jitter);
     }
 
-    /// Announces the backend server beside this node, its changes, or its absence.
+    /// Announces the current state of the own backend server, or its absence.
     pub fn update_backend(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
         match self.me.backend == backend {
-            true => std::mem::take(&mut self.out),
+            true => std::mem::take(&mut self.actions),
             false => self.replace_backend(now, backend),
         }
     }
 
-    /// Announces a backend server that took the place of the one before, and may equal it in all
-    /// that is told of it.
+    /// Announces that another backend server replaced the previous one.
     ///
-    /// The pace is withdrawn, by which the other nodes know that theirs was another's.
+    /// The new backend server may be announced with the same values. The pace is withdrawn, which
+    /// tells other nodes that the pace they know belongs to the previous backend server.
     pub fn replace_backend(&mut self, now: Instant, backend: Option<Backend>) -> Vec<Action> {
         self.me.backend = backend;
         self.me.pace = None;
-        self.step_over(now, self.me.incarnation);
-        std::mem::take(&mut self.out)
+        self.raise_incarnation(now, self.me.incarnation);
+        std::mem::take(&mut self.actions)
     }
 
-    /// Tells all nodes how long the calls of the own backend server take.
+    /// Announces the pace of the own backend server's calls to all nodes.
     pub fn announce_pace(&mut self, now: Instant, pace: Pace) -> Vec<Action> {
         if self.me.backend.is_some() && self.me.pace != Some(pace) {
             self.me.pace = Some(pace);
-            self.step_over(now, self.me.incarnation);
+            self.raise_incarnation(now, self.me.incarnation);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Notes that a connection to `node`, tried at `tried`, did not open.
+    /// Records that a connection attempt to `node`, started at `tried`, failed.
     ///
-    /// Requests meet a failure domain that is cut off before the next probe does. The domain is
-    /// in doubt from then on: it is probed at once, and given up unless one of its nodes is
-    /// heard of.
+    /// Requests find a partitioned failure domain before the next probe does. The failure domain is
+    /// suspected and probed at once. It becomes unreachable unless one of its nodes sends a
+    /// datagram.
     pub fn unreached(&mut self, now: Instant, tried: Instant, node: NodeId) {
-        let far = self.list.get(node).filter(|member| !self.is_own(member));
-        let Some(domain) = far.map(|member| member.domain.clone()) else {
+        let remote = self
+            .list
+            .get(node)
+            .filter(|member| !self.in_own_domain(member));
+        let Some(domain) = remote.map(|member| member.domain.clone()) else {
             return;
         };
-        if now >= self.grace_until && self.reach.missed(&domain, tried, now) {
+        if now >= self.grace_until && self.reachability.record_miss(&domain, tried, now) {
             self.next_probe = now;
         }
     }
 
-    /// Leaves: tells some nodes at once, and answers every later probe with it.
+    /// Leaves the mesh: notifies some nodes at once, and answers later probes with the departure.
     pub fn leave(&mut self, now: Instant) -> Vec<Action> {
         self.me.liveness = Liveness::Left;
-        self.list.put(now, self.me.clone());
-        self.news.push(status_of(&self.me));
+        self.list.insert(now, self.me.clone());
+        self.updates.push(status_of(&self.me));
         self.probes.clear();
         let incarnation = self.me.incarnation;
-        for id in self.farewell() {
+        for id in self.leave_targets() {
             self.send(id, Datagram::Leave { incarnation });
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Returns whom to tell of something that every node is to know: some nodes of the own
-    /// failure domain, and now and then one of another. Who found it out itself tells each of the
-    /// others.
+    /// Returns the nodes to which a broadcast to the whole mesh is sent in this round.
+    ///
+    /// These are some nodes of the own failure domain and, at random, one node of another failure
+    /// domain. The originator (`own`) sends to one node of every other failure domain instead.
     pub fn broadcast_targets(&mut self, own: bool) -> Vec<NodeId> {
-        let mut told = self.near_peers(self.settings.fanout);
+        let mut targets = self.domain_peers(self.settings.fanout);
         match own {
-            true => told.extend(self.one_of_each()),
-            false => told.extend(self.far_peer()),
+            true => targets.extend(self.one_per_domain()),
+            false => targets.extend(self.cross_domain_peer()),
         }
-        told
+        targets
     }
 
-    /// Sets the place in the configuration stream that rides on probes.
+    /// Sets the position in the configuration stream that probes carry.
     pub const fn set_head(&mut self, head: Head) {
         self.head = head;
     }
 
-    fn on_probe_for(&mut self, now: Instant, asker: NodeId, seq: u32, target: NodeId) {
+    fn on_probe_for(&mut self, now: Instant, requester: NodeId, seq: u32, target: NodeId) {
         if target == self.me.id {
-            return self.send(asker, Datagram::AckFor { seq, target });
+            return self.send(requester, Datagram::AckFor { seq, target });
         }
-        let relay = Relay {
-            asker,
+        let relay = RelayedProbe {
+            requester,
             seq,
             target,
             deadline: now + self.settings.ack_timeout * 2,
         };
-        match self.probes.relay(relay) {
+        match self.probes.add_relay(relay) {
             Some(seq) => {
                 let beat = self.beat(target, Vec::new());
                 self.send(target, Datagram::Probe { seq, beat });
             }
-            None => self.counts.busy += 1,
+            None => self.counts.rejected_relays += 1,
         }
     }
 
@@ -328,66 +341,68 @@
             incarnation,
             liveness: Liveness::Left,
         };
-        self.accept(now, News::Status(status));
+        self.apply_and_queue(now, MemberUpdate::Status(status));
     }
 
-    /// Answers a beat; a sender that introduces itself gets this node's entry in return.
-    fn answer(&mut self, now: Instant, from: NodeId, beat: Beat) -> Beat {
-        // Whoever finds a node that knows nobody has the list that it lacks.
+    /// Returns the answer to a probe.
+    ///
+    /// The answer contains the own entry if the sender is unknown or sent its own entry.
+    fn answer_probe(&mut self, now: Instant, from: NodeId, beat: Beat) -> Beat {
+        // A node that probes this node while it is alone has the member list that this node lacks.
         self.synced = self.merged || (self.synced && !self.is_alone());
-        let own = |n: &News| n.id() == from && matches!(n, News::Entry(_));
-        let introduced = self.list.get(from).is_none() || beat.news.iter().any(own);
-        let mut replies = self.hear(now, from, beat);
+        let own_entry = |u: &MemberUpdate| u.id() == from && matches!(u, MemberUpdate::Entry(_));
+        let introduced = self.list.get(from).is_none() || beat.news.iter().any(own_entry);
+        let mut replies = self.process_beat(now, from, beat);
         if introduced {
-            replies.insert(0, News::Entry(self.me.clone()));
+            replies.insert(0, MemberUpdate::Entry(self.me.clone()));
         }
         self.beat(from, replies)
     }
 
-    /// Takes in a beat and returns what its sender should be told.
-    fn hear(&mut self, now: Instant, from: NodeId, beat: Beat) -> Vec<News> {
-        let replies = self.learn(now, beat.news);
-        self.compare(now, from, beat.hash);
+    /// Processes a beat and returns the updates that its sender lacks.
+    fn process_beat(&mut self, now: Instant, from: NodeId, beat: Beat) -> Vec<MemberUpdate> {
+        let replies = self.apply_all(now, beat.news);
+        self.compare_hash(now, from, beat.hash);
         replies
     }
 
-    /// Notes that a node lives, whatever it sent.
-    fn heard(&mut self, now: Instant, from: NodeId) {
+    /// Records that a datagram of any kind arrived from a node.
+    fn record_contact(&mut self, now: Instant, from: NodeId) {
         self.last_heard = now;
         let Some(domain) = self.list.get(from).map(|m| m.domain.clone()) else {
             return;
         };
-        if domain != self.me.domain && self.reach.heard(&domain, now) {
-            self.out.push(Action::Reachable(domain));
+        if domain != self.me.domain && self.reachability.record_contact(&domain, now) {
+            self.actions.push(Action::Reachable(domain));
         }
     }
 
-    pub(super) fn reply(&mut self, to: NodeId, news: Vec<News>) {
-        let news = NewsQueue::fit(news, self.settings.news_bytes);
+    pub(super) fn reply(&mut self, to: NodeId, news: Vec<MemberUpdate>) {
+        let news = UpdateQueue::fit(news, self.settings.update_bytes);
         if !news.is_empty() {
             self.send(to, Datagram::Gossip { news });
         }
     }
 
     pub(super) fn send(&mut self, to: NodeId, datagram: Datagram) {
-        self.out.push(Action::Send(to, datagram));
+        self.actions.push(Action::Send(to, datagram));
     }
 
-    /// Applies news and counts what the list refuses.
-    pub(super) fn apply(&mut self, now: Instant, news: News) -> Applied {
-        let id = news.id();
-        let applied = self.list.apply(now, news);
-        match applied {
-            Applied::Changed => {
+    /// Applies an update and counts entries that the list rejects.
+    pub(super) fn apply(&mut self, now: Instant, update: MemberUpdate) -> ApplyOutcome {
+        let id = update.id();
+        let outcome = self.list.apply(now, update);
+        match outcome {
+            ApplyOutcome::Changed => {
                 self.last_change = now;
                 if self.list.get(id).is_some_and(|m| !m.liveness.is_live()) {
-                    self.expect_back(now);
+                    self.schedule_rejoin_probe(now);
                 }
-                self.out.push(Action::Changed(id));
+                self.actions.push(Action::Changed(id));
             }
-            Applied::Full => self.counts.full += 1,
-            Applied::Known | Applied::Older | Applied::Ignored => {}
+            ApplyOutcome::ListFull => self.counts.rejected_entries += 1,
+            ApplyOutcome::Duplicate | ApplyOutcome::Stale | ApplyOutcome::Incomplete => {}
         }
-        applied
+        outcome
     }
 }
--- a/crates/swiftcart-core/src/member/probe.rs
+++ b/crates/swiftcart-core/src/member/probe.rs
@@ -1,119 +1,115 @@
-//! Probes that wait for their answer.
+//! Pending probes, which wait for an acknowledgement.
 
 use std::collections::BTreeMap;
 
 use crate::{Instant, NodeId, Seq};
 
-/// The most probes that a node carries out for others at once.
+/// Maximum number of pending probes on behalf of other nodes.
 const MAX_RELAYS: usize = 256;
 
-/// Tells what a missed answer means.
+/// Kind of a probe, which decides the consequence of a missing acknowledgement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Kind {
-    /// A node of the own failure domain, which is suspected.
-    Own,
-    /// A node of another failure domain, which is never accused.
-    Cross,
-    /// A seed or a dead node, of which no answer is expected.
-    Stray,
+pub(super) enum ProbeKind {
+    /// The target is in the own failure domain and becomes suspected.
+    SameDomain,
+    /// The target is in another failure domain, whose reachability becomes doubtful.
+    CrossDomain,
+    /// The target is a seed, a departed node or a suspected node; a miss has no consequence.
+    BestEffort,
 }
 
-/// Holds one open probe.
+/// Probe that waits for an acknowledgement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Probe {
     pub target: NodeId,
-    pub kind: Kind,
+    pub kind: ProbeKind,
     pub sent: Instant,
     pub deadline: Instant,
-    /// Whether others have been asked to try.
-    pub asked: bool,
+    /// `true` once other nodes were asked to probe the target.
+    pub indirect_sent: bool,
 }
 
-/// Holds a probe that is carried out for another node.
+/// Probe on behalf of another node.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Relay {
-    pub asker: NodeId,
+pub(super) struct RelayedProbe {
+    pub requester: NodeId,
+    /// Sequence number that the requester chose.
     pub seq: Seq,
     pub target: NodeId,
     pub deadline: Instant,
 }
 
-/// Holds all open probes by number.
+/// Pending probes by sequence number.
 #[derive(Debug, Default, Clone)]
-pub(super) struct Probes {
-    next: Seq,
-    open: BTreeMap<Seq, Probe>,
-    relays: BTreeMap<Seq, Relay>,
+pub(super) struct PendingProbes {
+    last_seq: Seq,
+    own: BTreeMap<Seq, Probe>,
+    relays: BTreeMap<Seq, RelayedProbe>,
 }
 
-impl Probes {
-    /// Adds a probe and returns its number.
-    pub fn open(&mut self, probe: Probe) -> Seq {
-        let seq = self.number();
-        self.open.insert(seq, probe);
+impl PendingProbes {
+    /// Adds a probe and returns its sequence number.
+    pub fn add(&mut self, probe: Probe) -> Seq {
+        let seq = self.next_seq();
+        self.own.insert(seq, probe);
         seq
     }
 
-    /// Adds a probe for another node, or returns `None` when too many are open.
-    pub fn relay(&mut self, relay: Relay) -> Option<Seq> {
+    /// Adds a probe on behalf of another node, or returns `None` if too many are pending.
+    pub fn add_relay(&mut self, relay: RelayedProbe) -> Option<Seq> {
         if self.relays.len() >= MAX_RELAYS {
             return None;
         }
-        let seq = self.number();
+        let seq = self.next_seq();
         self.relays.insert(seq, relay);
         Some(seq)
     }
 
-    /// Closes the probe of `target` with this number.
-    pub fn close(&mut self, seq: Seq, target: NodeId) -> Option<Probe> {
-        match self.open.get(&seq) {
-            Some(probe) if probe.target == target => self.open.remove(&seq),
+    /// Removes and returns the probe of `target` with the sequence number `seq`.
+    pub fn remove(&mut self, seq: Seq, target: NodeId) -> Option<Probe> {
+        match self.own.get(&seq) {
+            Some(probe) if probe.target == target => self.own.remove(&seq),
             _ => None,
         }
     }
 
-    /// Closes the relayed probe of `target` with this number.
-    pub fn close_relay(&mut self, seq: Seq, target: NodeId) -> Option<Relay> {
+    /// Removes and returns the relayed probe of `target` with the sequence number `seq`.
+    pub fn remove_relay(&mut self, seq: Seq, target: NodeId) -> Option<RelayedProbe> {
         match self.relays.get(&seq) {
             Some(relay) if relay.target == target => self.relays.remove(&seq),
             _ => None,
         }
     }
 
-    /// Tells whether a probe of `target` is open.
-    pub fn awaits(&self, target: NodeId) -> bool {
-        self.open.values().any(|p| p.target == target)
+    /// Returns `true` if a probe of `target` is pending.
+    pub fn is_pending(&self, target: NodeId) -> bool {
+        self.own.values().any(|p| p.target == target)
     }
 
-    /// Takes the probes whose time is over; drops relayed ones without a word.
-    pub fn expired(&mut self, now: Instant) -> Vec<(Seq, Probe)> {
+    /// Removes and returns the expired probes; expired relayed probes are dropped.
+    pub fn take_expired(&mut self, now: Instant) -> Vec<(Seq, Probe)> {
         self.relays.retain(|_, r| r.deadline > now);
         let due = |(_, p): &(&Seq, &Probe)| p.deadline <= now;
-        let expired: Vec<_> = self
-            .open
-            .iter()
-            .filter(due)
-            .map(|(s, p)| (*s, *p))
-            .collect();
+        let expired: Vec<_> = self.own.iter().filter(due).map(|(s, p)| (*s, *p)).collect();
         for (seq, _) in &expired {
-            self.open.remove(seq);
+            self.own.remove(seq);
         }
         expired
     }
 
-    /// Puts a probe back under its number.
-    pub fn put_back(&mut self, seq: Seq, probe: Probe) {
-        self.open.insert(seq, probe);
+    /// Adds a probe under its previous sequence number.
+    pub fn reopen(&mut self, seq: Seq, probe: Probe) {
+        self.own.insert(seq, probe);
     }
 
-    /// Forgets everything.
+    /// Removes all probes.
     pub fn clear(&mut self) {
-        self.open.clear();
+        self.own.clear();
         self.relays.clear();
     }
 
-    const fn number(&mut self) -> Seq {
-        self.next = self.next.wrapping_add(1);
-        self.next
+    const fn next_seq(&mut self) -> Seq {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
     }
 }
--- a/crates/swiftcart-core/src/member/settings.rs
+++ b/crates/swiftcart-core/src/member/settings.rs
@@ -1,8 +1,10 @@
-//! Settings of the membership.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// Holds the times and bounds of the membership; all nodes of a mesh should agree.
+/// Intervals, timeouts and limits of the membership protocol.
+///
+/// All nodes of a mesh should use the same values.
 ///
 /// # Examples
 ///
@@ -15,40 +17,43 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Gossip {
-    /// The time between two probes.
+    /// Interval between probes.
     pub probe_interval: Duration,
-    /// How long a probe waits for its answer before others are asked to try.
+    /// Time to wait for an acknowledgement before other nodes are asked to probe the target.
     pub ack_timeout: Duration,
-    /// How long a suspected node has to refute.
+    /// Time in which a suspected node can refute the suspicion.
     pub suspicion_timeout: Duration,
-    /// How many nodes are asked to probe in this node's place.
+    /// Number of nodes asked to probe a target indirectly.
     pub indirect: usize,
-    /// One probe in this many goes to another failure domain.
-    pub cross_share: u32,
-    /// The bytes of news in one datagram.
-    pub news_bytes: usize,
-    /// News is sent this many times the binary logarithm of the number of nodes.
-    pub news_factor: u32,
-    /// How many nodes hear at once of a suspicion, a death, a refutation or a departure.
+    /// Number of probes of which one goes to another failure domain.
+    pub cross_interval: u32,
+    /// Maximum bytes of updates in one datagram.
+    pub update_bytes: usize,
+    /// Factor of the transmissions per update, which grow with the binary logarithm of the number
+    /// of nodes.
+    pub retransmit_factor: u32,
+    /// Number of nodes to which an urgent update, such as a suspicion, is sent at once.
     pub fanout: usize,
-    /// How long a dead node is remembered.
+    /// Time for which the tombstone of a dead or departed node is kept.
     pub tombstone_ttl: Duration,
-    /// The most live entries, and the most dead ones, that are kept.
-    pub bound: usize,
-    /// A tick that comes this much late tells that the process was paused.
-    pub pause: Duration,
-    /// How long a process accuses nobody after a pause.
-    pub grace: Duration,
-    /// How long a failure domain stays silent after a missed probe until it is unreachable. A
-    /// domain in doubt is probed with every round; two more lost probes say enough where one
-    /// in twenty is lost, and each second of waiting costs requests that are sent there.
-    pub cut_after: Duration,
-    /// How long the hash of the member list may differ from a peer's before a pull.
+    /// Maximum number of live entries, and of tombstones.
+    pub max_entries: usize,
+    /// Time without a tick after which the process is considered to have been paused.
+    pub pause_threshold: Duration,
+    /// Time after a pause in which the process declares no node suspected or dead.
+    pub pause_grace: Duration,
+    /// Time without datagrams after a missed probe until a failure domain is unreachable.
+    ///
+    /// A suspected failure domain is probed in every probe interval. Two more missed probes are
+    /// sufficient evidence at a loss of one in twenty datagrams. A longer time would fail more of
+    /// the requests that are routed there.
+    pub unreachable_after: Duration,
+    /// Time for which the member list hash may differ from that of peers before a pull.
     pub pull_after: Duration,
-    /// The least time between two pulls.
-    pub pull_every: Duration,
-    /// The time between two tries to find a forgotten or dead node again.
-    pub retry_every: Duration,
+    /// Minimum interval between pulls.
+    pub pull_interval: Duration,
+    /// Interval between probes of seeds that are not live members and of dead nodes.
+    pub rejoin_interval: Duration,
 }
 
 impl Gossip {
@@ -60,18 +65,18 @@
             ack_timeout: Duration::from_millis(200),
             suspicion_timeout: Duration::from_millis(1500),
             indirect: 3,
-            cross_share: 4,
-            news_bytes: 700,
-            news_factor: 1,
+            cross_interval: 4,
+            update_bytes: 700,
+            retransmit_factor: 1,
             fanout: 3,
             tombstone_ttl: Duration::from_secs(24 * 60 * 60),
-            bound: 4096,
-            pause: Duration::from_secs(1),
-            grace: Duration::from_secs(3),
-            cut_after: Duration::from_millis(1200),
+            max_entries: 4096,
+            pause_threshold: Duration::from_secs(1),
+            pause_grace: Duration::from_secs(3),
+            unreachable_after: Duration::from_millis(1200),
             pull_after: Duration::from_secs(2),
-            pull_every: Duration::from_secs(5),
-            retry_every: Duration::from_secs(10),
+            pull_interval: Duration::from_secs(5),
+            rejoin_interval: Duration::from_secs(10),
         }
     }
 }
--- a/crates/swiftcart-core/src/member/succession.rs
+++ b/crates/swiftcart-core/src/member/succession.rs
@@ -1,8 +1,8 @@
-//! Which announcement of the backend server beside a node counts.
+//! Ordering of the announcements of the backend server beside a node.
 //!
-//! A backend server may crash and start again under its id, and another one may take its
-//! address. Announcements arrive late, repeated and out of order, so that one of a process
-//! that is gone may come after the first one of its successor.
+//! A backend server may crash and restart with its id, and another backend server may take its
+//! address. Announcements arrive late, repeated and out of order. An announcement of an ended
+//! process may therefore arrive after the first announcement of its successor.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,18 +11,21 @@
 
 use crate::Instant;
 
-/// Departures and replacements that are remembered; an instance replaces its backend server a
-/// few times a day, and an announcement is late by seconds.
-const MOST_RETIRED: usize = 16;
+/// Maximum number of remembered departures and replacements.
+///
+/// An instance replaces its backend server a few times a day, and announcements are late by
+/// seconds.
+const MAX_RETIRED: usize = 16;
 
-/// How long the newest start outlasts its last announcement: an earlier one that is heard after
-/// that is taken for a new process whose clock was set back. Announcements are late by seconds,
-/// by some 10 s when a cut held them up.
-const MEMORY: Duration = Duration::from_secs(20);
+/// Time without announcements after which the newest start time no longer rejects earlier ones.
+///
+/// An announcement with an earlier start time then counts as a new process whose clock was set
+/// back. Announcements are normally late by seconds, and by about 10 s after a network partition.
+const REORDER_WINDOW: Duration = Duration::from_secs(20);
 
-/// Tells when a backend server started, in Unix milliseconds by the clock of its instance.
+/// Start time of a backend server, in Unix milliseconds by the clock of its instance.
 ///
-/// It names one process among all that announce themselves under one id; greater is newer.
+/// The start time identifies one process among all processes with the same id; greater is newer.
 ///
 /// # Examples
 ///
@@ -35,36 +38,36 @@
 #[serde(transparent)]
 pub struct StartTime(pub u64);
 
-/// Holds what orders one announcement among others.
+/// Fields of an announcement that determine its order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Announced<'a> {
-    /// The backend server's own id.
+    /// Id of the backend server.
     pub id: &'a str,
-    /// When it started; `None` where backend servers do not tell.
+    /// Start time of the process; `None` if backend servers do not announce it.
     pub start: Option<StartTime>,
-    /// Grows with each announcement of one process.
+    /// Sequence number, which grows with each announcement of one process.
     pub seq: u64,
 }
 
-/// Tells whether an announcement counts, and why not.
+/// Outcome of an announcement: the reason for which it is accepted or rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AnnouncementOutcome {
-    /// It is the newest one of the backend server that is known.
+    /// The announcement is the newest of the current process.
     Newer,
-    /// It is the first one of another backend server.
+    /// The announcement is the first of another backend server.
     Replaced,
-    /// It is the first one since the known backend server started again under its id.
+    /// The announcement is the first since the current backend server restarted with its id.
     Restarted,
-    /// It is older than one that came before.
+    /// The announcement is older than an accepted one.
     Late,
-    /// Its process has left, or another backend server has taken its place.
+    /// The process has left, or another backend server has replaced it.
     Retired,
-    /// It lacks its start, which the backend servers here tell.
+    /// The announcement lacks the start time that earlier announcements had.
     MissingStart,
 }
 
 impl AnnouncementOutcome {
-    /// Tells whether the announcement is in force from now on.
+    /// Returns `true` if the announcement takes effect.
     ///
     /// # Examples
     ///
@@ -79,7 +82,9 @@
         matches!(self, Self::Newer | Self::Replaced | Self::Restarted)
     }
 
-    /// Tells whether what was learnt of the backend server before is void.
+    /// Returns `true` if the announcement is the first of a process.
+    ///
+    /// State kept about the previous process is then obsolete.
     #[must_use]
     pub const fn is_new_process(self) -> bool {
         matches!(self, Self::Replaced | Self::Restarted)
@@ -99,15 +104,15 @@
     }
 }
 
-/// Decides which announcements of the backend server beside one node count.
+/// Filter that accepts or rejects the announcements of the backend server beside one node.
 ///
-/// A greater start replaces a smaller one of the same id, whatever the numbers of their
-/// announcements; a smaller one is late. Within one start the number decides, and so it does
-/// for announcements without a start. A departure ends the start that it names and those
-/// before it. Once a start was told, announcements without one name nobody.
+/// A greater start time replaces a smaller one of the same id, regardless of the sequence numbers.
+/// A smaller start time is late. Sequence numbers order the announcements with the same start time
+/// and those without a start time. A departure ends the process with the given start time and all
+/// earlier ones. Once a start time was announced, announcements without a start time are rejected.
 ///
-/// A clock that was set back between two starts makes the later one look old. It counts when
-/// nothing was heard of the newest start for 20 s.
+/// A clock that was set back between two starts makes the later process appear older. That process
+/// is accepted after 20 s without an announcement of the newest start time.
 ///
 /// # Examples
 ///
@@ -115,72 +120,82 @@
 /// use swiftcart_core::{Announced, AnnouncementOutcome, Instant, StartTime, Succession};
 ///
 /// let now = Instant::from_millis(0);
-/// let said = |start, seq| Announced { id: "i-1", start: Some(StartTime(start)), seq };
+/// let announce = |start, seq| Announced { id: "i-1", start: Some(StartTime(start)), seq };
 /// let mut succession = Succession::default();
-/// assert_eq!(succession.on_announcement(now, said(1_000, 7)), AnnouncementOutcome::Replaced);
-/// assert_eq!(succession.on_announcement(now, said(9_000, 1)), AnnouncementOutcome::Restarted);
-/// assert_eq!(succession.on_announcement(now, said(1_000, 8)), AnnouncementOutcome::Late);
+/// assert_eq!(succession.on_announcement(now, announce(1_000, 7)), AnnouncementOutcome::Replaced);
+/// assert_eq!(succession.on_announcement(now, announce(9_000, 1)), AnnouncementOutcome::Restarted);
+/// assert_eq!(succession.on_announcement(now, announce(1_000, 8)), AnnouncementOutcome::Late);
 /// assert!(!succession.leave(now, "i-1", Some(StartTime(1_000)), StartTime(9_500)));
 /// assert!(succession.leave(now, "i-1", Some(StartTime(9_000)), StartTime(9_500)));
-/// assert_eq!(succession.on_announcement(now, said(9_000, 2)), AnnouncementOutcome::Retired);
+/// assert_eq!(succession.on_announcement(now, announce(9_000, 2)), AnnouncementOutcome::Retired);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Succession {
     current: Option<Current>,
     retired: VecDeque<Retired>,
-    /// The start that counted last, and when it was last announced.
-    newest: Option<(StartTime, Instant)>,
+    /// Start time accepted last, and the time of its last announcement.
+    newest_start: Option<(StartTime, Instant)>,
 }
 
-/// The backend server whose announcement counted last.
+/// Backend server whose announcement was accepted last.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Current {
     id: String,
     start: Option<StartTime>,
     seq: u64,
-    heard: Instant,
+    last_announced: Instant,
 }
 
-/// A backend server that has left or was replaced.
+/// Backend server that has left or was replaced.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Retired {
     id: String,
-    /// The start that ended; earlier ones ended before.
+    /// Latest start time that has ended; earlier processes have ended as well.
     until: Option<StartTime>,
-    at: Instant,
+    retired_at: Instant,
 }
 
 impl Succession {
-    /// Takes an announcement.
-    pub fn on_announcement(&mut self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
-        let heard = self.judge(now, said);
-        match heard {
-            AnnouncementOutcome::Newer | AnnouncementOutcome::Restarted => self.renew(now, said),
-            AnnouncementOutcome::Replaced => self.replace(now, said),
+    /// Processes an announcement and returns its outcome.
+    pub fn on_announcement(
+        &mut self,
+        now: Instant,
+        announcement: Announced<'_>,
+    ) -> AnnouncementOutcome {
+        let outcome = self.classify(now, announcement);
+        match outcome {
+            AnnouncementOutcome::Newer | AnnouncementOutcome::Restarted => {
+                self.set_current(now, announcement)
+            }
+            AnnouncementOutcome::Replaced => self.replace(now, announcement),
             AnnouncementOutcome::Late
             | AnnouncementOutcome::Retired
-            | AnnouncementOutcome::MissingStart => return heard,
+            | AnnouncementOutcome::MissingStart => return outcome,
         }
-        self.newest = said.start.map(|start| (start, now)).or(self.newest);
-        heard
+        self.newest_start = announcement
+            .start
+            .map(|start| (start, now))
+            .or(self.newest_start);
+        outcome
     }
 
-    /// Notes that the backend server `id` has left; returns whether it was the current one.
+    /// Records the departure of the backend server `id`; returns `true` if it was the current one.
     ///
-    /// The departure ends `start`, or without one whatever the id had started by `wall`, the
-    /// time on the wall clock.
+    /// The departure ends the process with the start time `start` and all earlier ones. Without
+    /// `start`, it ends the current process of the id and all earlier ones. If the id is not the
+    /// current one, it ends all processes of the id that started by `wall_clock`.
     pub fn leave(
         &mut self,
         now: Instant,
         id: &str,
         start: Option<StartTime>,
-        wall: StartTime,
+        wall_clock: StartTime,
     ) -> bool {
         let current = self.current.as_ref().filter(|current| current.id == id);
         let until = match (start, current) {
             (Some(start), _) => Some(start),
             (None, Some(current)) => current.start,
-            (None, None) => Some(wall),
+            (None, None) => Some(wall_clock),
         };
         let left = current.is_some_and(|current| current.start <= until);
         if left {
@@ -190,89 +205,93 @@
         left
     }
 
-    /// Returns the id of the backend server whose announcement counted last.
+    /// Returns the id of the current backend server.
     #[must_use]
     pub fn id(&self) -> Option<&str> {
         self.current.as_ref().map(|current| current.id.as_str())
     }
 
-    /// Returns when that backend server started, if it has told.
+    /// Returns the start time of the current backend server, if announced.
     #[must_use]
     pub fn start(&self) -> Option<StartTime> {
         self.current.as_ref().and_then(|current| current.start)
     }
 
-    fn judge(&self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
-        let mut retired = self.retired.iter().filter(|gone| gone.id == said.id);
-        match (&self.current, said.start) {
-            _ if retired.any(|gone| gone.covers(now, said.start)) => AnnouncementOutcome::Retired,
-            (_, None) if self.newest(now).is_some() => AnnouncementOutcome::MissingStart,
-            (Some(current), start) if current.id == said.id && current.start == start => {
-                current.judge(now, said)
+    fn classify(&self, now: Instant, announcement: Announced<'_>) -> AnnouncementOutcome {
+        let mut retired = self.retired.iter().filter(|old| old.id == announcement.id);
+        match (&self.current, announcement.start) {
+            _ if retired.any(|old| old.covers(now, announcement.start)) => {
+                AnnouncementOutcome::Retired
             }
-            (_, Some(start)) if self.newest(now).is_some_and(|newest| start < newest) => {
+            (_, None) if self.recent_start(now).is_some() => AnnouncementOutcome::MissingStart,
+            (Some(current), start) if current.id == announcement.id && current.start == start => {
+                current.classify(now, announcement)
+            }
+            (_, Some(start)) if self.recent_start(now).is_some_and(|recent| start < recent) => {
                 AnnouncementOutcome::Late
             }
-            (Some(current), _) if current.id == said.id => AnnouncementOutcome::Restarted,
+            (Some(current), _) if current.id == announcement.id => AnnouncementOutcome::Restarted,
             _ => AnnouncementOutcome::Replaced,
         }
     }
 
-    /// Returns the newest start, unless nothing was heard of it for too long.
-    fn newest(&self, now: Instant) -> Option<StartTime> {
-        let (start, heard) = self.newest?;
-        (now.since(heard) < MEMORY).then_some(start)
+    /// Returns the newest start time if it was announced within [`REORDER_WINDOW`].
+    fn recent_start(&self, now: Instant) -> Option<StartTime> {
+        let (start, announced) = self.newest_start?;
+        (now.since(announced) < REORDER_WINDOW).then_some(start)
     }
 
-    fn renew(&mut self, now: Instant, said: Announced<'_>) {
+    fn set_current(&mut self, now: Instant, announcement: Announced<'_>) {
         self.current = Some(Current {
-            id: said.id.into(),
-            start: said.start,
-            seq: said.seq,
-            heard: now,
+            id: announcement.id.into(),
+            start: announcement.start,
+            seq: announcement.seq,
+            last_announced: now,
         });
     }
 
-    fn replace(&mut self, now: Instant, said: Announced<'_>) {
+    fn replace(&mut self, now: Instant, announcement: Announced<'_>) {
         if let Some(old) = self.current.take() {
             self.retire(now, old.id, old.start);
         }
-        self.renew(now, said);
+        self.set_current(now, announcement);
     }
 
     fn retire(&mut self, now: Instant, id: String, until: Option<StartTime>) {
-        let known = self.retired.iter().position(|gone| gone.id == id);
-        let before = known.and_then(|at| self.retired.remove(at));
+        let index = self.retired.iter().position(|old| old.id == id);
+        let previous = index.and_then(|at| self.retired.remove(at));
         self.retired.push_back(Retired {
-            until: until.max(before.and_then(|gone| gone.until)),
+            until: until.max(previous.and_then(|old| old.until)),
             id,
-            at: now,
+            retired_at: now,
         });
-        if self.retired.len() > MOST_RETIRED {
+        if self.retired.len() > MAX_RETIRED {
             self.retired.pop_front();
         }
     }
 }
 
 impl Current {
-    /// Judges an announcement of the same process, or of one that tells no start either.
-    fn judge(&self, now: Instant, said: Announced<'_>) -> AnnouncementOutcome {
-        let silent = now.since(self.heard) >= MEMORY;
-        match said.seq > self.seq {
+    /// Classifies an announcement with the same id and start time, or also without a start time.
+    fn classify(&self, now: Instant, announcement: Announced<'_>) -> AnnouncementOutcome {
+        let expired = now.since(self.last_announced) >= REORDER_WINDOW;
+        match announcement.seq > self.seq {
             true => AnnouncementOutcome::Newer,
-            false if self.start.is_none() && silent => AnnouncementOutcome::Restarted,
+            false if self.start.is_none() && expired => AnnouncementOutcome::Restarted,
             false => AnnouncementOutcome::Late,
         }
     }
 }
 
 impl Retired {
-    /// Tells whether an announcement is one of the processes that ended.
+    /// Returns `true` if an announcement with the given start time is from an ended process.
     fn covers(&self, now: Instant, start: Option<StartTime>) -> bool {
         match (self.until, start) {
             (_, None) => true,
             (None, Some(_)) => false,
-            (Some(until), Some(start)) if start < until => now.since(self.at) < MEMORY,
+            (Some(until), Some(start)) if start < until => {
+                now.since(self.retired_at) < REORDER_WINDOW
+            }
             (Some(until), Some(start)) => start == until,
         }
     }
--- a/crates/swiftcart-core/src/wire/datagram.rs
+++ b/crates/swiftcart-core/src/wire/datagram.rs
@@ -21,14 +21,14 @@
 
 /// Tells one thing about one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum News {
+pub enum MemberUpdate {
     /// Everything that is known of a node.
     Entry(Member),
     /// Only its liveness, for receivers that know the rest.
     Status(Status),
 }
 
-impl News {
+impl MemberUpdate {
     /// Returns the node that the news is about.
     #[must_use]
     pub const fn id(&self) -> NodeId {
@@ -58,7 +58,7 @@
     /// The hash of the sender's member list.
     pub hash: u32,
     /// What the sender passes on of other nodes and itself.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
 }
 
 /// A message between two nodes.
@@ -98,7 +98,7 @@
     /// Passes on news outside a probe.
     Gossip {
         /// The news.
-        news: Vec<News>,
+        news: Vec<MemberUpdate>,
     },
     /// Carries new records of the configuration stream down the tree.
     Push {
--- a/crates/swiftcart-core/tests/member.rs
+++ b/crates/swiftcart-core/tests/member.rs
@@ -67,7 +67,7 @@
         net.running()
             .all(|(_, m)| liveness(m) == Some(Liveness::Left))
     );
-    assert_eq!(net.sum(|c| c.declared + c.suspected), 0);
+    assert_eq!(net.sum(|c| c.declared_dead + c.suspected), 0);
 }
 
 #[rstest]
@@ -115,7 +115,7 @@
     }
     let counts = net.machine(1).counts();
     assert_eq!(
-        (counts.suspected, counts.declared, counts.pauses),
+        (counts.suspected, counts.declared_dead, counts.pauses),
         (0, 0, 1)
     );
     assert!(net.all_route(1) && net.none_routes(2) && net.agree());
@@ -206,7 +206,7 @@
     let mut net = Net::settled(&[20, 20, 20], 8);
     net.loss = 0.1;
     net.run(240_000);
-    assert_eq!(net.sum(|c| c.declared), 0);
+    assert_eq!(net.sum(|c| c.declared_dead), 0);
 }
 
 #[test]
@@ -218,14 +218,14 @@
         incarnation,
         liveness: Liveness::Suspect,
     };
-    let news = vec![News::Status(accused)];
+    let news = vec![MemberUpdate::Status(accused)];
     net.call(1, |m, now| {
         m.on_datagram(now, id(2), Datagram::Gossip { news })
     });
     net.run(10_000);
     assert!(net.all_route(3) && net.agree());
     assert!(net.machine(3).me().incarnation > incarnation);
-    assert_eq!(net.sum(|c| c.declared), 0);
+    assert_eq!(net.sum(|c| c.declared_dead), 0);
 }
 
 #[rstest]
@@ -246,7 +246,7 @@
     net.cut_off(2);
     net.cuts.insert((2, 2));
     net.run(30_000);
-    assert_eq!(net.sum(|c| c.declared), 0);
+    assert_eq!(net.sum(|c| c.declared_dead), 0);
     net.cuts.clear();
     net.until("agreed", 20_000, |net| {
         net.agree() && (0..12).all(|at| net.all_route(at))
@@ -260,7 +260,7 @@
     halves(&mut net);
     net.cuts.extend([(0, 2), (2, 0)]);
     net.run(30_000);
-    assert!(net.sum(|c| c.declared) > 0);
+    assert!(net.sum(|c| c.declared_dead) > 0);
     net.cuts.clear();
     net.until("agreed", 60_000, |net| {
         net.agree() && (0..12).all(|at| net.all_route(at))
@@ -283,7 +283,7 @@
 fn tick(
     machine: &mut Membership,
     ms: u64,
-    answer: impl Fn(NodeId) -> Option<Vec<News>>,
+    answer: impl Fn(NodeId) -> Option<Vec<MemberUpdate>>,
 ) -> BTreeMap<NodeId, usize> {
     let mut probes = BTreeMap::new();
     for now in (0..ms).step_by(50).map(|t| Instant::from_millis(100 + t)) {
@@ -319,7 +319,7 @@
     let probes = tick(&mut machine, 20_000, |to| (to != id(3)).then(Vec::new));
     let counts = machine.counts();
     assert!(probes[&id(3)] > 1);
-    assert_eq!((counts.suspected, counts.missed), (0, 0));
+    assert_eq!((counts.suspected, counts.missed_probes), (0, 0));
 }
 
 #[test]
@@ -341,7 +341,7 @@
     let mut machine = machine(Gossip::new(), 3, 24);
     let silent = |to: NodeId| (10..16).any(|at| id(at) == to);
     tick(&mut machine, 120_000, |to| (!silent(to)).then(Vec::new));
-    assert!(machine.counts().missed > 0);
+    assert!(machine.counts().missed_probes > 0);
 }
 
 #[test]
@@ -351,7 +351,10 @@
     let sent = ticks.map(|now| machine.tick(now).len());
     assert!(sent[1] > 0);
     let counts = machine.counts();
-    assert_eq!((counts.pauses, counts.missed, counts.withheld), (1, 0, 0));
+    assert_eq!(
+        (counts.pauses, counts.missed_probes, counts.withheld_suspicions),
+        (1, 0, 0)
+    );
 }
 
 #[test]
@@ -385,7 +388,7 @@
     };
     let beat = Beat {
         hash: machine.hash(),
-        news: vec![News::Status(status)],
+        news: vec![MemberUpdate::Status(status)],
         ..Beat::default()
     };
     assert_eq!(
@@ -398,7 +401,7 @@
 fn older_news_is_answered_with_the_newer() {
     let mut machine = machine(Gossip::new(), 3, 0);
     let now = Instant::from_millis(50);
-    let entry = |at, life| News::Entry(Member::new(id(at), domain(0), Incarnation(life)));
+    let entry = |at, life| MemberUpdate::Entry(Member::new(id(at), domain(0), Incarnation(life)));
     let tell = |news| Datagram::Gossip { news };
     machine.on_datagram(now, id(1), tell(vec![entry(2, 5)]));
     let actions = machine.on_datagram(now, id(3), tell(vec![entry(2, 4), entry(1, 1)]));
@@ -413,34 +416,34 @@
         incarnation: Incarnation(1),
         liveness: Liveness::Suspect,
     };
-    let news = vec![News::Status(suspect)];
+    let news = vec![MemberUpdate::Status(suspect)];
     machine.on_datagram(Instant::from_millis(50), id(3), Datagram::Gossip { news });
     assert!(!machine.routable(id(7)));
-    let refuted = News::Entry(Member::new(id(7), domain(0), Incarnation(2)));
+    let refuted = MemberUpdate::Entry(Member::new(id(7), domain(0), Incarnation(2)));
     tick(&mut machine, 3_000, |to| {
         Some(Vec::from_iter((to == id(7)).then(|| refuted.clone())))
     });
-    assert!(machine.routable(id(7)) && machine.counts().declared == 0);
+    assert!(machine.routable(id(7)) && machine.counts().declared_dead == 0);
 }
 
 #[test]
 fn a_full_list_refuses_further_nodes_and_counts_them() {
     let machine = machine(
         Gossip {
-            bound: 3,
+            max_entries: 3,
             ..Gossip::new()
         },
         8,
         0,
     );
-    assert_eq!((machine.members().count(), machine.counts().full), (3, 6));
+    assert_eq!((machine.members().count(), machine.counts().rejected_entries), (3, 6));
 }
 
 #[test]
 fn dead_nodes_are_remembered_for_the_set_time_and_up_to_the_bound() {
     let mut machine = machine(
         Gossip {
-            bound: 4,
+            max_entries: 4,
             ..Gossip::new()
         },
         0,
--- a/crates/swiftcart-core/tests/member_herd.rs
+++ b/crates/swiftcart-core/tests/member_herd.rs
@@ -14,7 +14,7 @@
         (20..40).all(|at| net.none_routes(at))
     });
     net.run(30_000);
-    assert_eq!(net.sum(|c| c.declared), 0);
+    assert_eq!(net.sum(|c| c.declared_dead), 0);
     (20..40).for_each(|at| net.boot(at, 0));
     net.until("all routed", 15_000, |net| {
         (0..60).all(|at| net.all_route(at))
--- a/crates/swiftcart-core/tests/wire.rs
+++ b/crates/swiftcart-core/tests/wire.rs
@@ -47,7 +47,7 @@
             digest: u64::MAX,
         },
         hash: 99,
-        news: vec![News::Entry(member()), News::Status(status)],
+        news: vec![MemberUpdate::Entry(member()), MemberUpdate::Status(status)],
     }
 }
 
--- a/crates/swiftcart-core/tests/wire_releases.rs
+++ b/crates/swiftcart-core/tests/wire_releases.rs
@@ -85,7 +85,7 @@
                 digest: u64::MAX,
             },
             hash: 99,
-            news: vec![News::Entry(member()), News::Status(status)],
+            news: vec![MemberUpdate::Entry(member()), MemberUpdate::Status(status)],
         },
     }
 }
