--- a/crates/swiftcart-core/src/member/dissemination.rs
+++ b/crates/swiftcart-core/src/member/dissemination.rs
@@ -63,7 +63,7 @@
                 self.updates.push(update);
             }
             ApplyOutcome::Duplicate if self.is_backlogged() => {
-                self.updates.record_duplicate(id, self.transmit_limit())
+                self.updates.record_duplicate(id, self.transmit_limit());
             }
             ApplyOutcome::Duplicate
             | ApplyOutcome::Stale
--- a/crates/swiftcart-core/src/member/succession.rs
+++ b/crates/swiftcart-core/src/member/succession.rs
@@ -165,7 +165,7 @@
         let outcome = self.classify(now, announcement);
         match outcome {
             AnnouncementOutcome::Newer | AnnouncementOutcome::Restarted => {
-                self.set_current(now, announcement)
+                self.set_current(now, announcement);
             }
             AnnouncementOutcome::Replaced => self.replace(now, announcement),
             AnnouncementOutcome::Late
--- a/crates/swiftcart-core/src/member/suspicion.rs
+++ b/crates/swiftcart-core/src/member/suspicion.rs
@@ -53,7 +53,7 @@
         for (seq, probe) in self.probes.take_expired(now) {
             match probe.kind {
                 ProbeKind::SameDomain if !probe.indirect_sent => {
-                    self.send_indirect_probes(now, seq, probe)
+                    self.send_indirect_probes(now, seq, probe);
                 }
                 ProbeKind::SameDomain => self.on_same_domain_miss(now, probe.target),
                 ProbeKind::CrossDomain => self.on_cross_domain_miss(now, &probe),
--- a/crates/swiftcart-core/tests/member.rs
+++ b/crates/swiftcart-core/tests/member.rs
@@ -1,4 +1,4 @@
-//! The membership keeps its promises under death, pause, cut, loss and storm.
+//! Membership tests under node death, pauses, partitions, datagram loss and mass restarts.
 
 #[path = "support/net.rs"]
 mod net;
@@ -6,288 +6,315 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use net::{Net, backend, domain, id};
+use net::{SimNetwork, backend, domain, id};
 use rstest::rstest;
 use swiftcart_core::*;
 
 #[rstest]
-#[case::lima(&[5, 4, 4])]
-#[case::one_domain(&[13])]
-#[case::sixty(&[60, 20, 20])]
-#[case::hundred_and_thirty_nine(&[139, 20, 20])]
-fn a_dead_node_leaves_routing_within_five_seconds(#[case] sizes: &[usize]) {
-    let mut net = Net::settled(sizes, 1);
+#[case::thirteen_nodes(&[5, 4, 4])]
+#[case::thirteen_nodes_in_one_domain(&[13])]
+#[case::sixty_nodes_in_largest_domain(&[60, 20, 20])]
+#[case::largest_domain_of_139_nodes(&[139, 20, 20])]
+fn dead_node_is_not_routed_to_within_five_seconds(#[case] sizes: &[usize]) {
+    let mut net = SimNetwork::converged(sizes, 1);
     for at in [1, 2, 3] {
         net.kill(at);
-        net.until("unrouted", 5_000, |net| net.none_routes(at));
+        net.run_until("not routed to", 5_000, |net| net.none_route_to(at));
         net.run(3_000);
     }
-    let all = net.nodes.len() - 3;
-    net.until("agreed", 10_000, Net::agree);
+    let remaining = net.nodes.len() - 3;
+    net.run_until("agreed", 10_000, SimNetwork::has_converged);
     let live = |m: &Membership| m.domains().map(|d| m.live_in(d).count()).sum::<usize>();
-    assert!(net.running().all(|(_, m)| live(m) == all));
+    assert!(net.running().all(|(_, m)| live(m) == remaining));
 }
 
 #[rstest]
 #[case::draining(Some(backend(2, Readiness::Draining)))]
-#[case::gone(None)]
-fn a_change_of_a_backend_server_is_known_everywhere_soon(#[case] news: Option<Backend>) {
-    let mut net = Net::settled(&[40, 40, 40], 2);
-    net.call(2, |m, now| m.update_backend(now, news.clone()));
-    let known = |m: &Membership| m.member(id(2)).unwrap().backend == news;
-    net.until("known", 5_000, |net| net.running().all(|(_, m)| known(m)));
+#[case::withdrawn(None)]
+fn backend_change_reaches_all_nodes_within_five_seconds(#[case] announced: Option<Backend>) {
+    let mut net = SimNetwork::converged(&[40, 40, 40], 2);
+    net.with_membership(2, |m, now| m.update_backend(now, announced.clone()));
+    let known = |m: &Membership| m.member(id(2)).unwrap().backend == announced;
+    net.run_until("backend known", 5_000, |net| {
+        net.running().all(|(_, m)| known(m))
+    });
 }
 
 #[test]
-fn a_backend_server_that_equals_the_one_before_is_told_everywhere_and_its_pace_is_withdrawn() {
-    let mut net = Net::settled(&[40, 40, 40], 2);
+fn replacing_backend_with_equal_one_withdraws_its_pace_everywhere() {
+    let mut net = SimNetwork::converged(&[40, 40, 40], 2);
     let same = Some(backend(2, Readiness::Ready));
-    net.call(2, |m, now| m.update_backend(now, same.clone()));
-    net.call(2, |m, now| m.announce_pace(now, Pace(300)));
+    net.with_membership(2, |m, now| m.update_backend(now, same.clone()));
+    net.with_membership(2, |m, now| m.announce_pace(now, Pace(300)));
     let pace = |m: &Membership| m.member(id(2)).unwrap().pace;
-    net.until("told", 5_000, |net| {
+    net.run_until("pace known", 5_000, |net| {
         net.running().all(|(_, m)| pace(m).is_some())
     });
-    net.call(2, |m, now| m.replace_backend(now, same.clone()));
-    net.until("void", 5_000, |net| {
+    net.with_membership(2, |m, now| m.replace_backend(now, same.clone()));
+    net.run_until("pace withdrawn", 5_000, |net| {
         net.running().all(|(_, m)| pace(m).is_none())
     });
-    let shown = |m: &Membership| m.member(id(2)).unwrap().backend == same;
-    assert!(net.running().all(|(_, m)| shown(m)));
+    let is_announced = |m: &Membership| m.member(id(2)).unwrap().backend == same;
+    assert!(net.running().all(|(_, m)| is_announced(m)));
 }
 
 #[test]
-fn a_leaving_node_is_unrouted_within_two_seconds_and_is_no_death() {
-    let mut net = Net::settled(&[40, 40, 40], 3);
-    net.call(2, Membership::leave);
-    net.until("unrouted", 2_000, |net| net.none_routes(2));
+fn leaving_node_is_not_routed_to_within_two_seconds_and_not_declared_dead() {
+    let mut net = SimNetwork::converged(&[40, 40, 40], 3);
+    net.with_membership(2, Membership::leave);
+    net.run_until("not routed to", 2_000, |net| net.none_route_to(2));
     net.run(10_000);
     let liveness = |m: &Membership| m.member(id(2)).map(|m| m.liveness);
     assert!(
         net.running()
             .all(|(_, m)| liveness(m) == Some(Liveness::Left))
     );
-    assert_eq!(net.sum(|c| c.declared_dead + c.suspected), 0);
+    assert_eq!(net.sum_counter(|c| c.declared_dead + c.suspected), 0);
 }
 
 #[rstest]
-#[case::sixteen(&[6, 6, 4], true)]
-#[case::seventy_four(&[25, 25, 24], true)]
-#[case::after_its_death(&[25, 25, 24], false)]
-fn a_restarted_node_that_can_ask_nobody_is_found_within_three_seconds(
+#[case::leaving_one_of_16(&[6, 6, 4], true)]
+#[case::leaving_one_of_74(&[25, 25, 24], true)]
+#[case::after_death(&[25, 25, 24], false)]
+fn restarted_node_without_seeds_rejoins_within_three_seconds(
     #[case] sizes: &[usize],
     #[case] leaves: bool,
 ) {
-    let mut net = Net::settled(sizes, 14);
+    let mut net = SimNetwork::converged(sizes, 14);
     if leaves {
-        net.call(2, Membership::leave);
+        net.with_membership(2, Membership::leave);
     }
     net.run(500);
     net.kill(2);
-    net.until("unrouted", 10_000, |net| net.none_routes(2));
+    net.run_until("not routed to", 10_000, |net| net.none_route_to(2));
     net.run(3_000);
-    net.boot_with(2, 0, Vec::new());
-    let knows = |net: &Net| net.machine(2).is_synced() && !net.machine(2).is_alone();
-    net.until("found", 3_000, |net| knows(net) && net.all_route(2));
-    // What a directory names after that does not make it forget that it knows the members.
-    net.call(2, |m, now| m.add_seeds(now, vec![id(0), id(1)]));
-    assert!(net.machine(2).is_synced());
-    net.until("agreed", 10_000, Net::agree);
+    net.start_node_with_seeds(2, 0, Vec::new());
+    let joined = |net: &SimNetwork| net.membership(2).is_synced() && !net.membership(2).is_alone();
+    net.run_until("rejoined", 3_000, |net| joined(net) && net.all_route_to(2));
+    // Seeds that a directory provides later must not reset the synced state.
+    net.with_membership(2, |m, now| m.add_seeds(now, vec![id(0), id(1)]));
+    assert!(net.membership(2).is_synced());
+    net.run_until("agreed", 10_000, SimNetwork::has_converged);
 }
 
 #[rstest]
-#[case::a_small_domain(&[6, 6, 6])]
-#[case::a_large_domain(&[60, 20, 20])]
-fn a_resumed_node_accuses_nobody_and_brings_nobody_back(#[case] sizes: &[usize]) {
-    let mut net = Net::settled(sizes, 4);
+#[case::small_domain(&[6, 6, 6])]
+#[case::large_domain(&[60, 20, 20])]
+fn resumed_node_declares_no_failure_and_revives_no_dead_node(#[case] sizes: &[usize]) {
+    let mut net = SimNetwork::converged(sizes, 4);
     net.pause(1);
     net.run(2_000);
     net.kill(2);
-    net.call(3, |m, now| {
+    net.with_membership(3, |m, now| {
         m.update_backend(now, Some(backend(3, Readiness::Draining)))
     });
     net.run(13_000);
     net.resume(1);
     for _ in 0..100 {
-        let stale = |(at, m): (usize, &Membership)| at != 1 && m.routable(id(2));
-        assert!(!net.running().any(stale), "a dead node came back");
+        let revived = |(at, m): (usize, &Membership)| at != 1 && m.routable(id(2));
+        assert!(
+            !net.running().any(revived),
+            "a dead node became routable again"
+        );
         net.run(100);
     }
-    let counts = net.machine(1).counts();
+    let counts = net.membership(1).counts();
     assert_eq!(
         (counts.suspected, counts.declared_dead, counts.pauses),
         (0, 0, 1)
     );
-    assert!(net.all_route(1) && net.none_routes(2) && net.agree());
+    assert!(net.all_route_to(1) && net.none_route_to(2) && net.has_converged());
 }
 
 #[test]
-fn a_cut_domain_is_kept_unrouted_and_converges_on_healing() {
-    let mut net = Net::settled(&[8, 8, 8], 5);
-    net.cut_off(2);
-    let split = |net: &Net| {
+fn partitioned_domain_keeps_entries_without_routing_and_converges_after_healing() {
+    let mut net = SimNetwork::converged(&[8, 8, 8], 5);
+    net.isolate(2);
+    let only_own_side_routed = |net: &SimNetwork| {
         net.running().all(|(at, m)| {
-            let far = |n: usize| (net.nodes[n].domain == 2) != (net.nodes[at].domain == 2);
-            (0..24).all(|n| m.routable(id(n)) != far(n))
+            let is_remote = |n: usize| (net.nodes[n].domain == 2) != (net.nodes[at].domain == 2);
+            (0..24).all(|n| m.routable(id(n)) != is_remote(n))
         })
     };
-    net.until("told apart", 15_000, split);
-    net.call(20, |m, now| m.update_backend(now, None));
+    net.run_until("partition detected", 15_000, only_own_side_routed);
+    net.with_membership(20, |m, now| m.update_backend(now, None));
     net.kill(1);
     net.run(60_000);
-    let kept = |(_, m): (usize, &Membership)| m.live_in(&domain(2)).count() == 8;
-    assert!(net.running().all(kept));
-    net.cuts.clear();
-    net.until("all routed", 15_000, |net| {
-        (2..24).all(|at| net.all_route(at))
+    let has_all_entries = |(_, m): (usize, &Membership)| m.live_in(&domain(2)).count() == 8;
+    assert!(net.running().all(has_all_entries));
+    net.partitions.clear();
+    net.run_until("all routed", 15_000, |net| {
+        (2..24).all(|at| net.all_route_to(at))
     });
-    net.until("agreed", 15_000, Net::agree);
-    assert_eq!(net.sum(|c| c.refuted), 0, "a working node was accused");
-    assert!(net.none_routes(1));
+    net.run_until("agreed", 15_000, SimNetwork::has_converged);
+    assert_eq!(
+        net.sum_counter(|c| c.refuted),
+        0,
+        "a live node was suspected"
+    );
+    assert!(net.none_route_to(1));
 }
 
-/// Tells how long `at` routes to a domain after it was cut off, and after its first request
-/// found no connection there where `told`.
-fn routed_into_a_cut(told: bool, seed: u64) -> Duration {
-    let mut net = Net::settled(&[8, 8, 8], seed);
-    net.cut_off(2);
+/// Returns the time for which node 0 routes to a failure domain after a partition.
+///
+/// With `report_failure`, node 0 reports a failed connection to that failure domain after 150 ms.
+fn time_until_partition_detected(report_failure: bool, seed: u64) -> Duration {
+    let mut net = SimNetwork::converged(&[8, 8, 8], seed);
+    net.isolate(2);
     net.run(150);
-    if told {
+    if report_failure {
         let tried = Instant::from_millis(net.now - 150);
-        net.call(0, |m, now| {
+        net.with_membership(0, |m, now| {
             m.unreached(now, tried, id(20));
             Vec::new()
         });
     }
-    net.until("given up", 15_000, |net| !net.machine(0).routable(id(20)))
+    net.run_until("domain unreachable", 15_000, |net| {
+        !net.membership(0).routable(id(20))
+    })
 }
 
-/// How long a cut domain may be routed to when nobody calls there: a node probes each of two others
-/// every 4 s, waits 0.2 s for the answer and 1.2 s for those of two more, and looks every 50 ms.
-const SILENT: Duration = Duration::from_millis(4_000 + 200 + 1_200 + 50);
+/// Maximum time to detect a partitioned failure domain by probes alone.
+///
+/// A node probes each of two other failure domains every 4 s, waits 0.2 s for the answer and 1.2 s
+/// for the answers to two more probes, and ticks every 50 ms.
+const PROBE_DETECTION_LIMIT: Duration = Duration::from_millis(4_000 + 200 + 1_200 + 50);
 
 #[test]
-fn a_failed_connection_has_a_cut_domain_given_up_within_a_second_and_a_half() {
+fn failed_connection_marks_partitioned_domain_unreachable_within_1500_ms() {
     for seed in 5..65 {
-        let told = routed_into_a_cut(true, seed);
-        let silent = routed_into_a_cut(false, seed);
-        assert!(told <= Duration::from_millis(1_500), "{seed}: {told:?}");
-        assert!(silent <= SILENT, "{seed}: {silent:?}");
+        let reported = time_until_partition_detected(true, seed);
+        let unreported = time_until_partition_detected(false, seed);
+        assert!(
+            reported <= Duration::from_millis(1_500),
+            "{seed}: {reported:?}"
+        );
+        assert!(
+            unreported <= PROBE_DETECTION_LIMIT,
+            "{seed}: {unreported:?}"
+        );
     }
 }
 
 #[test]
-fn failed_connections_to_one_dead_node_do_not_give_its_domain_up() {
-    let mut net = Net::settled(&[8, 8, 8], 11);
+fn failed_connections_to_dead_node_keep_its_domain_reachable() {
+    let mut net = SimNetwork::converged(&[8, 8, 8], 11);
     net.kill(20);
     for _ in 0..40 {
         net.run(250);
         let tried = Instant::from_millis(net.now - 150);
-        net.call(0, |m, now| {
+        net.with_membership(0, |m, now| {
             m.unreached(now, tried, id(20));
             Vec::new()
         });
-        assert!(net.machine(0).routable(id(21)));
+        assert!(net.membership(0).routable(id(21)));
     }
 }
 
 #[test]
-fn half_a_domain_dying_at_once_is_unrouted_within_ten_seconds() {
-    let mut net = Net::settled(&[60, 10], 7);
+fn half_of_domain_dying_at_once_is_not_routed_to_within_ten_seconds() {
+    let mut net = SimNetwork::converged(&[60, 10], 7);
     (0..60).step_by(2).for_each(|at| net.kill(at));
-    let gone = |net: &Net| (0..60).step_by(2).all(|at| net.none_routes(at));
-    net.until("unrouted", 10_000, gone);
-    net.until("agreed", 20_000, Net::agree);
-    assert_eq!(net.sum(|c| c.refuted), 0, "a survivor was accused");
+    let none_routed = |net: &SimNetwork| (0..60).step_by(2).all(|at| net.none_route_to(at));
+    net.run_until("not routed to", 10_000, none_routed);
+    net.run_until("agreed", 20_000, SimNetwork::has_converged);
+    assert_eq!(
+        net.sum_counter(|c| c.refuted),
+        0,
+        "a surviving node was suspected"
+    );
 }
 
 #[test]
-fn ten_per_cent_loss_kills_nobody_in_four_minutes() {
-    let mut net = Net::settled(&[20, 20, 20], 8);
-    net.loss = 0.1;
+fn ten_percent_loss_causes_no_false_death_in_four_minutes() {
+    let mut net = SimNetwork::converged(&[20, 20, 20], 8);
+    net.loss_rate = 0.1;
     net.run(240_000);
-    assert_eq!(net.sum(|c| c.declared_dead), 0);
+    assert_eq!(net.sum_counter(|c| c.declared_dead), 0);
 }
 
 #[test]
-fn a_false_accusation_is_refuted() {
-    let mut net = Net::settled(&[20, 20], 9);
-    let incarnation = net.machine(3).me().incarnation;
-    let accused = Status {
+fn false_suspicion_is_refuted() {
+    let mut net = SimNetwork::converged(&[20, 20], 9);
+    let incarnation = net.membership(3).me().incarnation;
+    let suspicion = Status {
         id: id(3),
         incarnation,
         liveness: Liveness::Suspect,
     };
-    let news = vec![MemberUpdate::Status(accused)];
-    net.call(1, |m, now| {
+    let news = vec![MemberUpdate::Status(suspicion)];
+    net.with_membership(1, |m, now| {
         m.on_datagram(now, id(2), Datagram::Gossip { news })
     });
     net.run(10_000);
-    assert!(net.all_route(3) && net.agree());
-    assert!(net.machine(3).me().incarnation > incarnation);
-    assert_eq!(net.sum(|c| c.declared_dead), 0);
+    assert!(net.all_route_to(3) && net.has_converged());
+    assert!(net.membership(3).me().incarnation > incarnation);
+    assert_eq!(net.sum_counter(|c| c.declared_dead), 0);
 }
 
 #[rstest]
-#[case::after_its_death(20_000)]
-#[case::before_anybody_noticed(100)]
-fn a_restart_with_a_clock_set_back_steps_over_its_earlier_life(#[case] gap: u64) {
-    let mut net = Net::settled(&[12, 12], 10);
+#[case::after_death(20_000)]
+#[case::before_detection(100)]
+fn restart_with_clock_set_back_exceeds_previous_incarnation(#[case] gap: u64) {
+    let mut net = SimNetwork::converged(&[12, 12], 10);
     net.kill(3);
     net.run(gap);
-    net.boot(3, 3_600_000);
-    net.until("routed", 10_000, |net| net.all_route(3) && net.agree());
+    net.start_node(3, 3_600_000);
+    net.run_until("routed", 10_000, |net| {
+        net.all_route_to(3) && net.has_converged()
+    });
 }
 
 #[test]
-fn a_node_that_hears_nobody_declares_nobody_dead() {
-    let mut net = Net::settled(&[1, 1, 10], 11);
-    net.cuts.insert((2, 2));
-    net.cut_off(2);
-    net.cuts.insert((2, 2));
+fn isolated_nodes_declare_no_node_dead() {
+    let mut net = SimNetwork::converged(&[1, 1, 10], 11);
+    net.partitions.insert((2, 2));
+    net.isolate(2);
+    net.partitions.insert((2, 2));
     net.run(30_000);
-    assert_eq!(net.sum(|c| c.declared_dead), 0);
-    net.cuts.clear();
-    net.until("agreed", 20_000, |net| {
-        net.agree() && (0..12).all(|at| net.all_route(at))
+    assert_eq!(net.sum_counter(|c| c.declared_dead), 0);
+    net.partitions.clear();
+    net.run_until("agreed", 20_000, |net| {
+        net.has_converged() && (0..12).all(|at| net.all_route_to(at))
     });
 }
 
 #[test]
-fn two_halves_that_declared_each_other_dead_find_each_other_again() {
-    let mut net = Net::settled(&[6, 6], 13);
-    let halves = |net: &mut Net| (0..3).for_each(|at| net.nodes[at].domain = 2);
-    halves(&mut net);
-    net.cuts.extend([(0, 2), (2, 0)]);
+fn halves_that_declared_each_other_dead_merge_after_healing() {
+    let mut net = SimNetwork::converged(&[6, 6], 13);
+    let split = |net: &mut SimNetwork| (0..3).for_each(|at| net.nodes[at].domain = 2);
+    split(&mut net);
+    net.partitions.extend([(0, 2), (2, 0)]);
     net.run(30_000);
-    assert!(net.sum(|c| c.declared_dead) > 0);
-    net.cuts.clear();
-    net.until("agreed", 60_000, |net| {
-        net.agree() && (0..12).all(|at| net.all_route(at))
+    assert!(net.sum_counter(|c| c.declared_dead) > 0);
+    net.partitions.clear();
+    net.run_until("agreed", 60_000, |net| {
+        net.has_converged() && (0..12).all(|at| net.all_route_to(at))
     });
 }
 
-/// Creates a machine that knows `own` others in its failure domain and `far` in six others.
-fn machine(settings: Gossip, own: usize, far: usize) -> Membership {
+/// Creates a membership that knows `own` peers in its failure domain and `remote` in six others.
+fn membership(settings: Gossip, own: usize, remote: usize) -> Membership {
     let member = |at, d| Member::new(id(at), domain(d), Incarnation(1));
-    let mut machine = Membership::new(member(0, 0), settings, Vec::new(), 1);
+    let mut membership = Membership::new(member(0, 0), settings, Vec::new(), 1);
     let others = (1..=own).map(|at| member(at, 0));
-    let others = others.chain((own + 1..=own + far).map(|at| member(at, 1 + at % 6)));
-    machine.merge(Instant::from_millis(1), others.collect());
-    machine
+    let others = others.chain((own + 1..=own + remote).map(|at| member(at, 1 + at % 6)));
+    membership.merge(Instant::from_millis(1), others.collect());
+    membership
 }
 
-/// Lets a machine tick for `ms` milliseconds and counts its probes.
+/// Ticks a membership for `ms` milliseconds and returns the number of probes of each node.
 ///
-/// `answer` gives the news in each node's answer, or `None` when only others reach it.
+/// `answer` returns the updates in the answer of a node, or `None` if the node answers only
+/// indirect probes.
 fn tick(
-    machine: &mut Membership,
+    membership: &mut Membership,
     ms: u64,
     answer: impl Fn(NodeId) -> Option<Vec<MemberUpdate>>,
 ) -> BTreeMap<NodeId, usize> {
     let mut probes = BTreeMap::new();
     for now in (0..ms).step_by(50).map(|t| Instant::from_millis(100 + t)) {
-        for action in machine.tick(now) {
+        for action in membership.tick(now) {
             let reply = match action {
                 Action::Send(to, Datagram::Probe { seq, .. }) => {
                     *probes.entry(to).or_insert(0) += 1;
@@ -302,11 +329,11 @@
                 Action::Send(to, Datagram::ProbeFor { seq, target }) => {
                     Some((to, Datagram::AckFor { seq, target }))
                 }
-                Action::Unreachable(domain) => panic!("{domain} was given up"),
+                Action::Unreachable(domain) => panic!("{domain} became unreachable"),
                 _ => None,
             };
             if let Some((from, datagram)) = reply {
-                machine.on_datagram(now, from, datagram);
+                membership.on_datagram(now, from, datagram);
             }
         }
     }
@@ -314,80 +341,84 @@
 }
 
 #[test]
-fn a_node_that_others_reach_is_not_suspected() {
-    let mut machine = machine(Gossip::new(), 5, 0);
-    let probes = tick(&mut machine, 20_000, |to| (to != id(3)).then(Vec::new));
-    let counts = machine.counts();
+fn node_that_answers_indirect_probes_is_not_suspected() {
+    let mut membership = membership(Gossip::new(), 5, 0);
+    let probes = tick(&mut membership, 20_000, |to| (to != id(3)).then(Vec::new));
+    let counts = membership.counts();
     assert!(probes[&id(3)] > 1);
     assert_eq!((counts.suspected, counts.missed_probes), (0, 0));
 }
 
 #[test]
-fn a_node_probes_one_other_every_second_and_all_others_in_turn() {
-    let mut machine = machine(Gossip::new(), 30, 10);
-    let probes = tick(&mut machine, 120_000, |_| Some(Vec::new()));
+fn node_probes_ring_successor_every_second_and_all_others_in_rounds() {
+    let mut membership = membership(Gossip::new(), 30, 10);
+    let probes = tick(&mut membership, 120_000, |_| Some(Vec::new()));
     let own = |at: &usize| probes.get(&id(*at)).copied().unwrap_or_default();
-    let far: usize = (31..41).map(|at| own(&at)).sum();
+    let cross_domain: usize = (31..41).map(|at| own(&at)).sum();
     assert!((1..31).map(|at| own(&at)).max() >= Some(118));
     assert!((1..31).map(|at| own(&at)).min() >= Some(1));
     assert!(
-        (58..=62).contains(&far),
-        "{far} of 240 went to other domains"
+        (58..=62).contains(&cross_domain),
+        "{cross_domain} of 240 probes went to other failure domains"
     );
 }
 
 #[test]
-fn one_silent_node_does_not_make_its_domain_unreachable() {
-    let mut machine = machine(Gossip::new(), 3, 24);
+fn silent_nodes_do_not_make_their_domain_unreachable() {
+    let mut membership = membership(Gossip::new(), 3, 24);
     let silent = |to: NodeId| (10..16).any(|at| id(at) == to);
-    tick(&mut machine, 120_000, |to| (!silent(to)).then(Vec::new));
-    assert!(machine.counts().missed_probes > 0);
+    tick(&mut membership, 120_000, |to| (!silent(to)).then(Vec::new));
+    assert!(membership.counts().missed_probes > 0);
 }
 
 #[test]
-fn a_pause_forgets_the_probes_that_were_open() {
-    let mut machine = machine(Gossip::new(), 3, 0);
+fn pause_discards_pending_probes() {
+    let mut membership = membership(Gossip::new(), 3, 0);
     let ticks = [100, 600, 15_600, 15_850, 16_100].map(Instant::from_millis);
-    let sent = ticks.map(|now| machine.tick(now).len());
-    assert!(sent[1] > 0);
-    let counts = machine.counts();
+    let action_counts = ticks.map(|now| membership.tick(now).len());
+    assert!(action_counts[1] > 0);
+    let counts = membership.counts();
     assert_eq!(
-        (counts.pauses, counts.missed_probes, counts.withheld_suspicions),
+        (
+            counts.pauses,
+            counts.missed_probes,
+            counts.withheld_suspicions
+        ),
         (1, 0, 0)
     );
 }
 
 #[test]
-fn a_leaving_node_tells_eight_of_its_domain_and_one_of_each_other() {
-    let mut machine = machine(Gossip::new(), 30, 12);
-    let actions = machine.leave(Instant::from_millis(50));
+fn leaving_node_notifies_eight_nodes_of_its_domain_and_one_of_each_other() {
+    let mut membership = membership(Gossip::new(), 30, 12);
+    let actions = membership.leave(Instant::from_millis(50));
     let leave = Datagram::Leave {
         incarnation: Incarnation(1),
     };
-    let told = |a: &Action| matches!(a, Action::Send(_, d) if *d == leave);
-    assert_eq!(actions.iter().filter(|a| told(a)).count(), 8 + 6);
+    let is_leave = |a: &Action| matches!(a, Action::Send(_, d) if *d == leave);
+    assert_eq!(actions.iter().filter(|a| is_leave(a)).count(), 8 + 6);
 }
 
 #[rstest]
 #[case::suspect(Liveness::Suspect)]
 #[case::dead(Liveness::Dead)]
-fn a_probe_is_answered_with_what_is_held_against_its_sender(#[case] liveness: Liveness) {
-    let mut machine = machine(Gossip::new(), 3, 0);
+fn probe_is_answered_with_suspicion_or_death_of_its_sender(#[case] liveness: Liveness) {
+    let mut membership = membership(Gossip::new(), 3, 0);
     let now = Instant::from_millis(50);
-    let held = Member {
+    let entry = Member {
         liveness,
         ..Member::new(id(2), domain(0), Incarnation(1))
     };
-    machine.merge(now, vec![held]);
+    membership.merge(now, vec![entry]);
     let beat = Beat::default();
-    let actions = machine.on_datagram(now, id(2), Datagram::Probe { seq: 9, beat });
+    let actions = membership.on_datagram(now, id(2), Datagram::Probe { seq: 9, beat });
     let status = Status {
         id: id(2),
         incarnation: Incarnation(1),
         liveness,
     };
     let beat = Beat {
-        hash: machine.hash(),
+        hash: membership.hash(),
         news: vec![MemberUpdate::Status(status)],
         ..Beat::default()
     };
@@ -398,37 +429,39 @@
 }
 
 #[test]
-fn older_news_is_answered_with_the_newer() {
-    let mut machine = machine(Gossip::new(), 3, 0);
+fn stale_update_is_answered_with_newer_entry() {
+    let mut membership = membership(Gossip::new(), 3, 0);
     let now = Instant::from_millis(50);
-    let entry = |at, life| MemberUpdate::Entry(Member::new(id(at), domain(0), Incarnation(life)));
-    let tell = |news| Datagram::Gossip { news };
-    machine.on_datagram(now, id(1), tell(vec![entry(2, 5)]));
-    let actions = machine.on_datagram(now, id(3), tell(vec![entry(2, 4), entry(1, 1)]));
-    assert_eq!(actions, [Action::Send(id(3), tell(vec![entry(2, 5)]))]);
+    let entry = |at, incarnation| {
+        MemberUpdate::Entry(Member::new(id(at), domain(0), Incarnation(incarnation)))
+    };
+    let gossip = |news| Datagram::Gossip { news };
+    membership.on_datagram(now, id(1), gossip(vec![entry(2, 5)]));
+    let actions = membership.on_datagram(now, id(3), gossip(vec![entry(2, 4), entry(1, 1)]));
+    assert_eq!(actions, [Action::Send(id(3), gossip(vec![entry(2, 5)]))]);
 }
 
 #[test]
-fn a_node_that_missed_a_refutation_asks_before_it_declares_a_death() {
-    let mut machine = machine(Gossip::new(), 30, 0);
+fn suspected_node_is_probed_again_before_it_is_declared_dead() {
+    let mut membership = membership(Gossip::new(), 30, 0);
     let suspect = Status {
         id: id(7),
         incarnation: Incarnation(1),
         liveness: Liveness::Suspect,
     };
     let news = vec![MemberUpdate::Status(suspect)];
-    machine.on_datagram(Instant::from_millis(50), id(3), Datagram::Gossip { news });
-    assert!(!machine.routable(id(7)));
+    membership.on_datagram(Instant::from_millis(50), id(3), Datagram::Gossip { news });
+    assert!(!membership.routable(id(7)));
     let refuted = MemberUpdate::Entry(Member::new(id(7), domain(0), Incarnation(2)));
-    tick(&mut machine, 3_000, |to| {
+    tick(&mut membership, 3_000, |to| {
         Some(Vec::from_iter((to == id(7)).then(|| refuted.clone())))
     });
-    assert!(machine.routable(id(7)) && machine.counts().declared_dead == 0);
+    assert!(membership.routable(id(7)) && membership.counts().declared_dead == 0);
 }
 
 #[test]
-fn a_full_list_refuses_further_nodes_and_counts_them() {
-    let machine = machine(
+fn full_list_rejects_and_counts_further_entries() {
+    let membership = membership(
         Gossip {
             max_entries: 3,
             ..Gossip::new()
@@ -436,12 +469,18 @@
         8,
         0,
     );
-    assert_eq!((machine.members().count(), machine.counts().rejected_entries), (3, 6));
+    assert_eq!(
+        (
+            membership.members().count(),
+            membership.counts().rejected_entries
+        ),
+        (3, 6)
+    );
 }
 
 #[test]
-fn dead_nodes_are_remembered_for_the_set_time_and_up_to_the_bound() {
-    let mut machine = machine(
+fn tombstones_are_kept_for_their_ttl_up_to_max_entries() {
+    let mut membership = membership(
         Gossip {
             max_entries: 4,
             ..Gossip::new()
@@ -453,37 +492,41 @@
         liveness: Liveness::Dead,
         ..Member::new(id(at), domain(0), Incarnation(1))
     };
-    machine.merge(Instant::from_millis(1), (1..9).map(dead).collect());
-    assert_eq!(machine.members().count(), 5);
+    membership.merge(Instant::from_millis(1), (1..9).map(dead).collect());
+    assert_eq!(membership.members().count(), 5);
     let day = Duration::from_secs(24 * 60 * 60);
-    machine.tick(Instant::from_millis(60_000));
-    assert_eq!(machine.members().count(), 5);
-    machine.tick(Instant::from_millis(60_000) + day);
-    assert_eq!(machine.members().count(), 1);
+    membership.tick(Instant::from_millis(60_000));
+    assert_eq!(membership.members().count(), 5);
+    membership.tick(Instant::from_millis(60_000) + day);
+    assert_eq!(membership.members().count(), 1);
 }
 
 #[rstest]
-#[case::same_lists(3, 3, 0)]
-#[case::one_more_there(3, 4, 1)]
-#[case::empty_here(0, 40, 40)]
-fn a_pull_brings_what_differs(#[case] mine: usize, #[case] theirs: usize, #[case] least: usize) {
-    let mut a = machine(Gossip::new(), mine, 0);
-    let b = machine(Gossip::new(), theirs, 0);
+#[case::equal_lists(3, 3, 0)]
+#[case::peer_has_one_more(3, 4, 1)]
+#[case::local_list_empty(0, 40, 40)]
+fn pull_transfers_differing_entries(
+    #[case] local: usize,
+    #[case] remote: usize,
+    #[case] min_entries: usize,
+) {
+    let mut a = membership(Gossip::new(), local, 0);
+    let b = membership(Gossip::new(), remote, 0);
     let entries = b.differing_entries(&a.buckets());
-    assert!(entries.len() >= least && (least > 0 || entries.is_empty()));
+    assert!(entries.len() >= min_entries && (min_entries > 0 || entries.is_empty()));
     a.merge(Instant::from_millis(2), entries);
     assert_eq!((a.hash(), a.buckets()), (b.hash(), b.buckets()));
 }
 
 #[test]
-fn a_gate_serves_its_rate_and_sends_the_rest_away_further_and_further() {
-    let mut gate = SyncLimiter::new(8, 2);
+fn limiter_admits_its_rate_and_increases_retry_after() {
+    let mut limiter = SyncLimiter::new(8, 2);
     let now = Instant::from_millis(5_000);
-    let wait = |ms| SyncAdmission::Busy {
+    let busy = |ms| SyncAdmission::Busy {
         retry_after: Duration::from_millis(ms),
     };
-    let answers: Vec<SyncAdmission> = (0..4).map(|_| gate.admit(now)).collect();
+    let answers: Vec<SyncAdmission> = (0..4).map(|_| limiter.admit(now)).collect();
     let served = SyncAdmission::Serve;
-    assert_eq!(answers, [served, served, wait(1_500), wait(2_000)]);
-    assert_eq!(gate.admit(Instant::from_millis(6_000)), served);
+    assert_eq!(answers, [served, served, busy(1_500), busy(2_000)]);
+    assert_eq!(limiter.admit(Instant::from_millis(6_000)), served);
 }
--- a/crates/swiftcart-core/tests/support/net.rs
+++ b/crates/swiftcart-core/tests/support/net.rs
@@ -1,5 +1,7 @@
-//! A network of membership machines in virtual time: delay, loss, cuts, pauses, restarts.
-#![allow(dead_code)] // Each program that includes this file uses another part of it.
+//! Simulated network of membership state machines in virtual time.
+//!
+//! The simulation covers delay, datagram loss, partitions, pauses and restarts.
+#![allow(dead_code)] // Each target that includes this file uses a part of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,41 +11,48 @@
 use rand::{Rng, SeedableRng};
 use swiftcart_core::*;
 
-/// The time between two ticks of one node, in milliseconds.
-pub const TICK: u64 = 50;
+/// Interval between two ticks of one node, in milliseconds.
+pub const TICK_MS: u64 = 50;
 
-/// What a paused node's socket holds.
-const SOCKET: usize = 200;
+/// Number of datagrams that the socket of a paused node buffers.
+const SOCKET_DATAGRAMS: usize = 200;
 
-/// The wall clock at the start, in milliseconds.
-const WALL: u64 = 1_790_000_000_000;
+/// Wall clock at the start, in Unix milliseconds.
+const START_UNIX_MS: u64 = 1_790_000_000_000;
 
-/// One process, or the place where it ran.
+/// Simulated node, whose process may be stopped.
 pub struct Node {
-    pub machine: Option<Membership>,
+    /// State of the process, or `None` while it is stopped.
+    pub membership: Option<Membership>,
     pub domain: usize,
     pub paused: bool,
-    pub gate: SyncLimiter,
+    pub limiter: SyncLimiter,
+    /// Sealed datagrams that arrived during a pause.
     socket: Vec<Vec<u8>>,
-    /// Sealed bytes of datagrams sent, and bytes of pulls asked for and served.
-    pub sent: u64,
-    pub pulled: u64,
-    /// The part of both that went to another failure domain.
-    pub far: u64,
-    pub busy: u64,
+    /// Bytes of sealed datagrams sent.
+    pub datagram_bytes: u64,
+    /// Bytes of requests and answers of the pulls served.
+    pub pull_bytes: u64,
+    /// Part of both byte counts that crossed failure domains.
+    pub cross_domain_bytes: u64,
+    /// Pulls rejected as busy.
+    pub busy_replies: u64,
     pub datagrams: u64,
 }
 
-/// The machines and the datagrams on their way.
-pub struct Net {
+/// Simulated nodes and the datagrams in flight.
+pub struct SimNetwork {
+    /// Virtual time in milliseconds.
     pub now: u64,
     pub nodes: Vec<Node>,
-    pub loss: f64,
-    /// Pairs of failure domains that are cut from each other.
-    pub cuts: BTreeSet<(usize, usize)>,
+    /// Probability of losing a datagram.
+    pub loss_rate: f64,
+    /// Pairs of source and destination failure domains between which nothing passes.
+    pub partitions: BTreeSet<(usize, usize)>,
     pub settings: Gossip,
-    /// The time that the machines and the seals have taken.
+    /// CPU time spent in the state machines and in sealing and opening datagrams.
     pub cpu: Duration,
+    /// Sealed datagrams in flight with their receiver, by arrival time and order of sending.
     queue: BTreeMap<(u64, u64), (usize, Vec<u8>)>,
     order: u64,
     rng: SmallRng,
@@ -70,22 +79,24 @@
     }
 }
 
-impl Net {
-    /// Creates one domain of each size; the first two nodes of each domain are the seeds.
+impl SimNetwork {
+    /// Creates a stopped network with one failure domain per size.
+    ///
+    /// The first two nodes of each failure domain are the seeds.
     pub fn new(sizes: &[usize], seed: u64) -> Self {
         let domains = sizes.iter().enumerate();
         let nodes: Vec<Node> = domains
             .flat_map(|(d, size)| (0..*size).map(move |_| d))
             .map(|domain| Node {
-                machine: None,
+                membership: None,
                 domain,
                 paused: false,
-                gate: SyncLimiter::new(2, 5),
+                limiter: SyncLimiter::new(2, 5),
                 socket: Vec::new(),
-                sent: 0,
-                pulled: 0,
-                far: 0,
-                busy: 0,
+                datagram_bytes: 0,
+                pull_bytes: 0,
+                cross_domain_bytes: 0,
+                busy_replies: 0,
                 datagrams: 0,
             })
             .collect();
@@ -94,8 +105,8 @@
         Self {
             now: 0,
             nodes,
-            loss: 0.0,
-            cuts: BTreeSet::new(),
+            loss_rate: 0.0,
+            partitions: BTreeSet::new(),
             settings: Gossip::new(),
             cpu: Duration::ZERO,
             queue: BTreeMap::new(),
@@ -106,25 +117,25 @@
         }
     }
 
-    /// Creates a network whose nodes all run and agree.
-    pub fn settled(sizes: &[usize], seed: u64) -> Self {
+    /// Creates a network in which all nodes run and hold the same member list.
+    pub fn converged(sizes: &[usize], seed: u64) -> Self {
         let mut net = Self::new(sizes, seed);
         for at in 0..net.nodes.len() {
-            net.boot(at, 0);
+            net.start_node(at, 0);
         }
-        net.until("all agree", 60_000, Self::agree);
+        net.run_until("all agree", 60_000, Self::has_converged);
         net.run(10_000);
         net
     }
 
-    /// Starts a node, `back` milliseconds behind the wall clock.
-    pub fn boot(&mut self, at: usize, back: u64) {
-        self.boot_with(at, back, self.seeds.clone());
+    /// Starts a node with its clock `clock_lag` milliseconds behind.
+    pub fn start_node(&mut self, at: usize, clock_lag: u64) {
+        self.start_node_with_seeds(at, clock_lag, self.seeds.clone());
     }
 
     /// Starts a node that knows only `seeds`.
-    pub fn boot_with(&mut self, at: usize, back: u64, seeds: Vec<NodeId>) {
-        let incarnation = Incarnation(WALL + self.now - back);
+    pub fn start_node_with_seeds(&mut self, at: usize, clock_lag: u64, seeds: Vec<NodeId>) {
+        let incarnation = Incarnation(START_UNIX_MS + self.now - clock_lag);
         let node = &mut self.nodes[at];
         let me = Member::new(id(at), domain(node.domain), incarnation);
         let me = Member {
@@ -133,15 +144,15 @@
         };
         let settings = self.settings.clone();
         let seed = self.rng.random();
-        node.machine = Some(Membership::new(me, settings, seeds, seed));
+        node.membership = Some(Membership::new(me, settings, seeds, seed));
         node.socket.clear();
         node.paused = false;
     }
 
-    /// Starts a node that knows nobody and has no backend server yet.
-    pub fn boot_plain(&mut self, at: usize) {
-        self.boot_with(at, 0, Vec::new());
-        self.nodes[at].machine = self.nodes[at].machine.take().map(|m| {
+    /// Starts a node without seeds and without a backend server.
+    pub fn start_node_without_backend(&mut self, at: usize) {
+        self.start_node_with_seeds(at, 0, Vec::new());
+        self.nodes[at].membership = self.nodes[at].membership.take().map(|m| {
             let me = Member {
                 backend: None,
                 ..m.me().clone()
@@ -151,14 +162,14 @@
     }
 
     pub fn kill(&mut self, at: usize) {
-        self.nodes[at].machine = None;
+        self.nodes[at].membership = None;
     }
 
     pub fn pause(&mut self, at: usize) {
         self.nodes[at].paused = true;
     }
 
-    /// Lets a paused node go on; it reads its socket before it looks at its timers.
+    /// Resumes a paused node, which reads its socket before its next tick.
     pub fn resume(&mut self, at: usize) {
         self.nodes[at].paused = false;
         for sealed in std::mem::take(&mut self.nodes[at].socket) {
@@ -166,26 +177,30 @@
         }
     }
 
-    /// Cuts a failure domain off from all others.
-    pub fn cut_off(&mut self, domain: usize) {
+    /// Partitions a failure domain from all others.
+    pub fn isolate(&mut self, domain: usize) {
         let others = self.nodes.iter().map(|n| n.domain).filter(|d| *d != domain);
-        self.cuts = others.flat_map(|d| [(d, domain), (domain, d)]).collect();
+        self.partitions = others.flat_map(|d| [(d, domain), (domain, d)]).collect();
     }
 
     pub fn now(&self) -> Instant {
         Instant::from_millis(self.now)
     }
 
-    pub fn machine(&self, at: usize) -> &Membership {
-        self.nodes[at].machine.as_ref().expect("the node runs")
+    pub fn membership(&self, at: usize) -> &Membership {
+        self.nodes[at].membership.as_ref().expect("the node runs")
     }
 
-    /// Calls one machine and carries out what it asks for.
-    pub fn call(&mut self, at: usize, f: impl FnOnce(&mut Membership, Instant) -> Vec<Action>) {
+    /// Calls the state machine of one node and carries out the returned actions.
+    pub fn with_membership(
+        &mut self,
+        at: usize,
+        f: impl FnOnce(&mut Membership, Instant) -> Vec<Action>,
+    ) {
         let now = self.now();
-        let machine = self.nodes[at].machine.as_mut();
+        let membership = self.nodes[at].membership.as_mut();
         let clock = Clock::now();
-        let actions = machine.map(|m| f(m, now)).unwrap_or_default();
+        let actions = membership.map(|m| f(m, now)).unwrap_or_default();
         self.cpu += clock.elapsed();
         for action in actions {
             match action {
@@ -196,34 +211,34 @@
         }
     }
 
-    /// Iterates over the nodes that run and are not paused.
+    /// Returns an iterator over the nodes that run and are not paused.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         let nodes = self.nodes.iter().enumerate().filter(|(_, n)| !n.paused);
-        nodes.filter_map(|(at, n)| n.machine.as_ref().map(|m| (at, m)))
+        nodes.filter_map(|(at, n)| n.membership.as_ref().map(|m| (at, m)))
     }
 
-    /// Tells whether all running nodes hold the same list.
-    pub fn agree(&self) -> bool {
+    /// Returns `true` if all running nodes are synced and hold the same member list.
+    pub fn has_converged(&self) -> bool {
         let hashes: BTreeSet<u32> = self.running().map(|(_, m)| m.hash()).collect();
         hashes.len() <= 1 && self.running().all(|(_, m)| m.is_synced())
     }
 
-    /// Tells whether every running node would route to `at`.
-    pub fn all_route(&self, at: usize) -> bool {
+    /// Returns `true` if every running node would route to `at`.
+    pub fn all_route_to(&self, at: usize) -> bool {
         self.running().all(|(_, m)| m.routable(id(at)))
     }
 
-    /// Tells whether no running node would route to `at`.
-    pub fn none_routes(&self, at: usize) -> bool {
+    /// Returns `true` if no other running node would route to `at`.
+    pub fn none_route_to(&self, at: usize) -> bool {
         self.running().all(|(i, m)| i == at || !m.routable(id(at)))
     }
 
-    /// Sums a counter over all running nodes.
-    pub fn sum(&self, counter: impl Fn(&MemberCounts) -> u64) -> u64 {
+    /// Returns the sum of a counter over all running nodes.
+    pub fn sum_counter(&self, counter: impl Fn(&MemberCounts) -> u64) -> u64 {
         self.running().map(|(_, m)| counter(&m.counts())).sum()
     }
 
-    /// Lets `ms` milliseconds pass.
+    /// Advances virtual time by `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -231,12 +246,16 @@
         }
     }
 
-    /// Lets time pass until `done` holds and returns how long that took.
-    pub fn until(&mut self, what: &str, limit: u64, done: impl Fn(&Self) -> bool) -> Duration {
+    /// Advances virtual time until `done` returns `true` and returns the time passed.
+    ///
+    /// # Panics
+    ///
+    /// Panics if `done` does not return `true` within `limit` milliseconds.
+    pub fn run_until(&mut self, what: &str, limit: u64, done: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !done(self) {
             assert!(self.now - start < limit, "{what}: not within {limit} ms");
-            self.run(TICK);
+            self.run(TICK_MS);
         }
         Duration::from_millis(self.now - start)
     }
@@ -246,15 +265,17 @@
         while let Some(first) = self.queue.first_entry().filter(|e| e.key().0 <= self.now) {
             let (to, sealed) = first.remove();
             match self.nodes[to].paused {
-                true if self.nodes[to].socket.len() < SOCKET => self.nodes[to].socket.push(sealed),
+                true if self.nodes[to].socket.len() < SOCKET_DATAGRAMS => {
+                    self.nodes[to].socket.push(sealed);
+                }
                 true => {}
                 false => self.deliver(to, &sealed),
             }
         }
-        let phase = (self.now % TICK) as usize;
-        for at in (phase..self.nodes.len()).step_by(TICK as usize) {
+        let phase = (self.now % TICK_MS) as usize;
+        for at in (phase..self.nodes.len()).step_by(TICK_MS as usize) {
             if !self.nodes[at].paused {
-                self.call(at, Membership::tick);
+                self.with_membership(at, Membership::tick);
             }
         }
     }
@@ -263,7 +284,7 @@
         let clock = Clock::now();
         let (from, datagram) = open(sealed, &self.key).expect("sealed by a node");
         self.cpu += clock.elapsed();
-        self.call(to, |m, now| m.on_datagram(now, from, datagram));
+        self.with_membership(to, |m, now| m.on_datagram(now, from, datagram));
     }
 
     fn send(&mut self, from: usize, to: NodeId, datagram: &Datagram) {
@@ -271,52 +292,52 @@
         let sealed = seal(datagram, id(from), &self.key).expect("fits a datagram");
         self.cpu += clock.elapsed();
         self.nodes[from].datagrams += 1;
-        self.nodes[from].sent += sealed.len() as u64;
-        let Some(at) = self.place(to) else { return };
-        if self.is_cut(from, at) || self.rng.random_bool(self.loss) {
+        self.nodes[from].datagram_bytes += sealed.len() as u64;
+        let Some(at) = self.index_of(to) else { return };
+        if self.is_partitioned(from, at) || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        let far = u64::from(self.nodes[from].domain != self.nodes[at].domain);
-        self.nodes[from].far += far * sealed.len() as u64;
-        let delay = 1 + far + self.rng.random_range(0..=far);
+        let crosses = u64::from(self.nodes[from].domain != self.nodes[at].domain);
+        self.nodes[from].cross_domain_bytes += crosses * sealed.len() as u64;
+        let delay = 1 + crosses + self.rng.random_range(0..=crosses);
         self.order += 1;
         self.queue
             .insert((self.now + delay, self.order), (at, sealed));
     }
 
-    /// Serves a pull at once; it fails when the peer is gone, paused or cut off.
+    /// Serves a pull at once; the pull fails if the peer is stopped, paused or partitioned.
     fn pull(&mut self, at: usize, from: NodeId) {
         let now = self.now();
-        let Some(peer) = self.place(from).filter(|p| !self.is_cut(at, *p)) else {
+        let Some(peer) = self.index_of(from).filter(|p| !self.is_partitioned(at, *p)) else {
             return;
         };
-        let buckets = self.machine(at).buckets();
+        let buckets = self.membership(at).buckets();
         let node = &mut self.nodes[peer];
-        let Some(machine) = node.machine.as_ref().filter(|_| !node.paused) else {
+        let Some(membership) = node.membership.as_ref().filter(|_| !node.paused) else {
             return;
         };
-        let admission = node.gate.admit(now);
+        let admission = node.limiter.admit(now);
         if let SyncAdmission::Busy { retry_after } = admission {
-            node.busy += 1;
-            let asker = self.nodes[at].machine.as_mut().expect("the node runs");
-            return asker.postpone_pulls(now, retry_after);
+            node.busy_replies += 1;
+            let requester = self.nodes[at].membership.as_mut().expect("the node runs");
+            return requester.postpone_pulls(now, retry_after);
         }
-        let entries = machine.differing_entries(&buckets);
+        let entries = membership.differing_entries(&buckets);
         let bytes = postcard::to_stdvec(&(&buckets[..], &entries)).expect("entries encode");
-        node.pulled += bytes.len() as u64;
-        node.gate.done();
+        node.pull_bytes += bytes.len() as u64;
+        node.limiter.done();
         if self.nodes[at].domain != self.nodes[peer].domain {
-            self.nodes[peer].far += bytes.len() as u64;
+            self.nodes[peer].cross_domain_bytes += bytes.len() as u64;
         }
-        self.call(at, |m, now| m.merge(now, entries));
+        self.with_membership(at, |m, now| m.merge(now, entries));
     }
 
-    fn is_cut(&self, a: usize, b: usize) -> bool {
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
         let pair = (self.nodes[a].domain, self.nodes[b].domain);
-        self.cuts.contains(&pair)
+        self.partitions.contains(&pair)
     }
 
-    fn place(&self, node: NodeId) -> Option<usize> {
+    fn index_of(&self, node: NodeId) -> Option<usize> {
         let SocketAddr::V4(addr) = node.0 else {
             return None;
         };
