--- a/crates/swiftcart-core/tests/pace.rs
+++ b/crates/swiftcart-core/tests/pace.rs
@@ -132,7 +132,7 @@
 fn announced_pace_is_dropped_with_its_backend_server() {
     let me = member(1, "sensor", "sur");
     let mut membership = Membership::new(me.clone(), Gossip::default(), Vec::new(), 1);
-    membership.tell_pace(START, Pace(900));
+    membership.announce_pace(START, Pace(900));
     assert_eq!(membership.me().pace, Some(Pace(900)));
     assert!(
         membership.me().incarnation > me.incarnation,
@@ -140,9 +140,9 @@
     );
     let mut other = me.backend.clone().expect("a backend server");
     other.slots += 1;
-    membership.update_me(START, Some(other));
+    membership.update_backend(START, Some(other));
     assert_eq!(membership.me().pace, None);
-    membership.update_me(START, None);
-    membership.tell_pace(START, Pace(700));
+    membership.update_backend(START, None);
+    membership.announce_pace(START, Pace(700));
     assert_eq!(membership.me().pace, None, "no backend server");
 }
