--- a/crates/swiftcart-core/src/rollout.rs
+++ b/crates/swiftcart-core/src/rollout.rs
@@ -7,20 +7,22 @@
 //! service has moved. Any node may watch the trial; what it decides is a step forward in one
 //! order of stages, so that several who watch do no harm, and the platform accepts one end only.
 
+mod analysis;
 mod evidence;
-mod judge;
-mod known;
+mod message;
 mod order;
+mod rollouts;
 mod schedule;
 mod stage;
 mod trial;
-mod word;
 
+pub use analysis::{
+    Finding as RolloutFinding, RequestCounts, RolloutMetric, RouteComparison, ServerCounts,
+};
 pub use evidence::*;
-pub use judge::{Case, Finding as RolloutFinding, Judged, Measure, Runs};
-pub use known::*;
+pub use message::*;
 pub use order::*;
+pub use rollouts::*;
 pub use schedule::*;
 pub use stage::*;
 pub use trial::*;
-pub use word::*;
--- a/crates/swiftcart-core/src/rollout/judge.rs
+++ b/crates/swiftcart-core/src/rollout/analysis.rs
@@ -5,7 +5,7 @@
 //! ones as well: a release is blamed when most of its backend servers are worse than the old ones,
 //! and when it is unlikely that just these were drawn from all of them.
 
-use super::{RouteTag, RouteTally};
+use super::{RouteStats, RouteTag};
 
 /// The weight of evidence beyond which chance is left out: one in a thousand.
 const CERTAIN: f64 = 6.9;
@@ -88,7 +88,7 @@
 
 /// What is looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Measure {
+pub enum RolloutMetric {
     /// How many requests failed.
     Failures,
     /// How many took longer than most of the old release.
@@ -97,7 +97,7 @@
     Tail,
 }
 
-impl Measure {
+impl RolloutMetric {
     /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -111,13 +111,13 @@
 
 /// The requests of one route, by backend server.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Case {
+pub struct RouteComparison {
     /// The route.
     pub route: RouteTag,
     /// Those of the old release.
-    pub old: Vec<RouteTally>,
+    pub old: Vec<RouteStats>,
     /// Those of the new release.
-    pub new: Vec<RouteTally>,
+    pub new: Vec<RouteStats>,
 }
 
 /// What one measure of one route says.
@@ -126,22 +126,22 @@
     /// The route.
     pub route: RouteTag,
     /// What was looked at.
-    pub measure: Measure,
+    pub metric: RolloutMetric,
     /// Requests of the old release.
-    pub old: Runs,
+    pub old: RequestCounts,
     /// Requests of the new release.
-    pub new: Runs,
+    pub new: RequestCounts,
     /// How much more likely it is that the release is bad, as a natural logarithm.
-    pub weight: f64,
+    pub log_ratio: f64,
     /// Backend servers of the new release that are as bad as all of it.
-    pub affected: Judged,
+    pub affected: ServerCounts,
     /// Backend servers of the old release that are as bad.
-    pub like: Judged,
+    pub old_affected: ServerCounts,
 }
 
 /// Requests, and how many of them were bad.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Runs {
+pub struct RequestCounts {
     /// All of them.
     pub all: u32,
     /// The bad ones.
@@ -150,14 +150,14 @@
 
 /// Backend servers that can be judged, and how many of them are bad.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Judged {
+pub struct ServerCounts {
     /// All of them.
     pub all: usize,
     /// The bad ones.
     pub bad: usize,
 }
 
-impl Runs {
+impl RequestCounts {
     fn share(self) -> f64 {
         f64::from(self.bad) / f64::from(self.all.max(1))
     }
@@ -170,30 +170,30 @@
     }
 }
 
-impl Judged {
+impl ServerCounts {
     const fn is_most(self) -> bool {
         2 * self.bad > self.all
     }
 }
 
-impl Case {
+impl RouteComparison {
     /// Returns what each measure says; nothing where the old release has too few requests.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
-    /// use swiftcart_core::{Case, RouteTally};
+    /// use swiftcart_core::{RouteComparison, RouteStats};
     ///
     /// let server = |failed: u32| {
-    ///     let mut tally = RouteTally::default();
+    ///     let mut tally = RouteStats::default();
     ///     (0..40).for_each(|i| tally.count(i < failed, Duration::from_millis(100)));
     ///     tally
     /// };
-    /// let case = Case {
+    /// let case = RouteComparison {
     ///     old: vec![server(0), server(1), server(0), server(0)],
     ///     new: vec![server(16), server(21)],
-    ///     ..Case::default()
+    ///     ..RouteComparison::default()
     /// };
     /// assert!(case.findings().iter().any(|finding| finding.blames()));
     /// ```
@@ -203,16 +203,20 @@
         if old.runs < OLD_LEAST {
             return Vec::new();
         }
-        let failed = |tally: &RouteTally| tally.failed;
+        let failed = |tally: &RouteStats| tally.failed;
         let allowed = FAILURES_ALLOWED + 2.0 * failures(&old);
         let expected = allowed + FAILURES_MORE;
-        let failures = self.weigh(Measure::Failures, Shares { allowed, expected }, failed);
-        let slow = |measure, slow: Slowness| {
+        let failures = self.weigh(
+            RolloutMetric::Failures,
+            Shares { allowed, expected },
+            failed,
+        );
+        let slow = |metric, slow: Slowness| {
             let limit = slow_limit(&old, slow.tail);
-            self.weigh(measure, slow.shares, |tally| tally.above(limit))
+            self.weigh(metric, slow.shares, |tally| tally.above(limit))
         };
-        let times = slow(Measure::Times, SLOW);
-        let tail = slow(Measure::Tail, VERY_SLOW);
+        let times = slow(RolloutMetric::Times, SLOW);
+        let tail = slow(RolloutMetric::Tail, VERY_SLOW);
         vec![failures, times, tail]
     }
 
@@ -229,30 +233,39 @@
         new >= NEW_LEAST
     }
 
-    fn weigh(&self, measure: Measure, shares: Shares, bad: impl Fn(&RouteTally) -> u32) -> Finding {
-        let runs = |tally: &RouteTally| Runs {
+    fn weigh(
+        &self,
+        metric: RolloutMetric,
+        shares: Shares,
+        bad: impl Fn(&RouteStats) -> u32,
+    ) -> Finding {
+        let runs = |tally: &RouteStats| RequestCounts {
             all: tally.runs,
             bad: bad(tally),
         };
-        let count = |all: &[RouteTally]| all.iter().map(runs).fold(Runs::default(), Runs::plus);
+        let count = |all: &[RouteStats]| {
+            all.iter()
+                .map(runs)
+                .fold(RequestCounts::default(), RequestCounts::plus)
+        };
         let new = count(&self.new);
         let as_bad = AS_BAD * new.share();
-        let judge = |all: &[RouteTally]| {
+        let judge = |all: &[RouteStats]| {
             let each = || all.iter().map(runs).filter(|runs| runs.all >= EACH_LEAST);
-            let is_bad = |runs: &Runs| runs.bad > 0 && runs.share() >= as_bad;
-            Judged {
+            let is_bad = |runs: &RequestCounts| runs.bad > 0 && runs.share() >= as_bad;
+            ServerCounts {
                 all: each().count(),
                 bad: each().filter(is_bad).count(),
             }
         };
         Finding {
             route: self.route,
-            measure,
+            metric,
             old: count(&self.old),
             new,
-            weight: shares.weight(new),
+            log_ratio: shares.log_ratio(new),
             affected: judge(&self.new),
-            like: judge(&self.old),
+            old_affected: judge(&self.old),
         }
     }
 }
@@ -261,39 +274,39 @@
     /// Tells whether the release is bad.
     #[must_use]
     pub fn blames(&self) -> bool {
-        let alone = self.like.bad == 0 || self.chance() <= CHANCE;
-        self.affected.is_most() && self.weight >= CERTAIN && alone
+        let alone = self.old_affected.bad == 0 || self.chance() <= CHANCE;
+        self.affected.is_most() && self.log_ratio >= CERTAIN && alone
     }
 
     /// Tells whether the release is as good as the old one.
     #[must_use]
     pub fn clears(&self) -> bool {
-        self.weight <= -CERTAIN
+        self.log_ratio <= -CERTAIN
     }
 
     /// Tells whether the release is more likely bad than not.
     #[must_use]
     pub fn warns(&self) -> bool {
-        self.weight >= LIKELY
+        self.log_ratio >= LIKELY
     }
 
     /// Tells whether nothing speaks against the release, although it is not certain.
     #[must_use]
     pub fn passes(&self) -> bool {
-        self.new.all >= NEW_LEAST && self.weight <= 0.0
+        self.new.all >= NEW_LEAST && self.log_ratio <= 0.0
     }
 
     /// Tells whether no more bad answers can be borne, and the old release has fewer.
     #[must_use]
     pub fn is_spent(&self) -> bool {
         let worse = self.new.share() > 2.0 * self.old.share();
-        self.new.bad >= BAD_MOST && self.weight > 0.0 && worse && self.affected.is_most()
+        self.new.bad >= BAD_MOST && self.log_ratio > 0.0 && worse && self.affected.is_most()
     }
 
     /// Returns how likely it is that just these were affected, if all are alike.
     fn chance(&self) -> f64 {
-        let bad = self.like.bad + self.affected.bad;
-        let all = self.like.all + self.affected.all;
+        let bad = self.old_affected.bad + self.affected.bad;
+        let all = self.old_affected.all + self.affected.all;
         let step = |i: usize| (bad - i) as f64 / (all - i) as f64;
         (0..self.affected.bad).map(step).product()
     }
@@ -302,7 +315,7 @@
 impl Shares {
     /// Returns how much more likely these requests are under the expected share than under the
     /// allowed one, as a natural logarithm.
-    fn weight(self, runs: Runs) -> f64 {
+    fn log_ratio(self, runs: RequestCounts) -> f64 {
         let low = self.allowed.min(ALLOWED_MOST);
         let high = self.expected.min(EXPECTED_MOST);
         let sound = f64::from(runs.all - runs.bad.min(runs.all));
@@ -311,7 +324,7 @@
 }
 
 /// Returns the class of times that few requests of the old release exceed.
-fn slow_limit(old: &RouteTally, tail: f64) -> usize {
+fn slow_limit(old: &RouteStats, tail: f64) -> usize {
     let most = (f64::from(old.runs) * tail) as u32;
     let classes = 0..old.times.len();
     classes
@@ -320,14 +333,14 @@
         .unwrap_or(0)
 }
 
-fn sum(all: &[RouteTally]) -> RouteTally {
-    let mut sum = RouteTally::default();
+fn sum(all: &[RouteStats]) -> RouteStats {
+    let mut sum = RouteStats::default();
     all.iter().for_each(|tally| sum.add(tally));
     sum
 }
 
-fn failures(tally: &RouteTally) -> f64 {
-    let runs = Runs {
+fn failures(tally: &RouteStats) -> f64 {
+    let runs = RequestCounts {
         all: tally.runs,
         bad: tally.failed,
     };
--- a/crates/swiftcart-core/src/rollout/evidence.rs
+++ b/crates/swiftcart-core/src/rollout/evidence.rs
@@ -39,7 +39,7 @@
 
 /// How the requests of one route went.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RouteTally {
+pub struct RouteStats {
     /// Requests that ended.
     pub runs: u32,
     /// Those that failed.
@@ -48,7 +48,7 @@
     pub times: Vec<u32>,
 }
 
-impl RouteTally {
+impl RouteStats {
     /// Counts a request that took `time`.
     pub fn count(&mut self, failed: bool, time: Duration) {
         self.runs = self.runs.saturating_add(1);
@@ -111,17 +111,17 @@
     /// Requests that it runs.
     pub running: u32,
     /// How they went, by route.
-    pub routes: Vec<(RouteTag, RouteTally)>,
+    pub routes: Vec<(RouteTag, RouteStats)>,
 }
 
 /// Counts what one backend server does during a roll-out.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Tally {
+pub struct TrialStats {
     arrived: u64,
-    routes: BTreeMap<RouteTag, RouteTally>,
+    routes: BTreeMap<RouteTag, RouteStats>,
 }
 
-impl Tally {
+impl TrialStats {
     /// Counts a request that the backend server is handed.
     pub const fn arrived(&mut self) {
         self.arrived = self.arrived.saturating_add(1);
@@ -129,7 +129,7 @@
 
     /// Returns how many it was handed.
     #[must_use]
-    pub const fn handed(&self) -> u64 {
+    pub const fn arrivals(&self) -> u64 {
         self.arrived
     }
 
@@ -145,11 +145,11 @@
 
     /// Returns the counts by route, those with few requests together.
     #[must_use]
-    pub fn routes(&self) -> Vec<(RouteTag, RouteTally)> {
+    pub fn routes(&self) -> Vec<(RouteTag, RouteStats)> {
         let mut routes: Vec<_> = self.routes.iter().map(|(r, t)| (*r, t.clone())).collect();
         routes.sort_by_key(|(_, tally)| std::cmp::Reverse(tally.runs));
         let rest = routes.split_off(routes.len().min(ROUTES_TOLD));
-        let mut others = RouteTally::default();
+        let mut others = RouteStats::default();
         rest.iter().for_each(|(_, tally)| others.add(tally));
         if others.runs > 0 {
             routes.push((RouteTag::OTHERS, others));
--- a/crates/swiftcart-core/src/rollout/word.rs
+++ b/crates/swiftcart-core/src/rollout/message.rs
@@ -10,7 +10,7 @@
 
 /// How far the roll-out of one service is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RolloutWord {
+pub struct RolloutStatus {
     /// The service.
     pub service: ServiceName,
     /// The newest order for it.
@@ -29,13 +29,13 @@
 
 /// Words on their way, and what their sender knows in all.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RolloutWords {
+pub struct RolloutStatuses {
     /// Stands for everything that the sender knows.
     pub digest: u64,
     /// Whether the sender asks for everything that the receiver knows.
     pub asks: bool,
     /// The words.
-    pub list: Vec<RolloutWord>,
+    pub list: Vec<RolloutStatus>,
 }
 
 /// Lets a backend server of the new release run some more requests.
@@ -55,22 +55,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RolloutMessage {
     /// How far roll-outs are.
-    Words(RolloutWords),
+    #[serde(rename = "Words")]
+    Statuses(RolloutStatuses),
     /// What a backend server of the service was seen to do.
     Evidence(Evidence),
     /// What one of the new release may run.
     Grant(Grant),
 }
 
-impl RolloutWords {
+impl RolloutStatuses {
     /// Spreads words over as many messages as it takes for each to fit one datagram.
     #[must_use]
-    pub fn pack(digest: u64, list: Vec<RolloutWord>) -> Vec<Self> {
+    pub fn pack(digest: u64, list: Vec<RolloutStatus>) -> Vec<Self> {
         let mut packed: Vec<Self> = Vec::new();
         let mut room = 0;
-        for word in list {
+        for status in list {
             // What cannot be encoded gets a message of its own, which is not sent then.
-            let size = postcard::experimental::serialized_size(&word).unwrap_or(DATAGRAM_BYTES);
+            let size = postcard::experimental::serialized_size(&status).unwrap_or(DATAGRAM_BYTES);
             if size > room {
                 packed.push(Self {
                     digest,
@@ -80,7 +81,7 @@
             }
             room = room.saturating_sub(size);
             if let Some(last) = packed.last_mut() {
-                last.list.push(word);
+                last.list.push(status);
             }
         }
         packed
--- a/crates/swiftcart-core/src/rollout/known.rs
+++ b/crates/swiftcart-core/src/rollout/rollouts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{OrderId, Release, RolloutOrder, RolloutStage, RolloutWord, RolloutWords, Side};
+use super::{OrderId, Release, RolloutOrder, RolloutStage, RolloutStatus, RolloutStatuses, Side};
 use crate::{Instant, ServiceName};
 
 /// The most services whose roll-outs are known; five times those of the largest mesh to design for.
@@ -19,12 +19,12 @@
 
 /// What is known of one service's roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Known {
+struct RolloutEntry {
     order: OrderId,
     target: Release,
     stage: RolloutStage,
     duration: Duration,
-    due: Instant,
+    deadline: Instant,
     barred: Vec<Release>,
     /// The release that was brought in last before this order, where this node knows of it.
     in_use: Option<Release>,
@@ -46,14 +46,14 @@
     /// The time from the order to its deadline.
     pub duration: Duration,
     /// The deadline.
-    pub due: Instant,
+    pub deadline: Instant,
 }
 
 impl Rollout<'_> {
     /// Returns the time left until the deadline.
     #[must_use]
-    pub const fn left(&self, now: Instant) -> Duration {
-        self.due.since(now)
+    pub const fn remaining(&self, now: Instant) -> Duration {
+        self.deadline.since(now)
     }
 }
 
@@ -81,56 +81,56 @@
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Rollouts {
-    known: BTreeMap<ServiceName, Known>,
+    entries: BTreeMap<ServiceName, RolloutEntry>,
 }
 
 impl Rollouts {
     /// Tells whether no roll-out is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.entries.is_empty()
     }
 
     /// Takes an order; returns whether it is a new one.
     pub fn order(&mut self, now: Instant, order: &RolloutOrder) -> bool {
-        let before = self.known.get(&order.service);
-        let full = before.is_none() && self.known.len() >= SERVICES_MOST;
-        if full || before.is_some_and(|known| known.order >= order.id) {
+        let before = self.entries.get(&order.service);
+        let full = before.is_none() && self.entries.len() >= SERVICES_MOST;
+        if full || before.is_some_and(|entry| entry.order >= order.id) {
             return false;
         }
-        let known = Known {
+        let entry = RolloutEntry {
             order: order.id,
             target: order.target.clone(),
             // What is in use already needs no trial, and nothing else may be there to serve.
             stage: match before {
-                Some(known) if known.is_in_use(&order.target) => RolloutStage::Completed,
+                Some(entry) if entry.is_in_use(&order.target) => RolloutStage::Completed,
                 _ => RolloutStage::Ordered,
             },
             duration: order.duration,
-            due: now + order.duration,
-            barred: before.map_or_else(Vec::new, |known| known.barred_for(&order.target)),
-            in_use: before.and_then(Known::release_in_use),
+            deadline: now + order.duration,
+            barred: before.map_or_else(Vec::new, |entry| entry.barred_for(&order.target)),
+            in_use: before.and_then(RolloutEntry::release_in_use),
             rounds: ROUNDS,
         };
-        self.known.insert(order.service.clone(), known);
+        self.entries.insert(order.service.clone(), entry);
         true
     }
 
     /// Takes what another node knows; returns whether any of it is news.
-    pub fn hear(&mut self, now: Instant, words: &[RolloutWord]) -> bool {
+    pub fn merge(&mut self, now: Instant, statuses: &[RolloutStatus]) -> bool {
         let mut news = false;
-        for word in words {
-            news |= self.hear_one(now, word);
+        for status in statuses {
+            news |= self.merge_one(now, status);
         }
         news
     }
 
     /// Moves on to `stage`; returns whether that was a step forward.
     pub fn advance(&mut self, service: &ServiceName, order: OrderId, stage: RolloutStage) -> bool {
-        match self.known.get_mut(service) {
-            Some(known) if known.order == order && known.stage < stage => {
-                known.stage = stage;
-                known.rounds = ROUNDS;
+        match self.entries.get_mut(service) {
+            Some(entry) if entry.order == order && entry.stage < stage => {
+                entry.stage = stage;
+                entry.rounds = ROUNDS;
                 true
             }
             _ => false,
@@ -138,25 +138,25 @@
     }
 
     /// Sets the deadline of an order as the platform remembers it.
-    pub fn set_due(&mut self, service: &ServiceName, order: OrderId, due: Instant) {
-        if let Some(known) = self.known.get_mut(service).filter(|k| k.order == order) {
-            known.due = due;
+    pub fn set_deadline(&mut self, service: &ServiceName, order: OrderId, deadline: Instant) {
+        if let Some(entry) = self.entries.get_mut(service).filter(|k| k.order == order) {
+            entry.deadline = deadline;
         }
     }
 
     /// Returns the roll-out of a service.
     #[must_use]
     pub fn get(&self, service: &ServiceName) -> Option<Rollout<'_>> {
-        let (service, known) = self.known.get_key_value(service)?;
-        Some(known.shown(service))
+        let (service, entry) = self.entries.get_key_value(service)?;
+        Some(entry.shown(service))
     }
 
     /// Returns the roll-outs that have not ended.
     pub fn running(&self) -> impl Iterator<Item = Rollout<'_>> {
         let all = self
-            .known
+            .entries
             .iter()
-            .map(|(service, known)| known.shown(service));
+            .map(|(service, entry)| entry.shown(service));
         all.filter(|rollout| !rollout.stage.is_over())
     }
 
@@ -169,42 +169,46 @@
         service: &ServiceName,
         release: Option<&Release>,
     ) -> Option<(Rollout<'_>, Side)> {
-        let (service, known) = self.known.get_key_value(service)?;
+        let (service, entry) = self.entries.get_key_value(service)?;
         let side = match release {
-            Some(release) if *release == known.target => Side::New,
-            Some(release) if known.barred.contains(release) => Side::Barred,
+            Some(release) if *release == entry.target => Side::New,
+            Some(release) if entry.barred.contains(release) => Side::Barred,
             Some(_) | None => Side::Old,
         };
-        Some((known.shown(service), side))
+        Some((entry.shown(service), side))
     }
 
     /// Returns what is to be passed on in this round.
-    pub fn round(&mut self, now: Instant) -> Vec<RolloutWord> {
-        let due = self.known.iter_mut().filter(|(_, known)| known.rounds > 0);
-        due.map(|(service, known)| {
-            known.rounds -= 1;
-            known.word(service, now)
-        })
-        .collect()
+    pub fn gossip_round(&mut self, now: Instant) -> Vec<RolloutStatus> {
+        let pending = self
+            .entries
+            .iter_mut()
+            .filter(|(_, entry)| entry.rounds > 0);
+        pending
+            .map(|(service, entry)| {
+                entry.rounds -= 1;
+                entry.status(service, now)
+            })
+            .collect()
     }
 
     /// Returns everything that is known.
     #[must_use]
-    pub fn all(&self, now: Instant) -> Vec<RolloutWord> {
-        let all = self.known.iter();
-        all.map(|(service, known)| known.word(service, now))
+    pub fn all(&self, now: Instant) -> Vec<RolloutStatus> {
+        let all = self.entries.iter();
+        all.map(|(service, entry)| entry.status(service, now))
             .collect()
     }
 
     /// Stands for everything that is known: equal where two nodes know the same.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let parts = self.known.iter().map(|(service, known)| {
+        let parts = self.entries.iter().map(|(service, entry)| {
             let mut hasher = blake3::Hasher::new();
             hasher.update(service.as_str().as_bytes());
-            hasher.update(&known.order.0.to_be_bytes());
-            hasher.update(&[known.stage.number()]);
-            for release in &known.barred {
+            hasher.update(&entry.order.0.to_be_bytes());
+            hasher.update(&[entry.stage.number()]);
+            for release in &entry.barred {
                 hasher.update(release.as_str().as_bytes());
             }
             let hash = hasher.finalize();
@@ -217,66 +221,66 @@
 
     /// Returns what a node says that compares itself with another one.
     #[must_use]
-    pub fn word(&self) -> RolloutWords {
-        RolloutWords {
+    pub fn digest_message(&self) -> RolloutStatuses {
+        RolloutStatuses {
             digest: self.digest(),
-            ..RolloutWords::default()
+            ..RolloutStatuses::default()
         }
     }
 
     /// Returns the question for everything that the receiver knows.
     #[must_use]
-    pub fn ask(&self) -> RolloutWords {
-        RolloutWords {
+    pub fn request_all(&self) -> RolloutStatuses {
+        RolloutStatuses {
             asks: true,
-            ..self.word()
+            ..self.digest_message()
         }
     }
 
-    /// Returns that question where `words` show that the sender knows something else.
+    /// Returns that question where `statuses` show that the sender knows something else.
     #[must_use]
-    pub fn question(&self, words: &RolloutWords) -> Option<RolloutWords> {
-        let compares = words.list.is_empty() && !words.asks;
-        (compares && self.digest() != words.digest).then(|| self.ask())
+    pub fn sync_request(&self, statuses: &RolloutStatuses) -> Option<RolloutStatuses> {
+        let compares = statuses.list.is_empty() && !statuses.asks;
+        (compares && self.digest() != statuses.digest).then(|| self.request_all())
     }
 
-    fn hear_one(&mut self, now: Instant, word: &RolloutWord) -> bool {
-        let due = now + Duration::from_millis(word.left_ms.into());
-        let full = self.known.len() >= SERVICES_MOST;
-        match self.known.get_mut(&word.service) {
-            Some(known) if known.order == word.order => {
-                let barred = known.bar(&word.barred);
-                let further = known.stage < word.stage;
-                known.stage = known.stage.max(word.stage);
+    fn merge_one(&mut self, now: Instant, status: &RolloutStatus) -> bool {
+        let deadline = now + Duration::from_millis(status.left_ms.into());
+        let full = self.entries.len() >= SERVICES_MOST;
+        match self.entries.get_mut(&status.service) {
+            Some(entry) if entry.order == status.order => {
+                let barred = entry.bar(&status.barred);
+                let further = entry.stage < status.stage;
+                entry.stage = entry.stage.max(status.stage);
                 let news = barred || further;
                 if news {
-                    known.rounds = ROUNDS;
+                    entry.rounds = ROUNDS;
                 }
                 news
             }
-            Some(known) if known.order > word.order => false,
+            Some(entry) if entry.order > status.order => false,
             None if full => false,
             before @ (Some(_) | None) => {
                 let before = before.as_deref();
-                let mut known = Known {
-                    order: word.order,
-                    target: word.target.clone(),
-                    stage: word.stage,
-                    duration: Duration::from_millis(word.duration_ms.into()),
-                    due,
-                    barred: before.map_or_else(Vec::new, |known| known.barred_for(&word.target)),
-                    in_use: before.and_then(Known::release_in_use),
+                let mut entry = RolloutEntry {
+                    order: status.order,
+                    target: status.target.clone(),
+                    stage: status.stage,
+                    duration: Duration::from_millis(status.duration_ms.into()),
+                    deadline,
+                    barred: before.map_or_else(Vec::new, |entry| entry.barred_for(&status.target)),
+                    in_use: before.and_then(RolloutEntry::release_in_use),
                     rounds: ROUNDS,
                 };
-                known.bar(&word.barred);
-                self.known.insert(word.service.clone(), known);
+                entry.bar(&status.barred);
+                self.entries.insert(status.service.clone(), entry);
                 true
             }
         }
     }
 }
 
-impl Known {
+impl RolloutEntry {
     fn is_in_use(&self, release: &Release) -> bool {
         self.stage == RolloutStage::Completed && self.target == *release
     }
@@ -305,8 +309,8 @@
         let mut news = false;
         for release in releases {
             let stays = *release == self.target || Some(release) == self.in_use.as_ref();
-            let known = stays || self.barred.contains(release);
-            if !known && self.barred.len() < BARRED_MOST {
+            let entry = stays || self.barred.contains(release);
+            if !entry && self.barred.len() < BARRED_MOST {
                 self.barred.push(release.clone());
                 news = true;
             }
@@ -322,18 +326,18 @@
             target: &self.target,
             stage: self.stage,
             duration: self.duration,
-            due: self.due,
+            deadline: self.deadline,
         }
     }
 
-    fn word(&self, service: &ServiceName, now: Instant) -> RolloutWord {
-        RolloutWord {
+    fn status(&self, service: &ServiceName, now: Instant) -> RolloutStatus {
+        RolloutStatus {
             service: service.clone(),
             order: self.order,
             target: self.target.clone(),
             stage: self.stage,
             duration_ms: millis(self.duration),
-            left_ms: millis(self.due.since(now)),
+            left_ms: millis(self.deadline.since(now)),
             barred: self.barred.clone(),
         }
     }
--- a/crates/swiftcart-core/src/rollout/stage.rs
+++ b/crates/swiftcart-core/src/rollout/stage.rs
@@ -43,7 +43,7 @@
     /// The first one.
     pub const FIRST: Self = Self(1);
     /// The last one; after it all old ones close.
-    pub const LAST: Self = Self(2 * Turn::MOST - 1);
+    pub const LAST: Self = Self(2 * RolloutBatch::MOST - 1);
 
     /// Returns the stage after this step.
     #[must_use]
@@ -57,9 +57,9 @@
 
 /// When a backend server has its turn in a move: with the first part of its side, or a later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Turn(u8);
+pub struct RolloutBatch(u8);
 
-impl Turn {
+impl RolloutBatch {
     /// The parts in which a service moves.
     const MOST: u8 = 4;
     /// The turn of those that were tried.
@@ -70,10 +70,10 @@
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_core::Turn;
+    /// use swiftcart_core::RolloutBatch;
     ///
-    /// assert_eq!(Turn::new(0, 8), Turn::FIRST);
-    /// assert!(Turn::new(7, 8) > Turn::new(5, 8));
+    /// assert_eq!(RolloutBatch::new(0, 8), RolloutBatch::FIRST);
+    /// assert!(RolloutBatch::new(7, 8) > RolloutBatch::new(5, 8));
     /// ```
     #[must_use]
     pub fn new(place: usize, all: usize) -> Self {
@@ -143,9 +143,9 @@
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_core::{Clearance, RolloutStage, Side, Step, Turn};
+    /// use swiftcart_core::{Clearance, RolloutStage, Side, Step, RolloutBatch};
     ///
-    /// let of = |stage: RolloutStage, side| stage.clearance(side, Turn::FIRST);
+    /// let of = |stage: RolloutStage, side| stage.clearance(side, RolloutBatch::FIRST);
     /// assert_eq!(of(RolloutStage::Trial, Side::New), Clearance::OnCredit);
     /// assert_eq!(of(RolloutStage::Moving(Step(1)), Side::New), Clearance::Open);
     /// assert_eq!(of(RolloutStage::Moving(Step(1)), Side::Old), Clearance::Open);
@@ -153,7 +153,7 @@
     /// assert_eq!(of(RolloutStage::Stopped, Side::New), Clearance::Closed);
     /// ```
     #[must_use]
-    pub const fn clearance(self, side: Side, turn: Turn) -> Clearance {
+    pub const fn clearance(self, side: Side, turn: RolloutBatch) -> Clearance {
         match (self, side) {
             (_, Side::Barred) => Clearance::Closed,
             (Self::Moving(step), Side::Old) if turn.closes(step) => Clearance::Draining,
--- a/crates/swiftcart-core/src/rollout/trial.rs
+++ b/crates/swiftcart-core/src/rollout/trial.rs
@@ -1,22 +1,23 @@
 //! What a node decides that watches the roll-out of one service.
 
-mod cause;
-mod observed;
-mod spending;
+mod action;
+mod credit;
+mod observations;
 
 use std::time::Duration;
 
 use super::{
-    Case, Evidence, Grant, OrderId, Rollout, RolloutFinding, RolloutStage, Schedule, Side, Step,
+    Evidence, Grant, OrderId, Rollout, RolloutFinding, RolloutStage, RouteComparison, Schedule,
+    Side, Step,
 };
 use crate::{Instant, NodeId, ServiceName};
-pub use cause::*;
-use observed::{Cases, Observed, Seen, Span, findings};
-use spending::Spending;
+pub use action::*;
+use credit::Spending;
+use observations::{Cases, Observed, Seen, Span, findings};
 
 /// The time between two rounds. A bad release is stopped within some five of them, and credit
 /// that is not renewed ends with the second one.
-pub const TRIAL_ROUND: Duration = Duration::from_millis(250);
+pub const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The part of a service's backend servers whose number is tried of the new release. With full load
 /// on each, about the part of the requests that may be spent.
@@ -92,10 +93,10 @@
     }
 
     /// Takes what the node `from` has seen of its backend server.
-    pub fn hear(&mut self, now: Instant, from: NodeId, evidence: Evidence) {
+    pub fn observe(&mut self, now: Instant, from: NodeId, evidence: Evidence) {
         let under_way = self.stage != RolloutStage::Ordered;
         if evidence.order == self.order {
-            self.observed.hear(now, from, evidence, under_way);
+            self.observed.record(now, from, evidence, under_way);
         }
     }
 
@@ -104,11 +105,16 @@
     ///
     /// Who hears from less than half of them is cut off: it may find that the release is bad, and leaves
     /// all else to those on the other side.
-    pub fn round(&mut self, now: Instant, rollout: &Rollout<'_>, known: usize) -> Vec<TrialStep> {
+    pub fn evaluate(
+        &mut self,
+        now: Instant,
+        rollout: &Rollout<'_>,
+        known: usize,
+    ) -> Vec<TrialAction> {
         self.enter(now, rollout.stage);
         self.spending.measure(now, self.exposure().all);
         self.observed.mark(now);
-        let left = rollout.left(now);
+        let left = rollout.remaining(now);
         let step = match rollout.stage {
             RolloutStage::Ordered => self.begin(now, left, known),
             RolloutStage::Trial => self.try_on(left),
@@ -121,7 +127,7 @@
         match step {
             Some(step) => {
                 self.enter(now, step.stage);
-                vec![TrialStep::Advance(step)]
+                vec![TrialAction::Advance(step)]
             }
             None if rollout.stage == RolloutStage::Trial => self.grants(now, rollout.service),
             None => Vec::new(),
@@ -170,7 +176,9 @@
         }
         let late = self.schedule.is_late(left);
         let Cases { seen, rest } = self.observed.cases(Span::Whole, &self.observed.bad_ones());
-        let runs = |cases: &[Case]| -> u32 { cases.iter().map(Case::old_runs).sum() };
+        let runs = |cases: &[RouteComparison]| -> u32 {
+            cases.iter().map(RouteComparison::old_runs).sum()
+        };
         let known = f64::from(runs(&seen)) >= SEEN_SHARE * f64::from(runs(&seen) + rest.old_runs());
         let (seen, rest) = (findings(&seen), rest.findings());
         let rest_doubtful = rest.iter().find(|finding| finding.warns());
@@ -217,7 +225,7 @@
     }
 
     /// Gives those that are tried what may be spent.
-    fn grants(&mut self, now: Instant, service: &ServiceName) -> Vec<TrialStep> {
+    fn grants(&mut self, now: Instant, service: &ServiceName) -> Vec<TrialAction> {
         let tried = self.tried(now);
         let old = self.observed.on(Side::Old).count();
         let each = self
@@ -235,7 +243,7 @@
                 epoch: evidence.epoch,
                 upto: evidence.arrived + each,
             };
-            Some(TrialStep::Grant(id, grant))
+            Some(TrialAction::Grant(id, grant))
         };
         tried.into_iter().filter_map(grant).collect()
     }
--- a/crates/swiftcart-core/src/rollout/trial/cause.rs
+++ b/crates/swiftcart-core/src/rollout/trial/action.rs
@@ -55,7 +55,7 @@
 
 /// What a round asks for.
 #[derive(Debug, Clone, PartialEq)]
-pub enum TrialStep {
+pub enum TrialAction {
     /// Let a backend server of the new release run some more requests.
     Grant(NodeId, Grant),
     /// Go on to another stage.
--- a/crates/swiftcart-core/src/rollout/trial/spending.rs
+++ b/crates/swiftcart-core/src/rollout/trial/credit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{Exposure, Instant, TRIAL_ROUND, TrialSettings};
+use crate::{Exposure, Instant, TRIAL_INTERVAL, TrialSettings};
 
 /// The part of what a bad release may get that the trial gives it. The rest is there for requests
 /// that arrive while a release that turns bad late is being stopped, and for a second node that
@@ -43,14 +43,14 @@
     /// Takes in how many requests the service had so far.
     pub(super) fn measure(&mut self, now: Instant, total: u64) {
         if let Some((then, before)) = self.counted
-            && now.since(then) >= TRIAL_ROUND
+            && now.since(then) >= TRIAL_INTERVAL
         {
             let fresh = total.saturating_sub(before) as f64 / now.since(then).as_secs_f64();
             self.rate += (fresh - self.rate) / 2.0;
         }
         if self
             .counted
-            .is_none_or(|(then, _)| now.since(then) >= TRIAL_ROUND)
+            .is_none_or(|(then, _)| now.since(then) >= TRIAL_INTERVAL)
         {
             self.counted = Some((now, total));
         }
@@ -65,7 +65,7 @@
         let load = (LOAD * self.rate / old.max(1) as f64).max(1.0);
         let burst = (number * load * BURST.as_secs_f64()).min(SPEND * bound * SAVED);
         // Twice what a round takes, so that one that is lost makes no gap.
-        let each = (2.0 * load * TRIAL_ROUND.as_secs_f64()).max(1.0);
+        let each = (2.0 * load * TRIAL_INTERVAL.as_secs_f64()).max(1.0);
         let each = each.min(left / number);
         self.bursting = each >= 1.0 && (self.bursting || left >= burst);
         match self.bursting {
--- a/crates/swiftcart-core/src/rollout/trial/observed.rs
+++ b/crates/swiftcart-core/src/rollout/trial/observations.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use crate::{
-    Case, Evidence, Exposure, Instant, Measure, NodeId, RolloutFinding, RouteTag, RouteTally, Side,
+    Evidence, Exposure, Instant, NodeId, RolloutFinding, RolloutMetric, RouteComparison,
+    RouteStats, RouteTag, Side,
 };
 
 /// The age at which evidence counts no more as a sign that its sender is there.
@@ -31,7 +32,7 @@
 }
 
 /// The counts of a backend server at one point in time.
-type Counts = BTreeMap<RouteTag, RouteTally>;
+type Counts = BTreeMap<RouteTag, RouteStats>;
 
 /// The time over which old and new ones are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +56,13 @@
 impl Observed {
     /// Takes what a node has seen; one that is first heard of while a trial is `under_way` is compared
     /// by what happens from now on, since its counts may reach back to a time of which others know nothing.
-    pub(super) fn hear(&mut self, now: Instant, from: NodeId, evidence: Evidence, under_way: bool) {
+    pub(super) fn record(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        evidence: Evidence,
+        under_way: bool,
+    ) {
         let new = |evidence: Evidence, past, from: Counts| Seen {
             at: now,
             evidence,
@@ -133,7 +140,7 @@
         let found = cases.flat_map(|cases| findings(&cases.all()));
         // While the service moves, old and new ones have different loads, which shows in the slowest
         // requests first.
-        let mut fair = found.filter(|finding| !moves || finding.measure != Measure::Tail);
+        let mut fair = found.filter(|finding| !moves || finding.metric != RolloutMetric::Tail);
         fair.find(RolloutFinding::blames)
             .or_else(|| self.spent(moves))
     }
@@ -145,16 +152,16 @@
             add(&mut together.0, self.counts(route, Side::Old, Span::Whole));
             add(&mut together.1, self.counts(route, Side::New, Span::Whole));
         }
-        let case = Case {
+        let case = RouteComparison {
             route: RouteTag::OTHERS,
             old: together.0.into_values().collect(),
             new: together.1.into_values().collect(),
         };
         let mut found = case.findings().into_iter();
-        found.find(|finding| match finding.measure {
-            Measure::Failures => finding.is_spent(),
-            Measure::Times => false,
-            Measure::Tail => !moves && finding.is_spent(),
+        found.find(|finding| match finding.metric {
+            RolloutMetric::Failures => finding.is_spent(),
+            RolloutMetric::Times => false,
+            RolloutMetric::Tail => !moves && finding.is_spent(),
         })
     }
 
@@ -173,7 +180,7 @@
         let mut bad = BTreeSet::new();
         let new: Vec<NodeId> = self.on(Side::New).map(|(id, _)| id).collect();
         for case in self.cases(Span::Whole, &BTreeSet::new()).seen {
-            let alone = |tally: &RouteTally| Case {
+            let alone = |tally: &RouteStats| RouteComparison {
                 new: vec![tally.clone()],
                 ..case.clone()
             };
@@ -198,7 +205,7 @@
         let mut rest = (BTreeMap::new(), BTreeMap::new());
         for route in self.routes() {
             let (old, new) = (counts(route, Side::Old), counts(route, Side::New));
-            let case = Case {
+            let case = RouteComparison {
                 route,
                 old: old.values().cloned().collect(),
                 new: new.values().cloned().collect(),
@@ -211,7 +218,7 @@
                 }
             }
         }
-        cases.rest = Case {
+        cases.rest = RouteComparison {
             route: RouteTag::OTHERS,
             old: rest.0.into_values().collect(),
             new: rest.1.into_values().collect(),
@@ -224,7 +231,7 @@
         told.map(|(route, _)| *route).collect()
     }
 
-    fn counts(&self, route: RouteTag, side: Side, span: Span) -> BTreeMap<NodeId, RouteTally> {
+    fn counts(&self, route: RouteTag, side: Side, span: Span) -> BTreeMap<NodeId, RouteStats> {
         self.tallies(route, side, span).collect()
     }
 
@@ -233,7 +240,7 @@
         route: RouteTag,
         side: Side,
         span: Span,
-    ) -> impl Iterator<Item = (NodeId, RouteTally)> {
+    ) -> impl Iterator<Item = (NodeId, RouteStats)> {
         self.on(side).filter_map(move |(id, seen)| {
             let mut routes = seen.evidence.routes.iter();
             let (_, tally) = routes.find(|(tag, _)| *tag == route)?;
@@ -255,13 +262,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Cases {
     /// Routes that the new release has run often enough.
-    pub(super) seen: Vec<Case>,
+    pub(super) seen: Vec<RouteComparison>,
     /// The others together.
-    pub(super) rest: Case,
+    pub(super) rest: RouteComparison,
 }
 
 impl Cases {
-    fn all(self) -> Vec<Case> {
+    fn all(self) -> Vec<RouteComparison> {
         let mut all = self.seen;
         all.push(self.rest);
         all
@@ -290,11 +297,11 @@
     }
 }
 
-pub(super) fn findings(cases: &[Case]) -> Vec<RolloutFinding> {
-    cases.iter().flat_map(Case::findings).collect()
+pub(super) fn findings(cases: &[RouteComparison]) -> Vec<RolloutFinding> {
+    cases.iter().flat_map(RouteComparison::findings).collect()
 }
 
-fn add(sums: &mut BTreeMap<NodeId, RouteTally>, counts: BTreeMap<NodeId, RouteTally>) {
+fn add(sums: &mut BTreeMap<NodeId, RouteStats>, counts: BTreeMap<NodeId, RouteStats>) {
     for (id, tally) in counts {
         sums.entry(id).or_default().add(&tally);
     }
--- a/crates/swiftcart-core/tests/rollout.rs
+++ b/crates/swiftcart-core/tests/rollout.rs
@@ -43,7 +43,7 @@
 fn clearance(rollouts: &Rollouts, release: &str) -> Clearance {
     let release = Release::new(release);
     let (rollout, side) = rollouts.side(&sensor(), Some(&release)).unwrap();
-    rollout.stage.clearance(side, Turn::FIRST)
+    rollout.stage.clearance(side, RolloutBatch::FIRST)
 }
 
 use RolloutStage::{Closing, Completed, Ordered, RolledBack, Stopped, Trial as OnTrial};
@@ -84,11 +84,11 @@
 ) {
     let words = |(id, stage)| after(&[(id, "v2", stage)]).all(at(0));
     let mut forth = Rollouts::default();
-    forth.hear(at(0), &words(first));
-    forth.hear(at(0), &words(second));
+    forth.merge(at(0), &words(first));
+    forth.merge(at(0), &words(second));
     let mut back = Rollouts::default();
-    back.hear(at(0), &words(second));
-    back.hear(at(0), &words(first));
+    back.merge(at(0), &words(second));
+    back.merge(at(0), &words(first));
     for rollouts in [&forth, &back] {
         let rollout = rollouts.get(&sensor()).unwrap();
         assert_eq!((rollout.order.0, rollout.stage), expected);
@@ -109,10 +109,10 @@
 #[test]
 fn who_read_the_later_order_only_learns_which_release_stays_out() {
     let (one, mut other) = one_and_other();
-    assert!(other.hear(at(200), &one.all(at(200))));
+    assert!(other.merge(at(200), &one.all(at(200))));
     assert_eq!(clearance(&other, "v2"), Clearance::Closed);
     assert_eq!(clearance(&other, "v1"), Clearance::Open);
-    assert!(!other.hear(at(300), &one.all(at(300))), "it is no news");
+    assert!(!other.merge(at(300), &one.all(at(300))), "it is no news");
 }
 
 #[test]
@@ -120,7 +120,7 @@
     let (_, other) = one_and_other();
     let mut third = Rollouts::default();
     third.order(at(0), &order(1, "v2"));
-    assert!(third.hear(at(200), &other.all(at(200))));
+    assert!(third.merge(at(200), &other.all(at(200))));
     assert_eq!(clearance(&third, "v2"), Clearance::Closed);
 }
 
@@ -128,7 +128,7 @@
 fn a_release_in_use_is_not_kept_out_by_who_missed_its_end() {
     let mut knows = after(&[(1, "v2", Completed), (2, "v3", Ordered)]);
     let missed = after(&[(1, "v2", OnTrial), (2, "v3", Ordered)]);
-    assert!(!knows.hear(at(200), &missed.all(at(200))));
+    assert!(!knows.merge(at(200), &missed.all(at(200))));
     assert_eq!(clearance(&knows, "v2"), Clearance::Open);
 }
 
@@ -149,15 +149,15 @@
 #[test]
 fn news_is_passed_on_in_three_rounds_and_told_when_asked() {
     let mut rollouts = after(&[(1, "v2", OnTrial)]);
-    let rounds: Vec<usize> = (0..5).map(|_| rollouts.round(at(0)).len()).collect();
+    let rounds: Vec<usize> = (0..5).map(|_| rollouts.gossip_round(at(0)).len()).collect();
     assert_eq!(rounds, [1, 1, 1, 0, 0]);
     let other = Rollouts::default();
     assert!(
         other
-            .question(&rollouts.word())
+            .sync_request(&rollouts.digest_message())
             .is_some_and(|words| words.asks)
     );
-    assert!(rollouts.question(&rollouts.word()).is_none());
+    assert!(rollouts.sync_request(&rollouts.digest_message()).is_none());
 }
 
 #[test]
@@ -173,8 +173,8 @@
             },
         );
     }
-    for words in RolloutWords::pack(rollouts.digest(), rollouts.all(at(0))) {
-        let datagram = Datagram::Rollouts(RolloutMessage::Words(words));
+    for words in RolloutStatuses::pack(rollouts.digest(), rollouts.all(at(0))) {
+        let datagram = Datagram::Rollouts(RolloutMessage::Statuses(words));
         let from = NodeId("10.0.0.1:7600".parse().unwrap());
         let sealed = seal(&datagram, from, &MeshKey::new([7; 32]));
         assert!(sealed.unwrap().len() <= MAX_DATAGRAM);
@@ -183,7 +183,7 @@
 
 #[test]
 fn evidence_of_many_routes_fits_a_datagram() {
-    let mut tally = Tally::default();
+    let mut tally = TrialStats::default();
     for n in 0..200_000_u32 {
         tally.arrived();
         let route = RouteTag(n % 300 + 1);
@@ -202,7 +202,7 @@
         epoch: u32::MAX,
         ready: true,
         open: true,
-        arrived: tally.handed(),
+        arrived: tally.arrivals(),
         running: 9,
         routes: tally.routes(),
     };
@@ -245,12 +245,12 @@
     for n in 0..heard {
         let side = if n % 2 == 0 { Side::New } else { Side::Old };
         let (id, evidence) = evidence(n, side);
-        trial.hear(at(0), id, evidence);
+        trial.observe(at(0), id, evidence);
     }
-    let steps = trial.round(at(100), &rollout, known);
+    let steps = trial.evaluate(at(100), &rollout, known);
     let stage = steps.iter().find_map(|step| match step {
-        TrialStep::Advance(step) => Some(step.stage),
-        TrialStep::Grant(..) => None,
+        TrialAction::Advance(step) => Some(step.stage),
+        TrialAction::Grant(..) => None,
     });
     assert_eq!(stage, expected);
 }
@@ -265,16 +265,16 @@
     };
     let mut trial = Trial::new(at(0), &rollout, settings);
     let (id, evidence) = evidence(1, Side::New);
-    trial.hear(at(11_000), id, evidence);
-    let steps = trial.round(at(11_500), &rollout, 6);
+    trial.observe(at(11_000), id, evidence);
+    let steps = trial.evaluate(at(11_500), &rollout, 6);
     let advances = steps
         .iter()
-        .filter(|step| matches!(step, TrialStep::Advance(..)));
+        .filter(|step| matches!(step, TrialAction::Advance(..)));
     assert_eq!(advances.count(), 0, "{steps:?}");
 }
 
-fn server(runs: u32, failed: u32, ms: u64) -> RouteTally {
-    let mut tally = RouteTally::default();
+fn server(runs: u32, failed: u32, ms: u64) -> RouteStats {
+    let mut tally = RouteStats::default();
     (0..runs).for_each(|i| tally.count(i < failed, Duration::from_millis(ms)));
     tally
 }
@@ -287,14 +287,14 @@
 #[case::one_of_three_backend_servers_fails(vec![server(40, 20, 100), server(40, 0, 100), server(40, 0, 100)], false)]
 #[case::hardly_any_request_was_seen(vec![server(3, 2, 100)], false)]
 fn a_release_is_blamed_when_most_of_its_backend_servers_are_worse(
-    #[case] new: Vec<RouteTally>,
+    #[case] new: Vec<RouteStats>,
     #[case] expected: bool,
 ) {
     let old = vec![server(100, 1, 100); 8];
-    let case = Case {
+    let case = RouteComparison {
         old,
         new,
-        ..Case::default()
+        ..RouteComparison::default()
     };
     let blamed = case.findings().iter().any(RolloutFinding::blames);
     assert_eq!(blamed, expected);
@@ -305,10 +305,10 @@
     let mut old = vec![server(100, 1, 100); 4];
     old.extend(vec![server(100, 40, 100); 4]);
     let new = vec![server(40, 16, 100), server(40, 16, 100)];
-    let case = Case {
+    let case = RouteComparison {
         old,
         new,
-        ..Case::default()
+        ..RouteComparison::default()
     };
     assert!(!case.findings().iter().any(RolloutFinding::blames));
 }
--- a/crates/swiftcart-core/tests/support/rollout.rs
+++ b/crates/swiftcart-core/tests/support/rollout.rs
@@ -42,10 +42,10 @@
 pub struct Server {
     id: NodeId,
     side: Side,
-    turn: Turn,
+    turn: RolloutBatch,
     speed: f64,
     affected: bool,
-    tally: Tally,
+    tally: TrialStats,
     credit: u64,
     credit_until: Instant,
     ends: Vec<Run>,
@@ -165,7 +165,7 @@
                     break;
                 }
             }
-            if now.since(round) < TRIAL_ROUND {
+            if now.since(round) < TRIAL_INTERVAL {
                 continue;
             }
             round = now;
@@ -174,19 +174,19 @@
                     continue;
                 }
                 let clear = stage.clearance(server.side, server.turn);
-                trial.hear(now, server.id, server.evidence(&service, order.id, clear));
+                trial.observe(now, server.id, server.evidence(&service, order.id, clear));
             }
             let rollout = rollouts.get(&service).unwrap();
             let before = rollout.stage;
             let known = if started { servers.len() } else { self.old };
-            for step in trial.round(now, &rollout, known) {
+            for step in trial.evaluate(now, &rollout, known) {
                 match step {
-                    TrialStep::Grant(id, grant) => {
+                    TrialAction::Grant(id, grant) => {
                         let server = servers.iter_mut().find(|s| s.id == id).unwrap();
                         server.credit = grant.upto;
-                        server.credit_until = now + TRIAL_ROUND * 2;
+                        server.credit_until = now + TRIAL_INTERVAL * 2;
                     }
-                    TrialStep::Advance(step) => {
+                    TrialAction::Advance(step) => {
                         rollouts.advance(&service, order.id, step.stage);
                     }
                 }
@@ -194,7 +194,7 @@
             let rollout = rollouts.get(&service).unwrap();
             let ended = |stage| matches!(stage, RolloutStage::Completed | RolloutStage::Stopped);
             if ended(rollout.stage) && !ended(before) {
-                left = rollout.left(now);
+                left = rollout.remaining(now);
             }
         }
         let after = fiftieth.map_or(Duration::ZERO, |at| last.since(at));
@@ -217,8 +217,8 @@
                 id: NodeId(([10, 0, (i >> 8) as u8, i as u8], 7600).into()),
                 side,
                 turn: match side {
-                    Side::Old | Side::Barred => Turn::new(i, self.old),
-                    Side::New => Turn::new(i - self.old, self.new),
+                    Side::Old | Side::Barred => RolloutBatch::new(i, self.old),
+                    Side::New => RolloutBatch::new(i - self.old, self.new),
                 },
                 speed: [0.5, 1.0, 1.0, 1.5][rng.random_range(0..4)],
                 affected: match self.trouble {
@@ -228,7 +228,7 @@
                     }
                     Trouble::OneBad(_) => i == self.old,
                 },
-                tally: Tally::default(),
+                tally: TrialStats::default(),
                 credit: 0,
                 credit_until: Instant::default(),
                 ends: Vec::new(),
@@ -289,7 +289,8 @@
         match clear {
             Clearance::Open => room,
             Clearance::OnCredit => {
-                room && now.since(self.credit_until).is_zero() && self.tally.handed() < self.credit
+                room && now.since(self.credit_until).is_zero()
+                    && self.tally.arrivals() < self.credit
             }
             Clearance::Closed | Clearance::Draining => false,
         }
@@ -314,7 +315,7 @@
             epoch: 1,
             ready: true,
             open: matches!(clear, Clearance::Open | Clearance::OnCredit),
-            arrived: self.tally.handed(),
+            arrived: self.tally.arrivals(),
             running: self.ends.len() as u32,
             routes: self.tally.routes(),
         }
--- a/crates/swiftcart-node/src/clearing.rs
+++ b/crates/swiftcart-node/src/clearing.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    Clearance, Evidence, Grant, Instant, OrderId, Reason, RouteTag, ServiceName, Side, TRIAL_ROUND,
-    Tally, Turn,
+    Clearance, Evidence, Grant, Instant, OrderId, Reason, RolloutBatch, RouteTag, ServiceName,
+    Side, TRIAL_INTERVAL, TrialStats,
 };
 use tokio::sync::watch;
 
 /// How long credit lasts that is not renewed: who gives it may be cut off, or know better by then.
-const CREDIT_FOR: Duration = TRIAL_ROUND.saturating_mul(2);
+const CREDIT_FOR: Duration = TRIAL_INTERVAL.saturating_mul(2);
 
 /// How long a backend server on trial is shown to others after its last credit. In between it is
 /// given some again within two seconds.
@@ -60,10 +60,10 @@
 struct State {
     part: Option<RolloutRole>,
     /// Its turn in the move, once that has begun.
-    turn: Option<Turn>,
+    turn: Option<RolloutBatch>,
     clearance: Clearance,
     epoch: u32,
-    tally: Tally,
+    tally: TrialStats,
     credit: Option<Credit>,
 }
 
@@ -92,7 +92,7 @@
         let changed = state.part != part || state.clearance != clearance;
         if state.part != part {
             state.epoch = epoch;
-            state.tally = Tally::default();
+            state.tally = TrialStats::default();
             state.turn = None;
             state.credit = None;
         }
@@ -107,12 +107,12 @@
 
     /// Returns the turn in the move that the backend server has had so far, or takes `drawn` for it;
     /// one that is being tried is first.
-    pub fn turn(&self, drawn: Turn) -> Turn {
+    pub fn turn(&self, drawn: RolloutBatch) -> RolloutBatch {
         let mut state = self.lock();
         let tried = state.credit.is_some();
         *state
             .turn
-            .get_or_insert(if tried { Turn::FIRST } else { drawn })
+            .get_or_insert(if tried { RolloutBatch::FIRST } else { drawn })
     }
 
     /// Takes credit; returns whether it is for this backend server.
@@ -175,7 +175,7 @@
             epoch: state.epoch,
             ready: activity.ready,
             open: matches!(state.clearance, Clearance::Open | Clearance::OnCredit),
-            arrived: state.tally.handed(),
+            arrived: state.tally.arrivals(),
             running: activity.running,
             routes: state.tally.routes(),
         })
@@ -206,8 +206,9 @@
 
 impl State {
     fn may_enter(&self, now: Instant) -> Result<(), Reason> {
-        let handed = self.tally.handed();
-        let lasts = |credit: &Credit| now.since(credit.given) < CREDIT_FOR && handed < credit.upto;
+        let arrivals = self.tally.arrivals();
+        let lasts =
+            |credit: &Credit| now.since(credit.given) < CREDIT_FOR && arrivals < credit.upto;
         match self.clearance {
             Clearance::Open => Ok(()),
             Clearance::OnCredit if self.credit.as_ref().is_some_and(lasts) => Ok(()),
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -7,8 +7,9 @@
 use rand::Rng;
 use slog::{info, warn};
 use swiftcart_core::{
-    Backend, Cause, Datagram, Exposure, Instant, NodeId, OrderId, Release, RolloutMessage,
-    RolloutOrder, RolloutStage, RolloutWords, Rollouts, ServiceName, TRIAL_ROUND, Turn, rank,
+    Backend, Cause, Datagram, Exposure, Instant, NodeId, OrderId, Release, RolloutBatch,
+    RolloutMessage, RolloutOrder, RolloutStage, RolloutStatuses, Rollouts, ServiceName,
+    TRIAL_INTERVAL, rank,
 };
 
 use super::board::Settled;
@@ -67,13 +68,13 @@
         }
         if now >= self.watching.next_compare {
             self.watching.next_compare = now + COMPARE;
-            let word = self.watching.rollouts.word();
+            let digest_message = self.watching.rollouts.digest_message();
             for id in self.membership.audience(false).into_iter().take(1) {
-                self.tell_words(id, word.clone());
+                self.tell_words(id, digest_message.clone());
             }
         }
         if now >= self.watching.next_trial {
-            self.watching.next_trial = now + TRIAL_ROUND;
+            self.watching.next_trial = now + TRIAL_INTERVAL;
             self.tell_evidence(now);
             self.run_trials(now);
             self.show_backend(now);
@@ -83,7 +84,7 @@
     /// Takes what another node tells of roll-outs.
     pub(super) fn on_rollouts(&mut self, now: Instant, from: NodeId, message: &RolloutMessage) {
         match message {
-            RolloutMessage::Words(words) => self.on_words(now, from, words),
+            RolloutMessage::Statuses(words) => self.on_words(now, from, words),
             RolloutMessage::Evidence(evidence) => self.on_evidence(now, from, evidence.clone()),
             RolloutMessage::Grant(grant) => {
                 if self.shared.clearing.grant(now, grant) {
@@ -109,7 +110,11 @@
             watched.known = true;
         }
         match state {
-            RolloutState::Running => self.watching.rollouts.set_due(service, *order, now + left),
+            RolloutState::Running => {
+                self.watching
+                    .rollouts
+                    .set_deadline(service, *order, now + left)
+            }
             RolloutState::Completed => self.advance(service, *order, RolloutStage::Completed, None),
             RolloutState::RolledBack => {
                 self.advance(service, *order, RolloutStage::RolledBack, None);
@@ -152,7 +157,7 @@
         };
         let turn = match rollout.stage {
             RolloutStage::Moving(_) => self.shared.clearing.turn(self.draw_turn(backend)),
-            _ => Turn::FIRST,
+            _ => RolloutBatch::FIRST,
         };
         Cleared {
             part: Some(part),
@@ -162,7 +167,7 @@
 
     /// Draws the turn of the own backend server: its place among those that are shown as it is,
     /// which are those of its side before the first one has moved.
-    fn draw_turn(&self, backend: &Backend) -> Turn {
+    fn draw_turn(&self, backend: &Backend) -> RolloutBatch {
         let shown = self.shown(self.now(), Some(backend.clone()));
         let alike = |other: &Backend| {
             let readiness = shown.as_ref().map(|shown| shown.readiness);
@@ -176,7 +181,7 @@
         let ids: Vec<NodeId> = side.map(|member| member.id).collect();
         let ranked = rank(&ids, backend.service.as_str());
         let place = ranked.iter().position(|id| *id == self.shared.id);
-        Turn::new(place.unwrap_or(0), ranked.len())
+        RolloutBatch::new(place.unwrap_or(0), ranked.len())
     }
 
     /// Shows the backend server anew to other nodes where that has changed.
@@ -188,43 +193,43 @@
 
     /// Asks some nodes what they know: a process that has started remembers nothing.
     fn ask_rollouts(&mut self) {
-        let question = self.watching.rollouts.ask();
+        let sync_request = self.watching.rollouts.request_all();
         for id in self.membership.audience(true) {
-            self.tell_words(id, question.clone());
+            self.tell_words(id, sync_request.clone());
         }
     }
 
-    fn on_words(&mut self, now: Instant, from: NodeId, words: &RolloutWords) {
-        if self.watching.rollouts.hear(now, &words.list) {
+    fn on_words(&mut self, now: Instant, from: NodeId, words: &RolloutStatuses) {
+        if self.watching.rollouts.merge(now, &words.list) {
             self.clear_backend();
         }
         if words.asks {
             let rollouts = &self.watching.rollouts;
-            for words in RolloutWords::pack(rollouts.digest(), rollouts.all(now)) {
+            for words in RolloutStatuses::pack(rollouts.digest(), rollouts.all(now)) {
                 self.tell_words(from, words);
             }
         }
-        if let Some(question) = self.watching.rollouts.question(words) {
-            self.tell_words(from, question);
+        if let Some(sync_request) = self.watching.rollouts.sync_request(words) {
+            self.tell_words(from, sync_request);
         }
     }
 
     fn pass_rollouts(&mut self, now: Instant) {
-        let due = self.watching.rollouts.round(now);
+        let due = self.watching.rollouts.gossip_round(now);
         if due.is_empty() {
             return;
         }
         let digest = self.watching.rollouts.digest();
         let told = self.membership.audience(true);
-        for words in RolloutWords::pack(digest, due) {
+        for words in RolloutStatuses::pack(digest, due) {
             for id in &told {
                 self.tell_words(*id, words.clone());
             }
         }
     }
 
-    fn tell_words(&self, to: NodeId, words: RolloutWords) {
-        let message = RolloutMessage::Words(words);
+    fn tell_words(&self, to: NodeId, words: RolloutStatuses) {
+        let message = RolloutMessage::Statuses(words);
         self.net.send(to, &Datagram::Rollouts(message));
     }
 
@@ -260,10 +265,10 @@
             Some(found) => warn!(logger, ""; "event" => Event::Rollout, "service" => %service,
                 "order" => order.0, "stage" => stage.as_str(), "cause" => why,
                 "requests" => so_far.all, "at_new" => so_far.new, "route" => found.route.0,
-                "measure" => found.measure.as_str(), "old_runs" => found.old.all,
+                "measure" => found.metric.as_str(), "old_runs" => found.old.all,
                 "old_bad" => found.old.bad, "new_runs" => found.new.all, "new_bad" => found.new.bad,
-                "weight" => format!("{:.1}", found.weight), "affected" => found.affected.bad,
-                "of_new" => found.affected.all, "alike" => found.like.bad, "of_old" => found.like.all),
+                "weight" => format!("{:.1}", found.log_ratio), "affected" => found.affected.bad,
+                "of_new" => found.affected.all, "alike" => found.old_affected.bad, "of_old" => found.old_affected.all),
             None => info!(logger, ""; "event" => Event::Rollout, "service" => %service,
                 "order" => order.0, "stage" => stage.as_str(), "cause" => why,
                 "requests" => so_far.all, "at_new" => so_far.new),
--- a/crates/swiftcart-node/src/control/trials.rs
+++ b/crates/swiftcart-node/src/control/trials.rs
@@ -4,7 +4,7 @@
 
 use swiftcart_core::{
     Datagram, Evidence, Instant, Membership, NodeId, Readiness, RolloutMessage, RolloutStage,
-    ServiceName, Side, Trial, TrialStep, rank,
+    ServiceName, Side, Trial, TrialAction, rank,
 };
 
 use super::control_loop::Control;
@@ -85,7 +85,7 @@
         if watched.trial.order() != rollout.order {
             *watched = Watched::new(trial());
         }
-        watched.trial.hear(now, from, evidence);
+        watched.trial.observe(now, from, evidence);
     }
 
     /// Returns the nodes that watch the roll-out of a service.
@@ -127,7 +127,7 @@
         let (order, stage) = (rollout.order, rollout.stage);
         let known = known_of(&self.membership, service);
         let steps = match watched.known {
-            true => watched.trial.round(now, &rollout, known),
+            true => watched.trial.evaluate(now, &rollout, known),
             false => Vec::new(),
         };
         if !watched.known {
@@ -138,19 +138,19 @@
         }
         for step in steps {
             match step {
-                TrialStep::Grant(id, grant) if id == self.shared.id => {
+                TrialAction::Grant(id, grant) if id == self.shared.id => {
                     self.shared.clearing.grant(now, &grant);
                 }
-                TrialStep::Grant(id, grant) => {
+                TrialAction::Grant(id, grant) => {
                     let message = RolloutMessage::Grant(grant);
                     self.net.send(id, &Datagram::Rollouts(message));
                 }
-                TrialStep::Advance(step) if step.stage == RolloutStage::Completed => {
+                TrialAction::Advance(step) if step.stage == RolloutStage::Completed => {
                     if self.write_state(now, service, RolloutState::Completed, place) {
                         self.log_stage(service, order, step.stage, Some(step.cause));
                     }
                 }
-                TrialStep::Advance(step) => {
+                TrialAction::Advance(step) => {
                     self.advance(service, order, step.stage, Some(step.cause));
                 }
             }
@@ -174,7 +174,7 @@
             order: rollout.order,
             target: rollout.target.clone(),
             state,
-            due_ms: unix_ms() + u64::try_from(rollout.left(now).as_millis()).unwrap_or(0),
+            due_ms: unix_ms() + u64::try_from(rollout.remaining(now).as_millis()).unwrap_or(0),
         };
         let Some(watched) = self.watching.watched.get_mut(service) else {
             return false;
