--- a/crates/swiftcart-core/examples/rollout_odds.rs
+++ b/crates/swiftcart-core/examples/rollout_odds.rs
@@ -1,4 +1,4 @@
-//! How often a trial takes back a good release or lets a bad one pass, over many seeds.
+//! Prints how often a trial stops a good release or accepts a bad one, over many seeds.
 //!
 //! `cargo run --release -p swiftcart-core --example rollout_odds [SEEDS]`
 
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use rollout::{Fault, Play, Trouble};
+use rollout::{Defect, Disturbance, Simulation};
 use swiftcart_core::RolloutStage;
 
 fn main() {
@@ -15,44 +15,44 @@
         .nth(1)
         .and_then(|n| n.parse().ok())
         .unwrap_or(200);
-    let big = Play::default();
-    let small = Play {
+    let big = Simulation::default();
+    let small = Simulation {
         old: 5,
         new: 5,
         rate: 150.0,
         ..big
     };
     println!(
-        "mesh fault trouble: completed stopped other | exposed/bound max, 50th to last max, left min"
+        "mesh defect disturbance: completed stopped other | exposed/bound max, 50th to last max, left min"
     );
-    let faults = [
-        Fault::None,
-        Fault::Errors(0.5),
-        Fault::Errors(0.25),
-        Fault::Slow(0.5, 8.0),
-        Fault::Slow(0.5, 4.0),
-        Fault::Slow(0.3, 5.0),
-        Fault::Late(0.5, 4.5),
-        Fault::Late(0.5, 9.0),
-        Fault::UnderLoad(0.5),
-        Fault::OneRoute(0.5),
+    let defects = [
+        Defect::None,
+        Defect::Errors(0.5),
+        Defect::Errors(0.25),
+        Defect::Slow(0.5, 8.0),
+        Defect::Slow(0.5, 4.0),
+        Defect::Slow(0.3, 5.0),
+        Defect::Late(0.5, 4.5),
+        Defect::Late(0.5, 9.0),
+        Defect::UnderLoad(0.5),
+        Defect::OneRoute(0.5),
     ];
-    let troubles = [
-        Trouble::None,
-        Trouble::Grey(0.15, 0.4),
-        Trouble::Grey(0.6, 0.4),
-        Trouble::Slow(0.16, 5.0),
-        Trouble::Slow(0.4, 12.0),
-        Trouble::OneBad(0.4),
+    let disturbances = [
+        Disturbance::None,
+        Disturbance::Grey(0.15, 0.4),
+        Disturbance::Grey(0.6, 0.4),
+        Disturbance::Slow(0.16, 5.0),
+        Disturbance::Slow(0.4, 12.0),
+        Disturbance::OneBad(0.4),
     ];
     for (name, mesh) in [("big", big), ("small", small)] {
-        for fault in faults {
-            for trouble in troubles {
-                tell(
+        for defect in defects {
+            for disturbance in disturbances {
+                print_row(
                     name,
-                    Play {
-                        fault,
-                        trouble,
+                    Simulation {
+                        defect,
+                        disturbance,
                         ..mesh
                     },
                     seeds,
@@ -62,35 +62,39 @@
     }
 }
 
-fn tell(name: &str, play: Play, seeds: u64) {
-    let endings: Vec<_> = (0..seeds).map(|seed| Play { seed, ..play }.run()).collect();
+fn print_row(name: &str, simulation: Simulation, seeds: u64) {
+    let results: Vec<_> = (0..seeds)
+        .map(|seed| Simulation { seed, ..simulation }.run())
+        .collect();
     let count = |stage| {
-        endings
+        results
             .iter()
-            .filter(|ending| ending.stage == stage)
+            .filter(|result| result.stage == stage)
             .count()
     };
     let completed = count(RolloutStage::Completed);
     let stopped = count(RolloutStage::Stopped);
     let bound = |total: u64| 0.1 * total as f64 + 50.0;
-    let exposed = endings.iter().map(|e| e.exposed as f64 / bound(e.total));
-    let after = endings
+    let exposed = results
         .iter()
-        .map(|e| e.after)
+        .map(|result| result.exposed as f64 / bound(result.total));
+    let stop_delay = results
+        .iter()
+        .map(|result| result.stop_delay)
         .max()
         .unwrap_or(Duration::ZERO);
-    let left = endings
+    let left = results
         .iter()
-        .map(|e| e.left)
+        .map(|result| result.left)
         .min()
         .unwrap_or(Duration::ZERO);
     println!(
         "{name} {:?} {:?}: {completed} {stopped} {} | {:.2} {:.2} s {:.2} s",
-        play.fault,
-        play.trouble,
-        endings.len() - completed - stopped,
+        simulation.defect,
+        simulation.disturbance,
+        results.len() - completed - stopped,
         exposed.fold(0.0, f64::max),
-        after.as_secs_f64(),
+        stop_delay.as_secs_f64(),
         left.as_secs_f64(),
     );
 }
--- a/crates/swiftcart-core/src/rollout.rs
+++ b/crates/swiftcart-core/src/rollout.rs
@@ -1,11 +1,14 @@
-//! Roll-outs: bringing a new release of a service into use, or taking it back.
+//! Roll-outs: canary trials, staged replacement and rollback of a service's releases.
 //!
-//! An operator orders that a service move to a release whose backend servers were started
-//! beside the old ones. Only the node beside a backend server hands it work, so a node has to
-//! know no more than its own part: a backend server of the new release runs what it has credit
-//! for until the release is approved, and one of the old release takes no new work once the
-//! service has moved. Any node may watch the trial; what it decides is a step forward in one
-//! order of stages, so that several who watch do no harm, and the platform accepts one end only.
+//! An operator orders the roll-out of a release whose backend servers already run beside the old
+//! ones. Only the guard of a backend server hands requests to it, so each guard needs to know only
+//! the state of its own backend server. Until the release is approved, a backend server of the new
+//! release accepts only the requests that it was granted. Once the service has moved, a backend
+//! server of the old release accepts no new requests.
+//!
+//! Any node may evaluate the trial. Its decisions only move a roll-out forward through a fixed
+//! order of stages, so several nodes may evaluate the same trial concurrently. The platform accepts
+//! only one final state.
 
 mod analysis;
 mod evidence;
--- a/crates/swiftcart-core/src/rollout/analysis.rs
+++ b/crates/swiftcart-core/src/rollout/analysis.rs
@@ -1,100 +1,105 @@
-//! Whether the requests of one route show that a new release is bad.
+//! Statistical comparison of two releases by the requests of one route.
 //!
-//! Old and new backend servers are compared over the same moments, so that what befalls the whole
-//! service is not laid to the release. What befalls single backend servers may hit one of the new
-//! ones as well: a release is blamed when most of its backend servers are worse than the old ones,
-//! and when it is unlikely that just these were drawn from all of them.
+//! Old and new backend servers are compared over the same period, so that a fault of the whole
+//! service is not attributed to the release. A fault of single backend servers may also hit new
+//! ones by chance. A release therefore counts as a regression only if most of its backend servers
+//! are worse than the old ones, and if a random choice of the affected backend servers is unlikely
+//! to have picked just these.
 
 use super::{RouteStats, RouteTag};
 
-/// The weight of evidence beyond which chance is left out: one in a thousand.
-const CERTAIN: f64 = 6.9;
+/// Log-likelihood ratio beyond which a finding is certain, with a chance of error of one in
+/// a thousand.
+const STRONG_LOG_RATIO: f64 = 6.9;
 
-/// The weight of evidence beyond which chance is unlikely: one in twenty.
-const LIKELY: f64 = 3.0;
+/// Log-likelihood ratio beyond which a finding is likely, with a chance of error of one in
+/// twenty.
+const WEAK_LOG_RATIO: f64 = 3.0;
 
-/// The part of failures that is allowed to any release, on top of twice that of the old one:
-/// backend servers fail at one request in 250 by themselves.
-const FAILURES_ALLOWED: f64 = 0.02;
+/// Share of failures allowed to any release, in addition to twice the share of the old release.
+/// Healthy backend servers fail one request in 250.
+const ALLOWED_FAILURE_SHARE: f64 = 0.02;
 
-/// How many more failures a bad release is expected to have. Of those that were made to fail at
-/// three to five requests in ten each shows within 20 requests.
-const FAILURES_MORE: f64 = 0.15;
+/// Excess share of failures expected of a bad release. A release that fails three to five requests
+/// in ten is detected within 20 requests.
+const EXCESS_FAILURE_SHARE: f64 = 0.15;
 
-/// What counts as slow: the part of the old release's requests that takes longer, the part that is
-/// allowed to any release, and the part that a bad one is expected to have.
+/// Latency threshold of one metric, with the shares of requests allowed and expected beyond it.
 ///
-/// The slowest third of the backend servers of one service takes twice as long as the others, and
-/// has two to three times its part of the slow requests, which is what is allowed.
+/// `tail` is the share of the old release's requests that are slower than the threshold. The
+/// slowest third of a service's backend servers takes twice as long as the others and has two to
+/// three times its part of the slow requests. The allowed share covers this spread.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Slowness {
+struct LatencyThreshold {
     tail: f64,
-    shares: Shares,
+    shares: BadShares,
 }
 
-/// The part of bad requests that is allowed to any release, and the part that a bad one is expected
-/// to have.
+/// Shares of bad requests: allowed to any release, and expected of a bad release.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Shares {
+struct BadShares {
     allowed: f64,
     expected: f64,
 }
 
-/// The greatest parts that are told apart, where the old release fails at most of its requests.
-const ALLOWED_MOST: f64 = 0.6;
-const EXPECTED_MOST: f64 = 0.75;
+/// Upper bounds of both shares, so that they still differ if most requests of the old release fail.
+const MAX_ALLOWED_SHARE: f64 = 0.6;
+const MAX_EXPECTED_SHARE: f64 = 0.75;
 
-/// Where a third to a half of the requests takes four to five times as long as it should, some four
-/// in ten of all are beyond the old release's slowest tenth.
-const SLOW: Slowness = Slowness {
+/// Threshold for a release that is often slow. If a third to a half of the requests takes four to
+/// five times as long as normal, about four in ten exceed the slowest tenth of the old release.
+const SLOW_REQUESTS: LatencyThreshold = LatencyThreshold {
     tail: 0.1,
-    shares: Shares {
+    shares: BadShares {
         allowed: 0.2,
         expected: 0.35,
     },
 };
 
-/// Where one in eight or more takes eight times as long, more than one in ten is beyond the old
-/// release's slowest fiftieth.
-const VERY_SLOW: Slowness = Slowness {
+/// Threshold for a release that is rarely but very slow. If one request in eight or more takes
+/// eight times as long as normal, more than one in ten exceeds the slowest fiftieth of the old
+/// release.
+const VERY_SLOW_REQUESTS: LatencyThreshold = LatencyThreshold {
     tail: 0.02,
-    shares: Shares {
+    shares: BadShares {
         allowed: 0.06,
         expected: 0.15,
     },
 };
 
-/// The requests of the old release without which nothing can be said of a route.
-const OLD_LEAST: u32 = 50;
+/// Minimum number of requests of the old release for comparing a route.
+const MIN_OLD_REQUESTS: u32 = 50;
 
-/// The requests of one backend server without which it is not looked at alone.
-const EACH_LEAST: u32 = 6;
+/// Minimum number of requests of a backend server for judging it separately.
+const MIN_SERVER_REQUESTS: u32 = 6;
 
-/// The part of the new release's bad requests from which on one backend server is as bad. Slow ones
-/// of the old release have two thirds of what a release has that takes four times as long.
-const AS_BAD: f64 = 0.7;
+/// Minimum share of bad requests of an affected backend server, relative to the share of the whole
+/// new release. Slow backend servers of the old release have two thirds of the slow requests of a
+/// release that takes four times as long.
+const AFFECTED_RATIO: f64 = 0.7;
 
-/// The chance below which it is left out that just the new backend servers were affected by what
-/// strikes any.
-const CHANCE: f64 = 0.03;
+/// Maximum probability that only new backend servers were hit by a fault that may hit any backend
+/// server. A finding above it is attributed to chance.
+const MAX_P_VALUE: f64 = 0.03;
 
-/// The bad answers after which a release is given up without being certain. Its bad answers are
-/// bounded to 50 before it has to be given up, however they are told from ordinary ones.
-const BAD_MOST: u32 = 35;
+/// Number of bad requests after which a release is rejected without certainty. The number leaves a
+/// margin to the bound of 50 bad requests, which holds for any way of classifying requests as
+/// bad.
+const MAX_BAD_REQUESTS: u32 = 35;
 
-/// The requests without which a new release is not taken for as good as the old one: if half of them
-/// failed, one in 300 such samples would have a single failure at most.
-const NEW_LEAST: u32 = 12;
+/// Minimum number of requests for accepting a new release. If half of the requests failed, only one
+/// sample of this size in 300 would have a single failure at most.
+const MIN_NEW_REQUESTS: u32 = 12;
 
-/// What is looked at.
+/// Property of the requests that is compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RolloutMetric {
-    /// How many requests failed.
+    /// Share of failed requests.
     Failures,
-    /// How many took longer than most of the old release.
-    Times,
-    /// How many took longer than nearly all of the old release.
-    Tail,
+    /// Share of requests slower than most requests of the old release.
+    Latency,
+    /// Share of requests slower than nearly all requests of the old release.
+    TailLatency,
 }
 
 impl RolloutMetric {
@@ -103,57 +108,60 @@
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Failures => "failures",
-            Self::Times => "times",
-            Self::Tail => "tail",
+            Self::Latency => "times",
+            Self::TailLatency => "tail",
         }
     }
 }
 
-/// The requests of one route, by backend server.
+/// Statistics of one route, by backend server.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct RouteComparison {
-    /// The route.
+    /// Compared route.
     pub route: RouteTag,
-    /// Those of the old release.
+    /// Backend servers of the old release.
     pub old: Vec<RouteStats>,
-    /// Those of the new release.
+    /// Backend servers of the new release.
     pub new: Vec<RouteStats>,
 }
 
-/// What one measure of one route says.
+/// Result of comparing one metric of one route.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Finding {
-    /// The route.
+    /// Compared route.
     pub route: RouteTag,
-    /// What was looked at.
+    /// Compared metric.
     pub metric: RolloutMetric,
     /// Requests of the old release.
     pub old: RequestCounts,
     /// Requests of the new release.
     pub new: RequestCounts,
-    /// How much more likely it is that the release is bad, as a natural logarithm.
+    /// Natural logarithm of the likelihood ratio between a bad and a good release. Positive values
+    /// indicate a bad release.
     pub log_ratio: f64,
-    /// Backend servers of the new release that are as bad as all of it.
+    /// Backend servers of the new release, and those with about the same share of bad requests as
+    /// the whole release.
     pub affected: ServerCounts,
-    /// Backend servers of the old release that are as bad.
+    /// Backend servers of the old release, and those with about the same share of bad requests as
+    /// the new release.
     pub old_affected: ServerCounts,
 }
 
-/// Requests, and how many of them were bad.
+/// Number of requests, and of the bad ones among them.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All requests.
     pub all: u32,
-    /// The bad ones.
+    /// Bad requests.
     pub bad: u32,
 }
 
-/// Backend servers that can be judged, and how many of them are bad.
+/// Number of backend servers with enough requests, and of the bad ones among them.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServerCounts {
-    /// All of them.
+    /// All backend servers with enough requests.
     pub all: usize,
-    /// The bad ones.
+    /// Bad backend servers.
     pub bad: usize,
 }
 
@@ -171,13 +179,13 @@
 }
 
 impl ServerCounts {
-    const fn is_most(self) -> bool {
+    const fn is_mostly_bad(self) -> bool {
         2 * self.bad > self.all
     }
 }
 
 impl RouteComparison {
-    /// Returns what each measure says; nothing where the old release has too few requests.
+    /// Returns a finding for each metric, or none if the old release has too few requests.
     ///
     /// # Examples
     ///
@@ -186,62 +194,62 @@
     /// use swiftcart_core::{RouteComparison, RouteStats};
     ///
     /// let server = |failed: u32| {
-    ///     let mut tally = RouteStats::default();
-    ///     (0..40).for_each(|i| tally.count(i < failed, Duration::from_millis(100)));
-    ///     tally
+    ///     let mut stats = RouteStats::default();
+    ///     (0..40).for_each(|i| stats.record(i < failed, Duration::from_millis(100)));
+    ///     stats
     /// };
-    /// let case = RouteComparison {
+    /// let comparison = RouteComparison {
     ///     old: vec![server(0), server(1), server(0), server(0)],
     ///     new: vec![server(16), server(21)],
     ///     ..RouteComparison::default()
     /// };
-    /// assert!(case.findings().iter().any(|finding| finding.blames()));
+    /// assert!(comparison.findings().iter().any(|finding| finding.is_regression()));
     /// ```
     #[must_use]
     pub fn findings(&self) -> Vec<Finding> {
         let old = sum(&self.old);
-        if old.runs < OLD_LEAST {
+        if old.runs < MIN_OLD_REQUESTS {
             return Vec::new();
         }
-        let failed = |tally: &RouteStats| tally.failed;
-        let allowed = FAILURES_ALLOWED + 2.0 * failures(&old);
-        let expected = allowed + FAILURES_MORE;
-        let failures = self.weigh(
+        let failed = |stats: &RouteStats| stats.failed;
+        let allowed = ALLOWED_FAILURE_SHARE + 2.0 * failure_share(&old);
+        let expected = allowed + EXCESS_FAILURE_SHARE;
+        let failures = self.evaluate_metric(
             RolloutMetric::Failures,
-            Shares { allowed, expected },
+            BadShares { allowed, expected },
             failed,
         );
-        let slow = |metric, slow: Slowness| {
-            let limit = slow_limit(&old, slow.tail);
-            self.weigh(metric, slow.shares, |tally| tally.above(limit))
+        let slow = |metric, threshold: LatencyThreshold| {
+            let bucket = slow_bucket(&old, threshold.tail);
+            self.evaluate_metric(metric, threshold.shares, |stats| stats.slower_than(bucket))
         };
-        let times = slow(RolloutMetric::Times, SLOW);
-        let tail = slow(RolloutMetric::Tail, VERY_SLOW);
-        vec![failures, times, tail]
+        let latency = slow(RolloutMetric::Latency, SLOW_REQUESTS);
+        let tail_latency = slow(RolloutMetric::TailLatency, VERY_SLOW_REQUESTS);
+        vec![failures, latency, tail_latency]
     }
 
-    /// Returns the requests of the old release.
+    /// Returns the number of requests of the old release.
     #[must_use]
-    pub fn old_runs(&self) -> u32 {
-        self.old.iter().map(|tally| tally.runs).sum()
+    pub fn old_requests(&self) -> u32 {
+        self.old.iter().map(|stats| stats.runs).sum()
     }
 
-    /// Tells whether the new release has run enough of the route for it to be judged by itself.
+    /// Returns `true` if the new release has enough requests for comparing the route separately.
     #[must_use]
-    pub fn is_seen(&self) -> bool {
-        let new: u32 = self.new.iter().map(|tally| tally.runs).sum();
-        new >= NEW_LEAST
+    pub fn has_enough_requests(&self) -> bool {
+        let new: u32 = self.new.iter().map(|stats| stats.runs).sum();
+        new >= MIN_NEW_REQUESTS
     }
 
-    fn weigh(
+    fn evaluate_metric(
         &self,
         metric: RolloutMetric,
-        shares: Shares,
+        shares: BadShares,
         bad: impl Fn(&RouteStats) -> u32,
     ) -> Finding {
-        let runs = |tally: &RouteStats| RequestCounts {
-            all: tally.runs,
-            bad: bad(tally),
+        let runs = |stats: &RouteStats| RequestCounts {
+            all: stats.runs,
+            bad: bad(stats),
         };
         let count = |all: &[RouteStats]| {
             all.iter()
@@ -249,13 +257,17 @@
                 .fold(RequestCounts::default(), RequestCounts::plus)
         };
         let new = count(&self.new);
-        let as_bad = AS_BAD * new.share();
-        let judge = |all: &[RouteStats]| {
-            let each = || all.iter().map(runs).filter(|runs| runs.all >= EACH_LEAST);
-            let is_bad = |runs: &RequestCounts| runs.bad > 0 && runs.share() >= as_bad;
+        let affected_share = AFFECTED_RATIO * new.share();
+        let count_affected = |all: &[RouteStats]| {
+            let servers = || {
+                all.iter()
+                    .map(runs)
+                    .filter(|runs| runs.all >= MIN_SERVER_REQUESTS)
+            };
+            let is_affected = |runs: &RequestCounts| runs.bad > 0 && runs.share() >= affected_share;
             ServerCounts {
-                all: each().count(),
-                bad: each().filter(is_bad).count(),
+                all: servers().count(),
+                bad: servers().filter(is_affected).count(),
             }
         };
         Finding {
@@ -264,47 +276,53 @@
             old: count(&self.old),
             new,
             log_ratio: shares.log_ratio(new),
-            affected: judge(&self.new),
-            old_affected: judge(&self.old),
+            affected: count_affected(&self.new),
+            old_affected: count_affected(&self.old),
         }
     }
 }
 
 impl Finding {
-    /// Tells whether the release is bad.
+    /// Returns `true` if the new release is certain to be bad, and its affected backend servers are
+    /// unlikely to be a random choice.
     #[must_use]
-    pub fn blames(&self) -> bool {
-        let alone = self.old_affected.bad == 0 || self.chance() <= CHANCE;
-        self.affected.is_most() && self.log_ratio >= CERTAIN && alone
+    pub fn is_regression(&self) -> bool {
+        let not_by_chance = self.old_affected.bad == 0 || self.p_value() <= MAX_P_VALUE;
+        self.affected.is_mostly_bad() && self.log_ratio >= STRONG_LOG_RATIO && not_by_chance
     }
 
-    /// Tells whether the release is as good as the old one.
+    /// Returns `true` if the new release is certainly as good as the old one.
     #[must_use]
-    pub fn clears(&self) -> bool {
-        self.log_ratio <= -CERTAIN
+    pub fn is_equivalent(&self) -> bool {
+        self.log_ratio <= -STRONG_LOG_RATIO
     }
 
-    /// Tells whether the release is more likely bad than not.
+    /// Returns `true` if the new release is likely to be bad.
     #[must_use]
-    pub fn warns(&self) -> bool {
-        self.log_ratio >= LIKELY
+    pub fn is_suspect(&self) -> bool {
+        self.log_ratio >= WEAK_LOG_RATIO
     }
 
-    /// Tells whether nothing speaks against the release, although it is not certain.
+    /// Returns `true` if nothing indicates a bad release, even if it is not certain to be good.
     #[must_use]
-    pub fn passes(&self) -> bool {
-        self.new.all >= NEW_LEAST && self.log_ratio <= 0.0
+    pub fn is_acceptable(&self) -> bool {
+        self.new.all >= MIN_NEW_REQUESTS && self.log_ratio <= 0.0
     }
 
-    /// Tells whether no more bad answers can be borne, and the old release has fewer.
+    /// Returns `true` if the new release has reached its limit of bad requests, and its share of
+    /// bad requests is more than twice that of the old release.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
+    pub fn exceeds_bad_limit(&self) -> bool {
         let worse = self.new.share() > 2.0 * self.old.share();
-        self.new.bad >= BAD_MOST && self.log_ratio > 0.0 && worse && self.affected.is_most()
+        self.new.bad >= MAX_BAD_REQUESTS
+            && self.log_ratio > 0.0
+            && worse
+            && self.affected.is_mostly_bad()
     }
 
-    /// Returns how likely it is that just these were affected, if all are alike.
-    fn chance(&self) -> f64 {
+    /// Returns the probability that only these backend servers are affected if the release makes no
+    /// difference.
+    fn p_value(&self) -> f64 {
         let bad = self.old_affected.bad + self.affected.bad;
         let all = self.old_affected.all + self.affected.all;
         let step = |i: usize| (bad - i) as f64 / (all - i) as f64;
@@ -312,37 +330,39 @@
     }
 }
 
-impl Shares {
-    /// Returns how much more likely these requests are under the expected share than under the
-    /// allowed one, as a natural logarithm.
+impl BadShares {
+    /// Returns the log-likelihood ratio of these requests between the expected and the allowed
+    /// share.
     fn log_ratio(self, runs: RequestCounts) -> f64 {
-        let low = self.allowed.min(ALLOWED_MOST);
-        let high = self.expected.min(EXPECTED_MOST);
-        let sound = f64::from(runs.all - runs.bad.min(runs.all));
-        f64::from(runs.bad) * (high / low).ln() + sound * ((1.0 - high) / (1.0 - low)).ln()
+        let allowed = self.allowed.min(MAX_ALLOWED_SHARE);
+        let expected = self.expected.min(MAX_EXPECTED_SHARE);
+        let good = f64::from(runs.all - runs.bad.min(runs.all));
+        f64::from(runs.bad) * (expected / allowed).ln()
+            + good * ((1.0 - expected) / (1.0 - allowed)).ln()
     }
 }
 
-/// Returns the class of times that few requests of the old release exceed.
-fn slow_limit(old: &RouteStats, tail: f64) -> usize {
-    let most = (f64::from(old.runs) * tail) as u32;
-    let classes = 0..old.times.len();
-    classes
+/// Returns the lowest latency bucket that at most a share `tail` of the old release's requests
+/// exceeds.
+fn slow_bucket(old: &RouteStats, tail: f64) -> usize {
+    let max_slower = (f64::from(old.runs) * tail) as u32;
+    let buckets = 0..old.times.len();
+    buckets
         .into_iter()
-        .find(|class| old.above(*class) <= most)
+        .find(|bucket| old.slower_than(*bucket) <= max_slower)
         .unwrap_or(0)
 }
 
 fn sum(all: &[RouteStats]) -> RouteStats {
     let mut sum = RouteStats::default();
-    all.iter().for_each(|tally| sum.add(tally));
+    all.iter().for_each(|stats| sum.merge(stats));
     sum
 }
 
-fn failures(tally: &RouteStats) -> f64 {
+fn failure_share(stats: &RouteStats) -> f64 {
     let runs = RequestCounts {
-        all: tally.runs,
-        bad: tally.failed,
+        all: stats.runs,
+        bad: stats.failed,
     };
     runs.share()
 }
--- a/crates/swiftcart-core/src/rollout/evidence.rs
+++ b/crates/swiftcart-core/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! What the nodes beside a service's backend servers see of them during a roll-out.
+//! Request statistics that the guards of a service report during a roll-out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,17 +8,18 @@
 use super::{OrderId, Side};
 use crate::{RouteKey, ServiceName};
 
-/// The classes of times, each a factor of 1.41 wide, from 1 ms to 3 s and more.
-const TIMES: usize = 24;
+/// Number of latency buckets. Each is a factor of 1.41 wide; together they cover 1 ms to 3 s and
+/// more.
+const LATENCY_BUCKETS: usize = 24;
 
-/// The routes that a node counts apart. Beyond them requests are counted together.
-const ROUTES: usize = 64;
+/// Maximum number of routes with separate statistics. Further routes are counted together.
+const MAX_ROUTES: usize = 64;
 
-/// The routes that one message tells apart, those with the most requests; with 24 times each they
-/// fit one datagram.
-const ROUTES_TOLD: usize = 7;
+/// Maximum number of routes that one message reports separately; the busiest routes are chosen.
+/// Seven routes with 24 latency buckets each fit one datagram.
+const MAX_REPORTED_ROUTES: usize = 7;
 
-/// A route as evidence names it: the same at all nodes of one release.
+/// Short identifier of a route in evidence, equal at all nodes that run the same release.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -26,48 +27,49 @@
 pub struct RouteTag(pub u32);
 
 impl RouteTag {
-    /// Stands for all routes that are not told apart.
+    /// Tag of all routes that are not reported separately.
     pub const OTHERS: Self = Self(0);
 }
 
 impl From<RouteKey> for RouteTag {
     fn from(route: RouteKey) -> Self {
-        // 0 is taken; two routes of one service in four billion meet.
+        // 0 is reserved for `OTHERS`. Two routes of one service collide with a probability of two
+        // in four billion.
         Self((route.number() >> 32) as u32 | 1)
     }
 }
 
-/// How the requests of one route went.
+/// Request statistics of one route.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteStats {
-    /// Requests that ended.
+    /// Completed requests.
     pub runs: u32,
-    /// Those that failed.
+    /// Failed requests.
     pub failed: u32,
-    /// How many took how long, by class; classes at the end that are empty are left out.
+    /// Latency histogram: requests per latency bucket, without the empty buckets at the end.
     pub times: Vec<u32>,
 }
 
 impl RouteStats {
-    /// Counts a request that took `time`.
-    pub fn count(&mut self, failed: bool, time: Duration) {
+    /// Records a completed request that took `time`.
+    pub fn record(&mut self, failed: bool, time: Duration) {
         self.runs = self.runs.saturating_add(1);
         self.failed = self.failed.saturating_add(u32::from(failed));
-        let class = class(time);
-        if self.times.len() <= class {
-            self.times.resize(class + 1, 0);
+        let bucket = latency_bucket(time);
+        if self.times.len() <= bucket {
+            self.times.resize(bucket + 1, 0);
         }
-        self.times[class] = self.times[class].saturating_add(1);
+        self.times[bucket] = self.times[bucket].saturating_add(1);
     }
 
-    /// Returns how many took longer than those of class `limit`.
+    /// Returns the number of requests in latency buckets above `bucket`.
     #[must_use]
-    pub fn above(&self, limit: usize) -> u32 {
-        self.times.iter().skip(limit + 1).sum()
+    pub fn slower_than(&self, bucket: usize) -> u32 {
+        self.times.iter().skip(bucket + 1).sum()
     }
 
-    /// Adds what `other` counted.
-    pub fn add(&mut self, other: &Self) {
+    /// Adds the counts of `other`.
+    pub fn merge(&mut self, other: &Self) {
         self.runs = self.runs.saturating_add(other.runs);
         self.failed = self.failed.saturating_add(other.failed);
         if self.times.len() < other.times.len() {
@@ -78,43 +80,46 @@
         }
     }
 
-    /// Returns what was counted since `earlier`.
+    /// Returns the difference between these counts and the `earlier` ones.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
-        let before = |class: usize| earlier.times.get(class).copied().unwrap_or(0);
+        let earlier_count = |bucket: usize| earlier.times.get(bucket).copied().unwrap_or(0);
         let times = self.times.iter().enumerate();
         Self {
             runs: self.runs.saturating_sub(earlier.runs),
             failed: self.failed.saturating_sub(earlier.failed),
-            times: times.map(|(i, n)| n.saturating_sub(before(i))).collect(),
+            times: times
+                .map(|(i, count)| count.saturating_sub(earlier_count(i)))
+                .collect(),
         }
     }
 }
 
-/// What a node tells of its backend server; all counts since one point in time.
+/// Report of a guard about its backend server. All counts are cumulative since the start of
+/// `epoch`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The service.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// The order that it is told for.
+    /// Order that the report belongs to.
     pub order: OrderId,
-    /// Which side the backend server is on.
+    /// Side of the backend server in the roll-out.
     pub side: Side,
-    /// Names the point in time since which the counts run.
+    /// Identifier of the counting period. All counts restart at zero with a new epoch.
     pub epoch: u32,
-    /// Whether the backend server is ready and has warmed up.
+    /// Set if the backend server is ready and has warmed up.
     pub ready: bool,
-    /// Whether it is given new work.
+    /// Set if the backend server is given new requests.
     pub open: bool,
-    /// Requests that it was handed.
+    /// Requests that the backend server was given.
     pub arrived: u64,
-    /// Requests that it runs.
+    /// Requests in flight at the backend server.
     pub running: u32,
-    /// How they went, by route.
+    /// Statistics of the completed requests by route.
     pub routes: Vec<(RouteTag, RouteStats)>,
 }
 
-/// Counts what one backend server does during a roll-out.
+/// Request counters of one backend server during a roll-out.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct TrialStats {
     arrived: u64,
@@ -122,35 +127,35 @@
 }
 
 impl TrialStats {
-    /// Counts a request that the backend server is handed.
+    /// Counts a request that is handed to the backend server.
     pub const fn arrived(&mut self) {
         self.arrived = self.arrived.saturating_add(1);
     }
 
-    /// Returns how many it was handed.
+    /// Returns the number of requests that were handed to the backend server.
     #[must_use]
     pub const fn arrivals(&self) -> u64 {
         self.arrived
     }
 
-    /// Counts a request that ended.
+    /// Records a completed request.
     pub fn ended(&mut self, route: RouteTag, failed: bool, time: Duration) {
         let known = self.routes.contains_key(&route);
-        let route = match known || self.routes.len() < ROUTES {
+        let route = match known || self.routes.len() < MAX_ROUTES {
             true => route,
             false => RouteTag::OTHERS,
         };
-        self.routes.entry(route).or_default().count(failed, time);
+        self.routes.entry(route).or_default().record(failed, time);
     }
 
-    /// Returns the counts by route, those with few requests together.
+    /// Returns the statistics by route. Routes with few requests are merged into `OTHERS`.
     #[must_use]
     pub fn routes(&self) -> Vec<(RouteTag, RouteStats)> {
         let mut routes: Vec<_> = self.routes.iter().map(|(r, t)| (*r, t.clone())).collect();
-        routes.sort_by_key(|(_, tally)| std::cmp::Reverse(tally.runs));
-        let rest = routes.split_off(routes.len().min(ROUTES_TOLD));
+        routes.sort_by_key(|(_, stats)| std::cmp::Reverse(stats.runs));
+        let rest = routes.split_off(routes.len().min(MAX_REPORTED_ROUTES));
         let mut others = RouteStats::default();
-        rest.iter().for_each(|(_, tally)| others.add(tally));
+        rest.iter().for_each(|(_, stats)| others.merge(stats));
         if others.runs > 0 {
             routes.push((RouteTag::OTHERS, others));
         }
@@ -158,8 +163,8 @@
     }
 }
 
-/// Returns the class of a time: twice the binary logarithm of its milliseconds.
-fn class(time: Duration) -> usize {
+/// Returns the latency bucket of a time: twice the binary logarithm of its milliseconds.
+fn latency_bucket(time: Duration) -> usize {
     let ms = (time.as_secs_f64() * 1e3).max(1.0);
-    ((ms.log2() * 2.0) as usize).min(TIMES - 1)
+    ((ms.log2() * 2.0) as usize).min(LATENCY_BUCKETS - 1)
 }
--- a/crates/swiftcart-core/src/rollout/message.rs
+++ b/crates/swiftcart-core/src/rollout/message.rs
@@ -1,76 +1,78 @@
-//! What nodes tell each other of roll-outs.
+//! Messages about roll-outs between nodes.
 
 use serde::{Deserialize, Serialize};
 
 use super::{Evidence, OrderId, Release, RolloutStage};
 use crate::ServiceName;
 
-/// The most bytes of words in one datagram; the rest is room for the seal and the digest.
+/// Maximum size of the encoded statuses in one datagram, in bytes. The rest of the datagram is
+/// reserved for the authentication tag and the digest.
 const DATAGRAM_BYTES: usize = 1000;
 
-/// How far the roll-out of one service is.
+/// Status of one service's roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// The service.
+    /// Service being rolled out.
     pub service: ServiceName,
-    /// The newest order for it.
+    /// Newest order for the service.
     pub order: OrderId,
-    /// The release that the order names.
+    /// Release named by the order.
     pub target: Release,
-    /// How far it is.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// The time from the order to its deadline, in milliseconds.
+    /// Time from the order to its deadline, in milliseconds.
     pub duration_ms: u32,
-    /// What is left of it, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left_ms: u32,
-    /// Releases that earlier orders named and that never came into use.
+    /// Releases that were named by earlier orders and never came into use.
     pub barred: Vec<Release>,
 }
 
-/// Words on their way, and what their sender knows in all.
+/// Roll-out statuses, with a digest of the sender's state.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RolloutStatuses {
-    /// Stands for everything that the sender knows.
+    /// Digest of all roll-outs known to the sender.
     pub digest: u64,
-    /// Whether the sender asks for everything that the receiver knows.
+    /// Set if the sender requests all statuses known to the receiver.
     pub asks: bool,
-    /// The words.
+    /// Statuses in this message.
     pub list: Vec<RolloutStatus>,
 }
 
-/// Lets a backend server of the new release run some more requests.
+/// Credit for a backend server of the new release.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// The service.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// The order.
+    /// Order that the credit belongs to.
     pub order: OrderId,
-    /// The count that the credit is for, as its evidence named it.
+    /// Epoch of the evidence that the credit is based on.
     pub epoch: u32,
-    /// It may run requests until it has run so many since `epoch` began.
+    /// Limit on the number of requests since the start of `epoch`.
     pub upto: u64,
 }
 
-/// A message about roll-outs.
+/// Message about roll-outs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RolloutMessage {
-    /// How far roll-outs are.
+    /// Statuses of roll-outs, or a request for them.
     #[serde(rename = "Words")]
     Statuses(RolloutStatuses),
-    /// What a backend server of the service was seen to do.
+    /// Evidence about one backend server.
     Evidence(Evidence),
-    /// What one of the new release may run.
+    /// Credit for one backend server of the new release.
     Grant(Grant),
 }
 
 impl RolloutStatuses {
-    /// Spreads words over as many messages as it takes for each to fit one datagram.
+    /// Splits statuses into messages that fit one datagram each.
     #[must_use]
     pub fn pack(digest: u64, list: Vec<RolloutStatus>) -> Vec<Self> {
         let mut packed: Vec<Self> = Vec::new();
         let mut room = 0;
         for status in list {
-            // What cannot be encoded gets a message of its own, which is not sent then.
+            // A status that cannot be encoded gets a message of its own, which is then dropped on
+            // sending.
             let size = postcard::experimental::serialized_size(&status).unwrap_or(DATAGRAM_BYTES);
             if size > room {
                 packed.push(Self {
--- a/crates/swiftcart-core/src/rollout/order.rs
+++ b/crates/swiftcart-core/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! What an operator asks for.
+//! Roll-out orders of operators.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,20 +7,21 @@
 
 use crate::ServiceName;
 
-/// Names one order by its place in the platform's log; a greater one replaces a smaller one.
+/// Identifier of an order: its offset in the platform's log. A greater offset supersedes a smaller
+/// one.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct OrderId(pub u64);
 
-/// Names the release of a backend server's program, for example `v2`.
+/// Name of a release of a backend server's program, for example `v2`.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Release(String);
 
 impl Release {
-    /// Creates a release's name.
+    /// Creates a release name.
     #[must_use]
     pub fn new(name: impl Into<String>) -> Self {
         Self(name.into())
@@ -39,15 +40,15 @@
     }
 }
 
-/// Asks that a service be moved to a release within a time.
+/// Order to move a service to a release within a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RolloutOrder {
-    /// Which order.
+    /// Identifier of the order.
     pub id: OrderId,
-    /// The service to move.
+    /// Service to move.
     pub service: ServiceName,
-    /// The release to move it to.
+    /// Release to move the service to.
     pub target: Release,
-    /// The time from the order to its deadline.
+    /// Time from the order to its deadline.
     pub duration: Duration,
 }
--- a/crates/swiftcart-core/src/rollout/rollouts.rs
+++ b/crates/swiftcart-core/src/rollout/rollouts.rs
@@ -1,4 +1,4 @@
-//! Which roll-outs a node knows of, and how far they are.
+//! Roll-outs known to a node, and their stages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,18 +6,19 @@
 use super::{OrderId, Release, RolloutOrder, RolloutStage, RolloutStatus, RolloutStatuses, Side};
 use crate::{Instant, ServiceName};
 
-/// The most services whose roll-outs are known; five times those of the largest mesh to design for.
-const SERVICES_MOST: usize = 256;
+/// Maximum number of services with a known roll-out: five times the number in the largest supported
+/// mesh.
+const MAX_SERVICES: usize = 256;
 
-/// The most releases that are kept out of a service. Backend servers of a release that was taken
-/// back are gone some seconds later.
-const BARRED_MOST: usize = 4;
+/// Maximum number of barred releases of a service. Backend servers of a release that was rolled
+/// back are stopped within seconds.
+const MAX_BARRED_RELEASES: usize = 4;
 
-/// The rounds in which a node passes a word on. With three peers in each, a node that hears of
-/// none is one in 8,000; the rest learns it by comparing.
-const ROUNDS: u32 = 3;
+/// Number of rounds in which a node gossips a changed status. With three peers in each round, one
+/// node in 8,000 receives no copy; it catches up by comparing digests.
+const GOSSIP_ROUNDS: u32 = 3;
 
-/// What is known of one service's roll-out.
+/// State of one service's roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RolloutEntry {
     order: OrderId,
@@ -26,26 +27,26 @@
     duration: Duration,
     deadline: Instant,
     barred: Vec<Release>,
-    /// The release that was brought in last before this order, where this node knows of it.
+    /// Release that was in use before this order, if this node knows it.
     in_use: Option<Release>,
-    /// The rounds in which it is still passed on.
+    /// Gossip rounds left for this status.
     rounds: u32,
 }
 
-/// A roll-out that a node knows of.
+/// View of a roll-out known to a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rollout<'a> {
-    /// The service.
+    /// Service being rolled out.
     pub service: &'a ServiceName,
-    /// The newest order for it.
+    /// Newest order for the service.
     pub order: OrderId,
-    /// The release that the order names.
+    /// Release named by the order.
     pub target: &'a Release,
-    /// How far it is.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// The time from the order to its deadline.
+    /// Time from the order to its deadline.
     pub duration: Duration,
-    /// The deadline.
+    /// Deadline of the order.
     pub deadline: Instant,
 }
 
@@ -57,10 +58,10 @@
     }
 }
 
-/// Keeps the newest order of each service, and the latest stage of it that anybody knows.
+/// Newest order of each service and its latest known stage.
 ///
-/// Orders and stages only go forward, so that it does not matter in which order a node hears
-/// of them, nor how often.
+/// Orders and stages only move forward. Statuses can therefore be merged in any order and any
+/// number of times.
 ///
 /// # Examples
 ///
@@ -85,61 +86,66 @@
 }
 
 impl Rollouts {
-    /// Tells whether no roll-out is known.
+    /// Returns `true` if no roll-out is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes an order; returns whether it is a new one.
+    /// Adds an order. Returns `true` if the order is new.
     pub fn order(&mut self, now: Instant, order: &RolloutOrder) -> bool {
-        let before = self.entries.get(&order.service);
-        let full = before.is_none() && self.entries.len() >= SERVICES_MOST;
-        if full || before.is_some_and(|entry| entry.order >= order.id) {
+        let previous = self.entries.get(&order.service);
+        let full = previous.is_none() && self.entries.len() >= MAX_SERVICES;
+        if full || previous.is_some_and(|entry| entry.order >= order.id) {
             return false;
         }
         let entry = RolloutEntry {
             order: order.id,
             target: order.target.clone(),
-            // What is in use already needs no trial, and nothing else may be there to serve.
-            stage: match before {
+            // A release that is in use needs no trial. It may also be the only one with backend
+            // servers.
+            stage: match previous {
                 Some(entry) if entry.is_in_use(&order.target) => RolloutStage::Completed,
                 _ => RolloutStage::Ordered,
             },
             duration: order.duration,
             deadline: now + order.duration,
-            barred: before.map_or_else(Vec::new, |entry| entry.barred_for(&order.target)),
-            in_use: before.and_then(RolloutEntry::release_in_use),
-            rounds: ROUNDS,
+            barred: previous.map_or_else(Vec::new, |entry| entry.barred_for(&order.target)),
+            in_use: previous.and_then(RolloutEntry::release_in_use),
+            rounds: GOSSIP_ROUNDS,
         };
         self.entries.insert(order.service.clone(), entry);
         true
     }
 
-    /// Takes what another node knows; returns whether any of it is news.
+    /// Merges statuses received from another node. Returns `true` if any of them changed the state.
     pub fn merge(&mut self, now: Instant, statuses: &[RolloutStatus]) -> bool {
-        let mut news = false;
+        let mut changed = false;
         for status in statuses {
-            news |= self.merge_one(now, status);
+            changed |= self.merge_one(now, status);
         }
-        news
+        changed
     }
 
-    /// Moves on to `stage`; returns whether that was a step forward.
+    /// Advances a roll-out to `stage`. Returns `true` if the stage is later than the current one.
     pub fn advance(&mut self, service: &ServiceName, order: OrderId, stage: RolloutStage) -> bool {
         match self.entries.get_mut(service) {
             Some(entry) if entry.order == order && entry.stage < stage => {
                 entry.stage = stage;
-                entry.rounds = ROUNDS;
+                entry.rounds = GOSSIP_ROUNDS;
                 true
             }
             _ => false,
         }
     }
 
-    /// Sets the deadline of an order as the platform remembers it.
-    pub fn set_deadline(&mut self, service: &ServiceName, order: OrderId, deadline: Instant) {
-        if let Some(entry) = self.entries.get_mut(service).filter(|k| k.order == order) {
+    /// Sets the deadline of an order to the one that the platform has recorded.
+    pub fn set_due(&mut self, service: &ServiceName, order: OrderId, deadline: Instant) {
+        if let Some(entry) = self
+            .entries
+            .get_mut(service)
+            .filter(|entry| entry.order == order)
+        {
             entry.deadline = deadline;
         }
     }
@@ -148,7 +154,7 @@
     #[must_use]
     pub fn get(&self, service: &ServiceName) -> Option<Rollout<'_>> {
         let (service, entry) = self.entries.get_key_value(service)?;
-        Some(entry.shown(service))
+        Some(entry.view(service))
     }
 
     /// Returns the roll-outs that have not ended.
@@ -156,13 +162,13 @@
         let all = self
             .entries
             .iter()
-            .map(|(service, entry)| entry.shown(service));
+            .map(|(service, entry)| entry.view(service));
         all.filter(|rollout| !rollout.stage.is_over())
     }
 
-    /// Returns the roll-out that concerns a backend server, and its side.
+    /// Returns the roll-out of a service, and the side of a backend server of `release`.
     ///
-    /// One that does not tell its release is an old one.
+    /// A backend server that does not report its release counts as an old one.
     #[must_use]
     pub fn side(
         &self,
@@ -175,10 +181,10 @@
             Some(release) if entry.barred.contains(release) => Side::Barred,
             Some(_) | None => Side::Old,
         };
-        Some((entry.shown(service), side))
+        Some((entry.view(service), side))
     }
 
-    /// Returns what is to be passed on in this round.
+    /// Returns the statuses to gossip in this round.
     pub fn gossip_round(&mut self, now: Instant) -> Vec<RolloutStatus> {
         let pending = self
             .entries
@@ -192,7 +198,7 @@
             .collect()
     }
 
-    /// Returns everything that is known.
+    /// Returns the status of every known roll-out.
     #[must_use]
     pub fn all(&self, now: Instant) -> Vec<RolloutStatus> {
         let all = self.entries.iter();
@@ -200,7 +206,7 @@
             .collect()
     }
 
-    /// Stands for everything that is known: equal where two nodes know the same.
+    /// Returns a digest of the state, which is equal at two nodes with the same state.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let parts = self.entries.iter().map(|(service, entry)| {
@@ -219,7 +225,7 @@
         parts.fold(0, |digest, part| digest ^ part)
     }
 
-    /// Returns what a node says that compares itself with another one.
+    /// Returns a message for comparing the digest with that of another node.
     #[must_use]
     pub fn digest_message(&self) -> RolloutStatuses {
         RolloutStatuses {
@@ -228,7 +234,7 @@
         }
     }
 
-    /// Returns the question for everything that the receiver knows.
+    /// Returns a request for all statuses that the receiver knows.
     #[must_use]
     pub fn request_all(&self) -> RolloutStatuses {
         RolloutStatuses {
@@ -237,7 +243,7 @@
         }
     }
 
-    /// Returns that question where `statuses` show that the sender knows something else.
+    /// Returns a request for all statuses if the digest in `statuses` differs from the local one.
     #[must_use]
     pub fn sync_request(&self, statuses: &RolloutStatuses) -> Option<RolloutStatuses> {
         let compares = statuses.list.is_empty() && !statuses.asks;
@@ -246,33 +252,34 @@
 
     fn merge_one(&mut self, now: Instant, status: &RolloutStatus) -> bool {
         let deadline = now + Duration::from_millis(status.left_ms.into());
-        let full = self.entries.len() >= SERVICES_MOST;
+        let full = self.entries.len() >= MAX_SERVICES;
         match self.entries.get_mut(&status.service) {
             Some(entry) if entry.order == status.order => {
-                let barred = entry.bar(&status.barred);
-                let further = entry.stage < status.stage;
+                let barred = entry.merge_barred(&status.barred);
+                let advanced = entry.stage < status.stage;
                 entry.stage = entry.stage.max(status.stage);
-                let news = barred || further;
-                if news {
-                    entry.rounds = ROUNDS;
+                let changed = barred || advanced;
+                if changed {
+                    entry.rounds = GOSSIP_ROUNDS;
                 }
-                news
+                changed
             }
             Some(entry) if entry.order > status.order => false,
             None if full => false,
-            before @ (Some(_) | None) => {
-                let before = before.as_deref();
+            previous @ (Some(_) | None) => {
+                let previous = previous.as_deref();
                 let mut entry = RolloutEntry {
                     order: status.order,
                     target: status.target.clone(),
                     stage: status.stage,
                     duration: Duration::from_millis(status.duration_ms.into()),
                     deadline,
-                    barred: before.map_or_else(Vec::new, |entry| entry.barred_for(&status.target)),
-                    in_use: before.and_then(RolloutEntry::release_in_use),
-                    rounds: ROUNDS,
+                    barred: previous
+                        .map_or_else(Vec::new, |entry| entry.barred_for(&status.target)),
+                    in_use: previous.and_then(RolloutEntry::release_in_use),
+                    rounds: GOSSIP_ROUNDS,
                 };
-                entry.bar(&status.barred);
+                entry.merge_barred(&status.barred);
                 self.entries.insert(status.service.clone(), entry);
                 true
             }
@@ -285,17 +292,17 @@
         self.stage == RolloutStage::Completed && self.target == *release
     }
 
-    /// Returns the releases that stay out while a later order names `target`.
+    /// Returns the releases that stay barred under a later order for `target`.
     fn barred_for(&self, target: &Release) -> Vec<Release> {
-        let unproven = Some(&self.target).filter(|_| self.stage != RolloutStage::Completed);
-        let barred = unproven.into_iter().chain(&self.barred);
+        let unfinished = Some(&self.target).filter(|_| self.stage != RolloutStage::Completed);
+        let barred = unfinished.into_iter().chain(&self.barred);
         let barred = barred.filter(|release| *release != target);
-        let mut barred: Vec<Release> = barred.take(BARRED_MOST).cloned().collect();
+        let mut barred: Vec<Release> = barred.take(MAX_BARRED_RELEASES).cloned().collect();
         barred.sort();
         barred
     }
 
-    /// Returns the release that was brought in last.
+    /// Returns the release that is in use.
     fn release_in_use(&self) -> Option<Release> {
         match self.stage {
             RolloutStage::Completed => Some(self.target.clone()),
@@ -303,23 +310,25 @@
         }
     }
 
-    /// Keeps out what another node keeps out; returns whether any of it is news. Who missed that a
-    /// release was brought in would keep it out.
-    fn bar(&mut self, releases: &[Release]) -> bool {
-        let mut news = false;
+    /// Merges the releases that another node bars. Returns `true` if any of them was added.
+    ///
+    /// A node that missed the completion of a release still bars it. A release known to be in use
+    /// is therefore skipped.
+    fn merge_barred(&mut self, releases: &[Release]) -> bool {
+        let mut changed = false;
         for release in releases {
-            let stays = *release == self.target || Some(release) == self.in_use.as_ref();
-            let entry = stays || self.barred.contains(release);
-            if !entry && self.barred.len() < BARRED_MOST {
+            let in_use = *release == self.target || Some(release) == self.in_use.as_ref();
+            let skipped = in_use || self.barred.contains(release);
+            if !skipped && self.barred.len() < MAX_BARRED_RELEASES {
                 self.barred.push(release.clone());
-                news = true;
+                changed = true;
             }
         }
         self.barred.sort();
-        news
+        changed
     }
 
-    const fn shown<'a>(&'a self, service: &'a ServiceName) -> Rollout<'a> {
+    const fn view<'a>(&'a self, service: &'a ServiceName) -> Rollout<'a> {
         Rollout {
             service,
             order: self.order,
--- a/crates/swiftcart-core/src/rollout/schedule.rs
+++ b/crates/swiftcart-core/src/rollout/schedule.rs
@@ -1,28 +1,30 @@
-//! When a roll-out goes on, by the time left to its deadline.
+//! Schedule of a roll-out, relative to its deadline.
 
 use std::time::Duration;
 
-/// The part of an order's time that moving the service takes.
+/// Share of the order's duration that is reserved for moving the service.
 const MOVING_SHARE: f64 = 0.42;
 
-/// The longest time for moving: its steps, and some seconds for what the old ones still run.
-const MOVING_MOST: Duration = Duration::from_millis(6_700);
+/// Maximum time for moving a service. It covers all steps and some seconds for the requests in
+/// flight at old backend servers.
+const MAX_MOVING_TIME: Duration = Duration::from_millis(6_700);
 
-/// The part of the time for moving after which it is no longer begun.
-const BEGIN_BY: f64 = 0.2;
+/// Share of the moving time after which a move is no longer started.
+const LATEST_START_SHARE: f64 = 0.2;
 
-/// The part of the time for moving that one of its steps takes.
+/// Share of the moving time that one step takes.
 const STEP_SHARE: f64 = 0.08;
 
-/// The longest time for one step. News of a member reaches half of some hundred nodes in that time,
-/// and a bad release that shows under full load is stopped within two steps.
-const STEP_MOST: Duration = Duration::from_millis(450);
+/// Maximum time of one step. A membership update reaches half of some hundred nodes in that time. A
+/// bad release that fails only under full load is stopped within two steps.
+const MAX_STEP_TIME: Duration = Duration::from_millis(450);
 
-/// The time before the deadline at which the service is moved whatever the old ones still run: the
-/// platform answers within some milliseconds, and is asked again when an answer is lost.
-const LAST_CALL: Duration = Duration::from_millis(1_000);
+/// Time before the deadline at which the move is completed, even if old backend servers still have
+/// requests in flight. The platform answers within milliseconds, and a lost answer can be requested
+/// again in the time left.
+const CUTOFF_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// The times of one roll-out.
+/// Schedule of one roll-out.
 ///
 /// # Examples
 ///
@@ -31,8 +33,8 @@
 /// use swiftcart_core::Schedule;
 ///
 /// let schedule = Schedule::new(Duration::from_secs(10));
-/// assert!(!schedule.moves(Duration::from_millis(4_500)));
-/// assert!(schedule.moves(Duration::from_millis(4_000)));
+/// assert!(!schedule.is_move_due(Duration::from_millis(4_500)));
+/// assert!(schedule.is_move_due(Duration::from_millis(4_000)));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Schedule {
@@ -40,36 +42,37 @@
 }
 
 impl Schedule {
-    /// Creates the times of a roll-out that may take `duration`.
+    /// Creates the schedule of a roll-out that may take `duration`.
     #[must_use]
     pub fn new(duration: Duration) -> Self {
         Self {
-            moving: duration.mul_f64(MOVING_SHARE).min(MOVING_MOST),
+            moving: duration.mul_f64(MOVING_SHARE).min(MAX_MOVING_TIME),
         }
     }
 
-    /// Tells whether it is time to move the service. Until then the trial goes on: some releases
-    /// fail only after they have run for a while.
+    /// Returns `true` if it is time to move the service.
+    ///
+    /// The trial lasts until then, because some releases fail only after they have run for a while.
     #[must_use]
-    pub fn moves(&self, left: Duration) -> bool {
-        left <= self.moving
+    pub fn is_move_due(&self, remaining: Duration) -> bool {
+        remaining <= self.moving
     }
 
-    /// Tells whether it is too late to begin to move.
+    /// Returns `true` if it is too late to start moving the service.
     #[must_use]
-    pub fn is_late(&self, left: Duration) -> bool {
-        left <= self.moving.mul_f64(1.0 - BEGIN_BY)
+    pub fn is_too_late(&self, remaining: Duration) -> bool {
+        remaining <= self.moving.mul_f64(1.0 - LATEST_START_SHARE)
     }
 
-    /// Returns how long one step of the move takes.
+    /// Returns the duration of one step.
     #[must_use]
-    pub fn step(&self) -> Duration {
-        STEP_MOST.min(self.moving.mul_f64(STEP_SHARE))
+    pub fn step_duration(&self) -> Duration {
+        MAX_STEP_TIME.min(self.moving.mul_f64(STEP_SHARE))
     }
 
-    /// Tells whether the move ends now, whatever still runs.
+    /// Returns `true` if the move must be completed now, even if requests are still in flight.
     #[must_use]
-    pub fn ends(&self, left: Duration) -> bool {
-        left <= LAST_CALL.min(self.moving / 4)
+    pub fn is_past_cutoff(&self, remaining: Duration) -> bool {
+        remaining <= CUTOFF_MARGIN.min(self.moving / 4)
     }
 }
--- a/crates/swiftcart-core/src/rollout/stage.rs
+++ b/crates/swiftcart-core/src/rollout/stage.rs
@@ -1,38 +1,38 @@
-//! How far a roll-out is, and what that means for one backend server.
+//! Stages of a roll-out, and the requests that they allow to each backend server.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Readiness;
 
-/// How far a roll-out is; whoever knows a later stage is right.
+/// Stage of a roll-out. If two nodes differ, the later stage is valid.
 ///
-/// Both ends come after every other stage. A trial that was stopped may still be told to be
-/// completed: two nodes judged, and the platform accepted the other one's word.
+/// Both final stages come after all others. A stopped trial may still be completed: two nodes may
+/// decide differently, and the platform accepts only one of the decisions.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum RolloutStage {
-    /// The order is known. The new release gets nothing.
+    /// The order is known. The new release gets no requests.
     #[default]
     Ordered,
     /// A few backend servers of the new release get a small part of the requests.
     Trial,
-    /// Backend servers of the new release take over from old ones, a part of them at a time.
+    /// Backend servers of the new release replace old ones, one batch at a time.
     Moving(Step),
-    /// All of the new release take work, and the old ones finish what they have.
+    /// All backend servers of the new release accept requests, and the old ones drain.
     Closing,
-    /// The new release is bad, or could not be shown to be good. It gets nothing.
+    /// The new release is bad, or was not shown to be good. It gets no requests.
     Stopped,
-    /// The platform knows that the new release was taken back.
+    /// The platform has recorded that the new release was rolled back.
     RolledBack,
-    /// The platform knows that the new release is in use.
+    /// The platform has recorded that the new release is in use.
     Completed,
 }
 
-/// How many of its steps a move has made.
+/// Number of completed steps of a move.
 ///
-/// In each odd one the next part of the new backend servers opens, in each even one as many of the
-/// old ones close. So each new one gets the load of a full service while few requests are at stake.
+/// Each odd step opens the next batch of new backend servers, and each even step closes as many old
+/// ones. Each new backend server thus gets its full load while few requests are at risk.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -40,12 +40,12 @@
 pub struct Step(pub u8);
 
 impl Step {
-    /// The first one.
+    /// First step.
     pub const FIRST: Self = Self(1);
-    /// The last one; after it all old ones close.
-    pub const LAST: Self = Self(2 * RolloutBatch::MOST - 1);
+    /// Last step. All remaining old backend servers close after it.
+    pub const LAST: Self = Self(2 * RolloutBatch::COUNT - 1);
 
-    /// Returns the stage after this step.
+    /// Returns the stage that follows this step.
     #[must_use]
     pub const fn next(self) -> RolloutStage {
         match self.0 < Self::LAST.0 {
@@ -55,17 +55,17 @@
     }
 }
 
-/// When a backend server has its turn in a move: with the first part of its side, or a later one.
+/// Batch in which a backend server opens or closes during a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RolloutBatch(u8);
 
 impl RolloutBatch {
-    /// The parts in which a service moves.
-    const MOST: u8 = 4;
-    /// The turn of those that were tried.
+    /// Number of batches.
+    const COUNT: u8 = 4;
+    /// First batch. It contains the backend servers that took part in the trial.
     pub const FIRST: Self = Self(1);
 
-    /// Returns the turn of the one at `place` among `all` of its side.
+    /// Returns the batch of the backend server at `position` among `all` of its side.
     ///
     /// # Examples
     ///
@@ -76,9 +76,14 @@
     /// assert!(RolloutBatch::new(7, 8) > RolloutBatch::new(5, 8));
     /// ```
     #[must_use]
-    pub fn new(place: usize, all: usize) -> Self {
-        let part = place.min(all) * usize::from(Self::MOST) / all.max(1);
-        Self(u8::try_from(part).unwrap_or(Self::MOST).min(Self::MOST - 1) + 1)
+    pub fn new(position: usize, all: usize) -> Self {
+        let index = position.min(all) * usize::from(Self::COUNT) / all.max(1);
+        Self(
+            u8::try_from(index)
+                .unwrap_or(Self::COUNT)
+                .min(Self::COUNT - 1)
+                + 1,
+        )
     }
 
     const fn opens(self, step: Step) -> bool {
@@ -90,33 +95,34 @@
     }
 }
 
-/// Which side of a roll-out a backend server is on.
+/// Side of a backend server in a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// It is of the release that was in use before.
+    /// The backend server runs a release that was in use before.
     Old,
-    /// It is of the release that the order names.
+    /// The backend server runs the release that the order names.
     New,
-    /// It is of a release that was taken back, or replaced by a later order, before it was in use.
+    /// The backend server runs a release that was rolled back or superseded before it was in use.
     Barred,
 }
 
-/// What a backend server is given during a roll-out.
+/// Requests that a backend server may get during a roll-out.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Clearance {
-    /// As much as it takes.
+    /// All requests within its capacity.
     #[default]
     Open,
-    /// What the trial has given it credit for.
+    /// Requests within the credit granted by the trial.
     OnCredit,
-    /// Nothing yet, or nothing any more; it may be started as another one any time.
+    /// No requests at the moment. The backend server may be restarted with another release at any
+    /// time.
     Closed,
-    /// Nothing new; it is about to be stopped.
+    /// No new requests. The backend server is about to be stopped.
     Draining,
 }
 
 impl Clearance {
-    /// Returns what the backend server is announced as that says `own` of itself.
+    /// Returns the readiness to announce for a backend server with the `reported` readiness.
     ///
     /// # Examples
     ///
@@ -127,23 +133,23 @@
     /// assert_eq!(Clearance::Open.readiness(Readiness::Draining), Readiness::Draining);
     /// ```
     #[must_use]
-    pub const fn readiness(self, own: Readiness) -> Readiness {
-        match (self, own) {
+    pub const fn readiness(self, reported: Readiness) -> Readiness {
+        match (self, reported) {
             (Self::Closed, Readiness::Ready) => Readiness::Warming,
             (Self::OnCredit, Readiness::Ready) => Readiness::OnTrial,
             (Self::Draining, Readiness::Ready) => Readiness::Draining,
-            (_, own) => own,
+            (_, reported) => reported,
         }
     }
 }
 
 impl RolloutStage {
-    /// Returns what a backend server on `side` is given.
+    /// Returns the clearance of a backend server on `side`.
     ///
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_core::{Clearance, RolloutStage, Side, Step, RolloutBatch};
+    /// use swiftcart_core::{Clearance, RolloutBatch, RolloutStage, Side, Step};
     ///
     /// let of = |stage: RolloutStage, side| stage.clearance(side, RolloutBatch::FIRST);
     /// assert_eq!(of(RolloutStage::Trial, Side::New), Clearance::OnCredit);
@@ -153,11 +159,11 @@
     /// assert_eq!(of(RolloutStage::Stopped, Side::New), Clearance::Closed);
     /// ```
     #[must_use]
-    pub const fn clearance(self, side: Side, turn: RolloutBatch) -> Clearance {
+    pub const fn clearance(self, side: Side, batch: RolloutBatch) -> Clearance {
         match (self, side) {
             (_, Side::Barred) => Clearance::Closed,
-            (Self::Moving(step), Side::Old) if turn.closes(step) => Clearance::Draining,
-            (Self::Moving(step), Side::New) if turn.opens(step) => Clearance::Open,
+            (Self::Moving(step), Side::Old) if batch.closes(step) => Clearance::Draining,
+            (Self::Moving(step), Side::New) if batch.opens(step) => Clearance::Open,
             (Self::Closing | Self::Completed, Side::Old) => Clearance::Draining,
             (_, Side::Old) => Clearance::Open,
             (Self::Closing | Self::Completed, Side::New) => Clearance::Open,
@@ -168,13 +174,13 @@
         }
     }
 
-    /// Tells whether the platform knows the end.
+    /// Returns `true` if the platform has recorded the result.
     #[must_use]
     pub const fn is_over(self) -> bool {
         matches!(self, Self::RolledBack | Self::Completed)
     }
 
-    /// Returns a number that grows with each stage.
+    /// Returns a number that increases with each stage.
     pub(super) const fn number(self) -> u8 {
         match self {
             Self::Ordered => 0,
--- a/crates/swiftcart-core/src/rollout/trial.rs
+++ b/crates/swiftcart-core/src/rollout/trial.rs
@@ -1,4 +1,4 @@
-//! What a node decides that watches the roll-out of one service.
+//! Evaluation of a service's roll-out.
 
 mod action;
 mod credit;
@@ -12,118 +12,121 @@
 };
 use crate::{Instant, NodeId, ServiceName};
 pub use action::*;
-use credit::Spending;
-use observations::{Cases, Observed, Seen, Span, findings};
+use credit::CreditBudget;
+use observations::{Comparisons, Observations, ServerRecord, Window, findings};
 
-/// The time between two rounds. A bad release is stopped within some five of them, and credit
-/// that is not renewed ends with the second one.
+/// Interval between two evaluations of a trial. A bad release is stopped within about five
+/// intervals. Credit that is not renewed expires after two.
 pub const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The part of a service's backend servers whose number is tried of the new release. With full load
-/// on each, about the part of the requests that may be spent.
-const TRIED_SHARE: f64 = 0.08;
+/// Number of new backend servers in a trial, as a share of the number of old ones. At full load,
+/// they get about the share of requests that a trial may use.
+const TRIAL_SERVER_SHARE: f64 = 0.08;
 
-/// The least number that is tried, so that one that is bad by itself is told from its release.
-const TRIED_LEAST: usize = 2;
+/// Minimum number of backend servers in a trial, so that a single faulty backend server can be told
+/// from a bad release.
+const MIN_TRIAL_SERVERS: usize = 2;
 
-/// The part of a service's requests that routes have which are judged by themselves, before the
-/// service moves. The others are judged together.
-const SEEN_SHARE: f64 = 0.5;
+/// Minimum share of the old release's requests on routes that are compared separately, for moving
+/// the service. All other routes are compared together.
+const MIN_COMPARED_SHARE: f64 = 0.5;
 
-/// How long a service without any backend server of another release is left as it is before the
-/// new one is taken for the one in use.
-const ALONE_FOR: Duration = Duration::from_secs(3);
+/// Time after which a release is considered to be in use if the service has no backend server of
+/// another release.
+const SOLE_RELEASE_WAIT: Duration = Duration::from_secs(3);
 
-/// For how long the old release is watched before anything is tried. Who begins to watch as the whole
-/// mesh starts again would else lay the failures of the first second to whoever was tried in it.
-const WATCHED_FOR: Duration = Duration::from_millis(2_500);
+/// Time for which the old release is observed before the trial starts. Without this time, a node
+/// that starts together with the whole mesh would attribute failures of the first second to the new
+/// release.
+const BASELINE_TIME: Duration = Duration::from_millis(2_500);
 
-/// The stage in which a service begins to move.
-const MOVE: RolloutStage = RolloutStage::Moving(Step::FIRST);
+/// First stage of moving a service.
+const FIRST_MOVE: RolloutStage = RolloutStage::Moving(Step::FIRST);
 
-/// Bounds of what a bad release may get.
+/// Upper bound on the requests given to a bad release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrialSettings {
-    /// The part of a service's requests.
+    /// Share of the service's requests.
     pub share: f64,
-    /// Requests on top of that.
+    /// Number of requests in addition to the share.
     pub extra: f64,
 }
 
-/// The requests of a service since the order.
+/// Requests of a service since the order.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Exposure {
-    /// All of them.
+    /// All requests.
     pub all: u64,
-    /// Those at the new release.
+    /// Requests given to the new release.
     pub new: u64,
 }
 
-/// Watches the roll-out of one service.
+/// Evaluation state of one service's roll-out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Trial {
     order: OrderId,
     schedule: Schedule,
-    observed: Observed,
-    spending: Spending,
-    since: Instant,
+    observations: Observations,
+    credit: CreditBudget,
+    started: Instant,
     stage: RolloutStage,
     entered: Instant,
 }
 
 impl Trial {
-    /// Starts to watch `rollout`.
+    /// Starts the evaluation of `rollout`.
     #[must_use]
     pub fn new(now: Instant, rollout: &Rollout<'_>, settings: TrialSettings) -> Self {
         Self {
             order: rollout.order,
             schedule: Schedule::new(rollout.duration),
-            observed: Observed::default(),
-            spending: Spending::new(settings),
-            since: now,
+            observations: Observations::default(),
+            credit: CreditBudget::new(settings),
+            started: now,
             stage: rollout.stage,
             entered: now,
         }
     }
 
-    /// Returns the order.
+    /// Returns the order under evaluation.
     #[must_use]
     pub const fn order(&self) -> OrderId {
         self.order
     }
 
-    /// Takes what the node `from` has seen of its backend server.
+    /// Records the evidence that the node `from` reports about its backend server.
     pub fn observe(&mut self, now: Instant, from: NodeId, evidence: Evidence) {
         let under_way = self.stage != RolloutStage::Ordered;
         if evidence.order == self.order {
-            self.observed.record(now, from, evidence, under_way);
+            self.observations.record(now, from, evidence, under_way);
         }
     }
 
-    /// Decides what is to be done now, where `known` nodes have a backend server of the service, reached or
-    /// not.
+    /// Returns the actions to take now. `known_servers` is the number of nodes known to have a
+    /// backend server of the service, including unreachable ones.
     ///
-    /// Who hears from less than half of them is cut off: it may find that the release is bad, and leaves
-    /// all else to those on the other side.
+    /// A node without recent evidence from at least half of them may be on the smaller side of a
+    /// network partition. Such a node may only report a bad release; all other decisions are left
+    /// to the nodes on the larger side.
     pub fn evaluate(
         &mut self,
         now: Instant,
         rollout: &Rollout<'_>,
-        known: usize,
+        known_servers: usize,
     ) -> Vec<TrialAction> {
         self.enter(now, rollout.stage);
-        self.spending.measure(now, self.exposure().all);
-        self.observed.mark(now);
-        let left = rollout.remaining(now);
+        self.credit.update_rate(now, self.exposure().all);
+        self.observations.rotate_recent(now);
+        let remaining = rollout.remaining(now);
         let step = match rollout.stage {
-            RolloutStage::Ordered => self.begin(now, left, known),
-            RolloutStage::Trial => self.try_on(left),
-            RolloutStage::Moving(step) => self.go_on(now, step),
-            RolloutStage::Closing => self.close(left, known),
+            RolloutStage::Ordered => self.check_ordered(now, remaining, known_servers),
+            RolloutStage::Trial => self.check_trial(remaining),
+            RolloutStage::Moving(step) => self.check_moving(now, step),
+            RolloutStage::Closing => self.check_closing(remaining, known_servers),
             RolloutStage::Stopped | RolloutStage::RolledBack | RolloutStage::Completed => None,
         };
-        let most = self.observed.heard(now) * 2 >= known;
-        let step = step.filter(|step| most || matches!(step.cause, Cause::Bad(_)));
+        let has_quorum = self.observations.fresh_count(now) * 2 >= known_servers;
+        let step = step.filter(|step| has_quorum || matches!(step.cause, Cause::Bad(_)));
         match step {
             Some(step) => {
                 self.enter(now, step.stage);
@@ -134,10 +137,10 @@
         }
     }
 
-    /// Returns the requests that the service had since the order, and those at the new release.
+    /// Returns the number of requests since the order, in total and at the new release.
     #[must_use]
     pub fn exposure(&self) -> Exposure {
-        self.observed.exposure()
+        self.observations.exposure()
     }
 
     fn enter(&mut self, now: Instant, stage: RolloutStage) {
@@ -147,118 +150,134 @@
         self.stage = stage;
         self.entered = now;
         if stage == RolloutStage::Trial {
-            self.observed.begin(now);
+            self.observations.reset_baseline(now);
         }
     }
 
-    fn begin(&self, now: Instant, left: Duration, known: usize) -> Option<Advance> {
-        let heard = self
-            .observed
-            .on(Side::New)
-            .any(|(_, seen)| seen.is_ready(now));
-        let alone = self.observed.on(Side::New).count() >= known;
-        match (heard, alone) {
-            (true, true) if now.since(self.since) >= ALONE_FOR => {
-                Some(Advance::new(RolloutStage::Completed, Cause::NobodyElse))
+    fn check_ordered(
+        &self,
+        now: Instant,
+        remaining: Duration,
+        known_servers: usize,
+    ) -> Option<Advance> {
+        let ready = self
+            .observations
+            .servers(Side::New)
+            .any(|(_, record)| record.is_ready(now));
+        let sole = self.observations.servers(Side::New).count() >= known_servers;
+        match (ready, sole) {
+            (true, true) if now.since(self.started) >= SOLE_RELEASE_WAIT => {
+                Some(Advance::new(RolloutStage::Completed, Cause::NoOldServers))
             }
             (true, false) => Some(Advance::new(RolloutStage::Trial, Cause::Ready)),
-            _ if left.is_zero() => Some(Advance::new(RolloutStage::Stopped, Cause::Unproven(None))),
+            _ if remaining.is_zero() => {
+                Some(Advance::new(RolloutStage::Stopped, Cause::Unproven(None)))
+            }
             _ => None,
         }
     }
 
-    fn try_on(&self, left: Duration) -> Option<Advance> {
-        if let Some(bad) = self.observed.blamed(false) {
-            return Some(Advance::new(RolloutStage::Stopped, Cause::Bad(bad)));
+    fn check_trial(&self, remaining: Duration) -> Option<Advance> {
+        if let Some(finding) = self.observations.regression(false) {
+            return Some(Advance::new(RolloutStage::Stopped, Cause::Bad(finding)));
         }
-        if !self.schedule.moves(left) {
+        if !self.schedule.is_move_due(remaining) {
             return None;
         }
-        let late = self.schedule.is_late(left);
-        let Cases { seen, rest } = self.observed.cases(Span::Whole, &self.observed.bad_ones());
-        let runs = |cases: &[RouteComparison]| -> u32 {
-            cases.iter().map(RouteComparison::old_runs).sum()
+        let late = self.schedule.is_too_late(remaining);
+        let Comparisons { routes, rest } = self
+            .observations
+            .comparisons(Window::Whole, &self.observations.outliers());
+        let requests = |comparisons: &[RouteComparison]| -> u32 {
+            comparisons.iter().map(RouteComparison::old_requests).sum()
         };
-        let known = f64::from(runs(&seen)) >= SEEN_SHARE * f64::from(runs(&seen) + rest.old_runs());
-        let (seen, rest) = (findings(&seen), rest.findings());
-        let rest_doubtful = rest.iter().find(|finding| finding.warns());
-        let doubtful = seen
+        let enough_compared = f64::from(requests(&routes))
+            >= MIN_COMPARED_SHARE * f64::from(requests(&routes) + rest.old_requests());
+        let (routes, rest) = (findings(&routes), rest.findings());
+        let rest_suspect = rest.iter().find(|finding| finding.is_suspect());
+        let inconclusive = routes
             .iter()
-            .find(|finding| !finding.passes())
-            .or(rest_doubtful);
-        let clear = seen.iter().all(RolloutFinding::clears);
-        match doubtful {
-            None if known && !seen.is_empty() && clear => Some(Advance::new(MOVE, Cause::Approved)),
-            None if known && !seen.is_empty() && late => Some(Advance::new(MOVE, Cause::Passed)),
-            doubtful if late => Some(Advance::new(
+            .find(|finding| !finding.is_acceptable())
+            .or(rest_suspect);
+        let equivalent = routes.iter().all(RolloutFinding::is_equivalent);
+        match inconclusive {
+            None if enough_compared && !routes.is_empty() && equivalent => {
+                Some(Advance::new(FIRST_MOVE, Cause::Approved))
+            }
+            None if enough_compared && !routes.is_empty() && late => {
+                Some(Advance::new(FIRST_MOVE, Cause::Passed))
+            }
+            inconclusive if late => Some(Advance::new(
                 RolloutStage::Stopped,
-                Cause::Unproven(doubtful.copied()),
+                Cause::Unproven(inconclusive.copied()),
             )),
             _ => None,
         }
     }
 
-    fn go_on(&self, now: Instant, step: Step) -> Option<Advance> {
-        match self.observed.blamed(true) {
-            Some(bad) => Some(Advance::new(RolloutStage::Stopped, Cause::Bad(bad))),
-            None if now.since(self.entered) >= self.schedule.step() => {
+    fn check_moving(&self, now: Instant, step: Step) -> Option<Advance> {
+        match self.observations.regression(true) {
+            Some(finding) => Some(Advance::new(RolloutStage::Stopped, Cause::Bad(finding))),
+            None if now.since(self.entered) >= self.schedule.step_duration() => {
                 Some(Advance::new(step.next(), Cause::NextStep))
             }
             None => None,
         }
     }
 
-    fn close(&self, left: Duration, known: usize) -> Option<Advance> {
-        let empty = |seen: &Seen| !seen.evidence.open && seen.evidence.running == 0;
-        let mut old = self.observed.on(Side::Old);
-        let all = self.observed.len() >= known;
-        match self.observed.blamed(true) {
-            Some(bad) => Some(Advance::new(RolloutStage::Stopped, Cause::Bad(bad))),
-            None if all && old.all(|(_, seen)| empty(seen)) => {
-                Some(Advance::new(RolloutStage::Completed, Cause::Emptied))
-            }
-            None if self.schedule.ends(left) => {
-                Some(Advance::new(RolloutStage::Completed, Cause::TimeOver))
+    fn check_closing(&self, remaining: Duration, known_servers: usize) -> Option<Advance> {
+        let is_drained =
+            |record: &ServerRecord| !record.evidence.open && record.evidence.running == 0;
+        let mut old = self.observations.servers(Side::Old);
+        let all_known = self.observations.len() >= known_servers;
+        match self.observations.regression(true) {
+            Some(finding) => Some(Advance::new(RolloutStage::Stopped, Cause::Bad(finding))),
+            None if all_known && old.all(|(_, record)| is_drained(record)) => {
+                Some(Advance::new(RolloutStage::Completed, Cause::OldDrained))
             }
+            None if self.schedule.is_past_cutoff(remaining) => Some(Advance::new(
+                RolloutStage::Completed,
+                Cause::DeadlineReached,
+            )),
             None => None,
         }
     }
 
-    /// Gives those that are tried what may be spent.
+    /// Returns grants that divide the available credit among the backend servers in the trial.
     fn grants(&mut self, now: Instant, service: &ServiceName) -> Vec<TrialAction> {
-        let tried = self.tried(now);
-        let old = self.observed.on(Side::Old).count();
-        let each = self
-            .spending
-            .each(tried.len(), old, self.observed.exposure());
-        let watched = now.since(self.since) >= WATCHED_FOR;
-        if each == 0 || !watched || self.observed.is_troubled() {
+        let servers = self.trial_servers(now);
+        let old = self.observations.servers(Side::Old).count();
+        let per_server = self
+            .credit
+            .per_server(servers.len(), old, self.observations.exposure());
+        let has_baseline = now.since(self.started) >= BASELINE_TIME;
+        if per_server == 0 || !has_baseline || self.observations.is_baseline_failing() {
             return Vec::new();
         }
         let grant = |id: NodeId| {
-            let evidence = self.observed.evidence(id)?;
+            let evidence = self.observations.evidence(id)?;
             let grant = Grant {
                 service: service.clone(),
                 order: self.order,
                 epoch: evidence.epoch,
-                upto: evidence.arrived + each,
+                upto: evidence.arrived + per_server,
             };
             Some(TrialAction::Grant(id, grant))
         };
-        tried.into_iter().filter_map(grant).collect()
+        servers.into_iter().filter_map(grant).collect()
     }
 
-    /// Returns the nodes whose backend servers are tried: the first ones by name that are ready,
-    /// without those that are bad by themselves.
-    fn tried(&self, now: Instant) -> Vec<NodeId> {
-        let old = self.observed.on(Side::Old).count();
-        let number = (old as f64 * TRIED_SHARE).ceil() as usize;
-        let bad = self.observed.bad_ones();
+    /// Returns the nodes whose backend servers take part in the trial: the first ready ones in
+    /// order of node ID, without outliers.
+    fn trial_servers(&self, now: Instant) -> Vec<NodeId> {
+        let old = self.observations.servers(Side::Old).count();
+        let count = (old as f64 * TRIAL_SERVER_SHARE).ceil() as usize;
+        let outliers = self.observations.outliers();
         let ready = self
-            .observed
-            .on(Side::New)
-            .filter(|(_, seen)| seen.is_ready(now));
-        let sound = ready.map(|(id, _)| id).filter(|id| !bad.contains(id));
-        sound.take(number.max(TRIED_LEAST)).collect()
+            .observations
+            .servers(Side::New)
+            .filter(|(_, record)| record.is_ready(now));
+        let healthy = ready.map(|(id, _)| id).filter(|id| !outliers.contains(id));
+        healthy.take(count.max(MIN_TRIAL_SERVERS)).collect()
     }
 }
--- a/crates/swiftcart-core/src/rollout/trial/action.rs
+++ b/crates/swiftcart-core/src/rollout/trial/action.rs
@@ -1,27 +1,27 @@
-//! What a round asks for, and why.
+//! Actions of a trial, and their causes.
 
 use crate::{Grant, NodeId, RolloutFinding, RolloutStage};
 
-/// Why a roll-out goes on.
+/// Cause of a stage change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Cause {
     /// Backend servers of the new release are ready.
     Ready,
-    /// Every route that matters shows that the release is as good as the old one.
+    /// All separately compared routes show that the new release is as good as the old one.
     Approved,
-    /// The time is over, and nothing speaks against the release.
+    /// The time for the trial is over, and nothing indicates a bad release.
     Passed,
-    /// The step before has lasted long enough.
+    /// The previous step has lasted long enough.
     NextStep,
-    /// The old backend servers have finished.
-    Emptied,
-    /// The deadline is there; what the old ones still run is cut off.
-    TimeOver,
-    /// There is no backend server of another release.
-    NobodyElse,
-    /// The release is bad.
+    /// The old backend servers have drained.
+    OldDrained,
+    /// The deadline is reached. Requests in flight at old backend servers are cut off.
+    DeadlineReached,
+    /// The service has no backend server of another release.
+    NoOldServers,
+    /// The new release is bad.
     Bad(RolloutFinding),
-    /// The time is over, and the release could not be shown to be good.
+    /// The time for the trial is over, and the new release was not shown to be good.
     Unproven(Option<RolloutFinding>),
 }
 
@@ -34,15 +34,15 @@
             Self::Approved => "approved",
             Self::Passed => "passed",
             Self::NextStep => "next-step",
-            Self::Emptied => "emptied",
-            Self::TimeOver => "time-over",
-            Self::NobodyElse => "nobody-else",
+            Self::OldDrained => "emptied",
+            Self::DeadlineReached => "time-over",
+            Self::NoOldServers => "nobody-else",
             Self::Bad(_) => "bad",
             Self::Unproven(_) => "unproven",
         }
     }
 
-    /// Returns what was found, where that decided.
+    /// Returns the finding that caused the stage change, if any.
     #[must_use]
     pub const fn finding(self) -> Option<RolloutFinding> {
         match self {
@@ -53,21 +53,21 @@
     }
 }
 
-/// What a round asks for.
+/// Action requested by an evaluation.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TrialAction {
-    /// Let a backend server of the new release run some more requests.
+    /// Grants more requests to a backend server of the new release.
     Grant(NodeId, Grant),
-    /// Go on to another stage.
+    /// Advances the roll-out to another stage.
     Advance(Advance),
 }
 
-/// A step to another stage, and why.
+/// Stage change and its cause.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Advance {
-    /// The stage.
+    /// New stage.
     pub stage: RolloutStage,
-    /// Why.
+    /// Cause of the change.
     pub cause: Cause,
 }
 
--- a/crates/swiftcart-core/src/rollout/trial/credit.rs
+++ b/crates/swiftcart-core/src/rollout/trial/credit.rs
@@ -1,75 +1,77 @@
-//! How much of a service the trial of its new release gets, and when.
+//! Credit of a trial: the number of requests that the new release may get, and when.
 
 use std::time::Duration;
 
 use crate::{Exposure, Instant, TRIAL_INTERVAL, TrialSettings};
 
-/// The part of what a bad release may get that the trial gives it. The rest is there for requests
-/// that arrive while a release that turns bad late is being stopped, and for a second node that
-/// takes itself for the one that watches.
-const SPEND: f64 = 0.55;
+/// Share of the bound on a bad release's requests that the trial may use. The rest covers requests
+/// that arrive while a release that turns bad late is being stopped, and the credit of a second
+/// node that evaluates the same trial.
+const SPEND_SHARE: f64 = 0.55;
 
-/// The load on each that is tried, as a part of what one of the old release has: some releases
-/// fail only when they are full.
-const LOAD: f64 = 1.3;
+/// Load on each backend server in the trial, relative to the load on an old one. Some releases fail
+/// only under full load.
+const LOAD_FACTOR: f64 = 1.3;
 
-/// For how long those that are tried get that load at a time; in between credit is saved up.
-const BURST: Duration = Duration::from_millis(750);
+/// Duration of a burst at this load. Credit is saved up between two bursts.
+const BURST_TIME: Duration = Duration::from_millis(750);
 
-/// The part of all credit that is saved up at most, where a service has few backend servers with
-/// much to do each.
-const SAVED: f64 = 0.25;
+/// Maximum share of the credit to save up for a burst. It takes effect in a service with few,
+/// heavily loaded backend servers.
+const MAX_SAVED_SHARE: f64 = 0.25;
 
-/// Saves credit up and spends it at full load, a burst at a time.
+/// Credit budget that is saved up and spent in bursts at full load.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Spending {
+pub(super) struct CreditBudget {
     settings: TrialSettings,
     bursting: bool,
-    /// The requests that the service had at the last look, and their number a second.
-    counted: Option<(Instant, u64)>,
+    /// Time and number of requests at the last update of `rate`, which is in requests per second.
+    last_count: Option<(Instant, u64)>,
     rate: f64,
 }
 
-impl Spending {
+impl CreditBudget {
     pub(super) const fn new(settings: TrialSettings) -> Self {
         Self {
             settings,
             bursting: false,
-            counted: None,
+            last_count: None,
             rate: 0.0,
         }
     }
 
-    /// Takes in how many requests the service had so far.
-    pub(super) fn measure(&mut self, now: Instant, total: u64) {
-        if let Some((then, before)) = self.counted
-            && now.since(then) >= TRIAL_INTERVAL
+    /// Updates the request rate with the number of requests so far.
+    pub(super) fn update_rate(&mut self, now: Instant, total: u64) {
+        if let Some((last_time, last_total)) = self.last_count
+            && now.since(last_time) >= TRIAL_INTERVAL
         {
-            let fresh = total.saturating_sub(before) as f64 / now.since(then).as_secs_f64();
-            self.rate += (fresh - self.rate) / 2.0;
+            let current_rate =
+                total.saturating_sub(last_total) as f64 / now.since(last_time).as_secs_f64();
+            self.rate += (current_rate - self.rate) / 2.0;
         }
         if self
-            .counted
-            .is_none_or(|(then, _)| now.since(then) >= TRIAL_INTERVAL)
+            .last_count
+            .is_none_or(|(last_time, _)| now.since(last_time) >= TRIAL_INTERVAL)
         {
-            self.counted = Some((now, total));
+            self.last_count = Some((now, total));
         }
     }
 
-    /// Returns how many requests each of `tried` backend servers may run in the next round, where the old
-    /// release has `old`.
-    pub(super) fn each(&mut self, tried: usize, old: usize, so_far: Exposure) -> u64 {
-        let bound = self.settings.share * so_far.all as f64 + self.settings.extra;
-        let left = (SPEND * bound - so_far.new as f64).max(0.0);
-        let number = tried.max(1) as f64;
-        let load = (LOAD * self.rate / old.max(1) as f64).max(1.0);
-        let burst = (number * load * BURST.as_secs_f64()).min(SPEND * bound * SAVED);
-        // Twice what a round takes, so that one that is lost makes no gap.
-        let each = (2.0 * load * TRIAL_INTERVAL.as_secs_f64()).max(1.0);
-        let each = each.min(left / number);
-        self.bursting = each >= 1.0 && (self.bursting || left >= burst);
+    /// Returns the number of requests to grant each of the `servers` in the trial for the next
+    /// interval. `old` is the number of backend servers of the old release.
+    pub(super) fn per_server(&mut self, servers: usize, old: usize, exposure: Exposure) -> u64 {
+        let bound = self.settings.share * exposure.all as f64 + self.settings.extra;
+        let remaining = (SPEND_SHARE * bound - exposure.new as f64).max(0.0);
+        let server_count = servers.max(1) as f64;
+        let load = (LOAD_FACTOR * self.rate / old.max(1) as f64).max(1.0);
+        let burst = (server_count * load * BURST_TIME.as_secs_f64())
+            .min(SPEND_SHARE * bound * MAX_SAVED_SHARE);
+        // Twice the requests of one interval, so that one lost grant leaves no gap.
+        let per_server = (2.0 * load * TRIAL_INTERVAL.as_secs_f64()).max(1.0);
+        let per_server = per_server.min(remaining / server_count);
+        self.bursting = per_server >= 1.0 && (self.bursting || remaining >= burst);
         match self.bursting {
-            true => each as u64,
+            true => per_server as u64,
             false => 0,
         }
     }
--- a/crates/swiftcart-core/src/rollout/trial/observations.rs
+++ b/crates/swiftcart-core/src/rollout/trial/observations.rs
@@ -1,4 +1,4 @@
-//! What is known of a service's backend servers while it is rolled out.
+//! Evidence received about the backend servers of a service during a roll-out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,54 +8,57 @@
     RouteStats, RouteTag, Side,
 };
 
-/// The age at which evidence counts no more as a sign that its sender is there.
-const STALE: Duration = Duration::from_millis(1_500);
+/// Age beyond which evidence no longer shows that its sender is reachable.
+const STALE_AFTER: Duration = Duration::from_millis(1_500);
 
-/// The time over which old and new are compared once more, by what happened of late. A release that
-/// turns bad after ten good seconds would else hide behind them.
-const RECENT: Duration = Duration::from_millis(2_500);
+/// Length of the recent window, over which the releases are compared in addition to the whole
+/// trial. Without it, ten good seconds would hide a release that turns bad later.
+const RECENT_WINDOW: Duration = Duration::from_millis(2_500);
 
-/// The part of failures of the old release at which nothing is tried: what strikes it may strike
-/// those that are tried just as well, and says nothing of the release.
-const TROUBLED: f64 = 0.08;
+/// Share of failures of the old release above which the trial is paused. The cause of the failures
+/// may affect the new release as well, and the comparison would be meaningless.
+const MAX_OLD_FAILURE_SHARE: f64 = 0.08;
 
-/// The last evidence of one node, and what counts before it.
+/// Last evidence of one node, with the counts that later evidence is compared to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Seen {
-    at: Instant,
+pub(super) struct ServerRecord {
+    received: Instant,
     pub(super) evidence: Evidence,
-    /// What its backend server was handed in earlier epochs.
-    past: u64,
-    /// The counts when the trial began, and those of late: two marks that are moved on in turn.
-    from: Counts,
+    /// Requests given to the backend server in earlier epochs.
+    earlier_arrivals: u64,
+    /// Counts at the start of the trial, and at two recent points in time that are rotated.
+    baseline: Counts,
     recent: [Counts; 2],
 }
 
-/// The counts of a backend server at one point in time.
+/// Counts of a backend server at one point in time.
 type Counts = BTreeMap<RouteTag, RouteStats>;
 
-/// The time over which old and new ones are compared.
+/// Period over which the releases are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Span {
-    /// All of the trial.
+pub(super) enum Window {
+    /// Whole trial.
     Whole,
-    /// The last seconds of it.
+    /// Last seconds of the trial.
     Recent,
 }
 
-/// Keeps the last evidence of each node beside one of the service's backend servers.
+/// Last evidence of each node that is the guard of a backend server of the service.
 ///
-/// All counts in it are sums, so that lost and repeated messages do no harm, and a node that starts to
-/// watch knows as much as any other a moment later.
+/// All counts are cumulative, so lost and repeated messages do no harm. A node that starts to
+/// evaluate the trial catches up within moments.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Observed {
-    seen: BTreeMap<NodeId, Seen>,
-    marked: Instant,
+pub(super) struct Observations {
+    records: BTreeMap<NodeId, ServerRecord>,
+    last_rotation: Instant,
 }
 
-impl Observed {
-    /// Takes what a node has seen; one that is first heard of while a trial is `under_way` is compared
-    /// by what happens from now on, since its counts may reach back to a time of which others know nothing.
+impl Observations {
+    /// Records the evidence of a node.
+    ///
+    /// If the first evidence of a node arrives while a trial is `under_way`, its current counts
+    /// become its baseline. Earlier requests of this node are not comparable, because the other
+    /// nodes' counts may not cover that time.
     pub(super) fn record(
         &mut self,
         now: Instant,
@@ -63,130 +66,144 @@
         evidence: Evidence,
         under_way: bool,
     ) {
-        let new = |evidence: Evidence, past, from: Counts| Seen {
-            at: now,
+        let new = |evidence: Evidence, earlier_arrivals, baseline: Counts| ServerRecord {
+            received: now,
             evidence,
-            past,
-            recent: [from.clone(), from.clone()],
-            from,
+            earlier_arrivals,
+            recent: [baseline.clone(), baseline.clone()],
+            baseline,
         };
-        let seen = match self.seen.remove(&from) {
-            Some(seen) if seen.evidence.epoch == evidence.epoch => Seen {
-                at: now,
+        let record = match self.records.remove(&from) {
+            Some(record) if record.evidence.epoch == evidence.epoch => ServerRecord {
+                received: now,
                 evidence,
-                ..seen
+                ..record
             },
-            Some(seen) => new(evidence, seen.past + seen.evidence.arrived, Counts::new()),
+            Some(record) => new(
+                evidence,
+                record.earlier_arrivals + record.evidence.arrived,
+                Counts::new(),
+            ),
             None if under_way => {
-                let from = evidence.routes.iter().cloned().collect();
-                new(evidence, 0, from)
+                let baseline = evidence.routes.iter().cloned().collect();
+                new(evidence, 0, baseline)
             }
             None => new(evidence, 0, Counts::new()),
         };
-        self.seen.insert(from, seen);
+        self.records.insert(from, record);
     }
 
-    /// Returns how many nodes were ever heard from.
+    /// Returns the number of nodes that have sent evidence.
     pub(super) fn len(&self) -> usize {
-        self.seen.len()
+        self.records.len()
     }
 
-    /// Returns how many nodes were heard from lately.
-    pub(super) fn heard(&self, now: Instant) -> usize {
-        let fresh = self.seen.values().filter(|seen| seen.is_fresh(now));
+    /// Returns the number of nodes that have sent evidence recently.
+    pub(super) fn fresh_count(&self, now: Instant) -> usize {
+        let fresh = self.records.values().filter(|record| record.is_fresh(now));
         fresh.count()
     }
 
-    /// Compares from now on.
-    pub(super) fn begin(&mut self, now: Instant) {
-        self.marked = now;
-        for seen in self.seen.values_mut() {
-            seen.from = seen.counts();
-            seen.recent = [seen.counts(), seen.counts()];
+    /// Makes the current counts the baseline of all comparisons.
+    pub(super) fn reset_baseline(&mut self, now: Instant) {
+        self.last_rotation = now;
+        for record in self.records.values_mut() {
+            record.baseline = record.counts();
+            record.recent = [record.counts(), record.counts()];
         }
     }
 
     /// Returns the last evidence of a node.
     pub(super) fn evidence(&self, id: NodeId) -> Option<&Evidence> {
-        self.seen.get(&id).map(|seen| &seen.evidence)
+        self.records.get(&id).map(|record| &record.evidence)
     }
 
-    /// Returns the requests that the service had since the order, and those at the new release.
+    /// Returns the number of requests since the order, in total and at the new release.
     pub(super) fn exposure(&self) -> Exposure {
-        let count = |seen: &Seen| seen.past + seen.evidence.arrived;
+        let count = |record: &ServerRecord| record.earlier_arrivals + record.evidence.arrived;
         Exposure {
-            all: self.seen.values().map(count).sum(),
-            new: self.on(Side::New).map(|(_, seen)| count(seen)).sum(),
+            all: self.records.values().map(count).sum(),
+            new: self
+                .servers(Side::New)
+                .map(|(_, record)| count(record))
+                .sum(),
         }
     }
 
-    /// Moves the marks on from which on the last seconds are counted.
-    pub(super) fn mark(&mut self, now: Instant) {
-        if now.since(self.marked) < RECENT / 2 {
+    /// Rotates the counts at which the recent window starts.
+    pub(super) fn rotate_recent(&mut self, now: Instant) {
+        if now.since(self.last_rotation) < RECENT_WINDOW / 2 {
             return;
         }
-        self.marked = now;
-        for seen in self.seen.values_mut() {
-            seen.recent.swap(0, 1);
-            seen.recent[1] = seen.counts();
+        self.last_rotation = now;
+        for record in self.records.values_mut() {
+            record.recent.swap(0, 1);
+            record.recent[1] = record.counts();
         }
     }
 
-    /// Returns what shows that the release is bad, over the whole trial or its last seconds; `moves`
-    /// tells that the service is being moved.
-    pub(super) fn blamed(&self, moves: bool) -> Option<RolloutFinding> {
-        let spans = [Span::Whole, Span::Recent].into_iter();
-        let cases = spans.map(|span| self.cases(span, &BTreeSet::new()));
-        let found = cases.flat_map(|cases| findings(&cases.all()));
-        // While the service moves, old and new ones have different loads, which shows in the slowest
-        // requests first.
-        let mut fair = found.filter(|finding| !moves || finding.metric != RolloutMetric::Tail);
-        fair.find(RolloutFinding::blames)
-            .or_else(|| self.spent(moves))
+    /// Returns a finding that shows a bad release, over the whole trial or the recent window.
+    ///
+    /// `moving` is set while the service is being moved.
+    pub(super) fn regression(&self, moving: bool) -> Option<RolloutFinding> {
+        let windows = [Window::Whole, Window::Recent].into_iter();
+        let comparisons = windows.map(|window| self.comparisons(window, &BTreeSet::new()));
+        let found = comparisons.flat_map(|comparisons| findings(&comparisons.all()));
+        // During a move, old and new backend servers have different loads. The difference shows
+        // first in the tail latency, which is therefore ignored.
+        let mut usable =
+            found.filter(|finding| !moving || finding.metric != RolloutMetric::TailLatency);
+        usable
+            .find(RolloutFinding::is_regression)
+            .or_else(|| self.bad_limit_exceeded(moving))
     }
 
-    /// Returns what shows that no more bad answers can be borne, over all routes together.
-    fn spent(&self, moves: bool) -> Option<RolloutFinding> {
-        let mut together = (BTreeMap::new(), BTreeMap::new());
+    /// Returns a finding if the new release has exceeded its limit of bad requests on all routes
+    /// together.
+    fn bad_limit_exceeded(&self, moving: bool) -> Option<RolloutFinding> {
+        let mut totals = (BTreeMap::new(), BTreeMap::new());
         for route in self.routes() {
-            add(&mut together.0, self.counts(route, Side::Old, Span::Whole));
-            add(&mut together.1, self.counts(route, Side::New, Span::Whole));
+            merge_stats(&mut totals.0, self.counts(route, Side::Old, Window::Whole));
+            merge_stats(&mut totals.1, self.counts(route, Side::New, Window::Whole));
         }
-        let case = RouteComparison {
+        let comparison = RouteComparison {
             route: RouteTag::OTHERS,
-            old: together.0.into_values().collect(),
-            new: together.1.into_values().collect(),
+            old: totals.0.into_values().collect(),
+            new: totals.1.into_values().collect(),
         };
-        let mut found = case.findings().into_iter();
+        let mut found = comparison.findings().into_iter();
         found.find(|finding| match finding.metric {
-            RolloutMetric::Failures => finding.is_spent(),
-            RolloutMetric::Times => false,
-            RolloutMetric::Tail => !moves && finding.is_spent(),
+            RolloutMetric::Failures => finding.exceeds_bad_limit(),
+            RolloutMetric::Latency => false,
+            RolloutMetric::TailLatency => !moving && finding.exceeds_bad_limit(),
         })
     }
 
-    /// Tells whether the old release fails so often of late that a trial would say nothing.
-    pub(super) fn is_troubled(&self) -> bool {
-        let cases = self.cases(Span::Recent, &BTreeSet::new()).all();
-        let old = cases.iter().flat_map(|case| &case.old);
-        let (runs, failed) = old.fold((0, 0), |(runs, failed), tally| {
-            (runs + tally.runs, failed + tally.failed)
+    /// Returns `true` if the recent failures of the old release make a comparison meaningless.
+    pub(super) fn is_baseline_failing(&self) -> bool {
+        let comparisons = self.comparisons(Window::Recent, &BTreeSet::new()).all();
+        let old = comparisons.iter().flat_map(|comparison| &comparison.old);
+        let (runs, failed) = old.fold((0, 0), |(runs, failed), stats| {
+            (runs + stats.runs, failed + stats.failed)
         });
-        f64::from(failed) > TROUBLED * f64::from(runs.max(1))
+        f64::from(failed) > MAX_OLD_FAILURE_SHARE * f64::from(runs.max(1))
     }
 
-    /// Returns the nodes whose backend servers are much worse than their release.
-    pub(super) fn bad_ones(&self) -> BTreeSet<NodeId> {
+    /// Returns the nodes whose new backend server counts as a regression by itself.
+    pub(super) fn outliers(&self) -> BTreeSet<NodeId> {
         let mut bad = BTreeSet::new();
-        let new: Vec<NodeId> = self.on(Side::New).map(|(id, _)| id).collect();
-        for case in self.cases(Span::Whole, &BTreeSet::new()).seen {
-            let alone = |tally: &RouteStats| RouteComparison {
-                new: vec![tally.clone()],
-                ..case.clone()
+        let new: Vec<NodeId> = self.servers(Side::New).map(|(id, _)| id).collect();
+        for comparison in self.comparisons(Window::Whole, &BTreeSet::new()).routes {
+            let by_itself = |stats: &RouteStats| RouteComparison {
+                new: vec![stats.clone()],
+                ..comparison.clone()
             };
-            for (id, tally) in self.tallies(case.route, Side::New, Span::Whole) {
-                let is_bad = alone(&tally).findings().iter().any(RolloutFinding::blames);
-                if is_bad && new.len() > 1 {
+            for (id, stats) in self.stats_by_node(comparison.route, Side::New, Window::Whole) {
+                let is_outlier = by_itself(&stats)
+                    .findings()
+                    .iter()
+                    .any(RolloutFinding::is_regression);
+                if is_outlier && new.len() > 1 {
                     bad.insert(id);
                 }
             }
@@ -194,97 +211,100 @@
         bad
     }
 
-    /// Returns what is to be judged, route by route, but for the backend servers `without`.
-    pub(super) fn cases(&self, span: Span, without: &BTreeSet<NodeId>) -> Cases {
+    /// Returns the comparisons by route, excluding the backend servers of the nodes in `without`.
+    pub(super) fn comparisons(&self, window: Window, without: &BTreeSet<NodeId>) -> Comparisons {
         let counts = |route, side| {
-            let mut counts = self.counts(route, side, span);
+            let mut counts = self.counts(route, side, window);
             counts.retain(|id, _| !without.contains(id));
             counts
         };
-        let mut cases = Cases::default();
+        let mut comparisons = Comparisons::default();
         let mut rest = (BTreeMap::new(), BTreeMap::new());
         for route in self.routes() {
             let (old, new) = (counts(route, Side::Old), counts(route, Side::New));
-            let case = RouteComparison {
+            let comparison = RouteComparison {
                 route,
                 old: old.values().cloned().collect(),
                 new: new.values().cloned().collect(),
             };
-            match case.is_seen() && route != RouteTag::OTHERS {
-                true => cases.seen.push(case),
+            match comparison.has_enough_requests() && route != RouteTag::OTHERS {
+                true => comparisons.routes.push(comparison),
                 false => {
-                    add(&mut rest.0, old);
-                    add(&mut rest.1, new);
+                    merge_stats(&mut rest.0, old);
+                    merge_stats(&mut rest.1, new);
                 }
             }
         }
-        cases.rest = RouteComparison {
+        comparisons.rest = RouteComparison {
             route: RouteTag::OTHERS,
             old: rest.0.into_values().collect(),
             new: rest.1.into_values().collect(),
         };
-        cases
+        comparisons
     }
 
     fn routes(&self) -> BTreeSet<RouteTag> {
-        let told = self.seen.values().flat_map(|seen| &seen.evidence.routes);
-        told.map(|(route, _)| *route).collect()
+        let reported = self
+            .records
+            .values()
+            .flat_map(|record| &record.evidence.routes);
+        reported.map(|(route, _)| *route).collect()
     }
 
-    fn counts(&self, route: RouteTag, side: Side, span: Span) -> BTreeMap<NodeId, RouteStats> {
-        self.tallies(route, side, span).collect()
+    fn counts(&self, route: RouteTag, side: Side, window: Window) -> BTreeMap<NodeId, RouteStats> {
+        self.stats_by_node(route, side, window).collect()
     }
 
-    fn tallies(
+    fn stats_by_node(
         &self,
         route: RouteTag,
         side: Side,
-        span: Span,
+        window: Window,
     ) -> impl Iterator<Item = (NodeId, RouteStats)> {
-        self.on(side).filter_map(move |(id, seen)| {
-            let mut routes = seen.evidence.routes.iter();
-            let (_, tally) = routes.find(|(tag, _)| *tag == route)?;
-            let tally = match seen.since(span).get(&route) {
-                Some(from) => tally.since(from),
-                None => tally.clone(),
+        self.servers(side).filter_map(move |(id, record)| {
+            let mut routes = record.evidence.routes.iter();
+            let (_, stats) = routes.find(|(tag, _)| *tag == route)?;
+            let stats = match record.window_start(window).get(&route) {
+                Some(start) => stats.since(start),
+                None => stats.clone(),
             };
-            (tally.runs > 0).then_some((id, tally))
+            (stats.runs > 0).then_some((id, stats))
         })
     }
 
-    pub(super) fn on(&self, side: Side) -> impl Iterator<Item = (NodeId, &Seen)> {
-        let all = self.seen.iter().map(|(id, seen)| (*id, seen));
-        all.filter(move |(_, seen)| seen.evidence.side == side)
+    pub(super) fn servers(&self, side: Side) -> impl Iterator<Item = (NodeId, &ServerRecord)> {
+        let all = self.records.iter().map(|(id, record)| (*id, record));
+        all.filter(move |(_, record)| record.evidence.side == side)
     }
 }
 
-/// What is to be judged.
+/// Comparisons of one period.
 #[derive(Debug, Default)]
-pub(super) struct Cases {
-    /// Routes that the new release has run often enough.
-    pub(super) seen: Vec<RouteComparison>,
-    /// The others together.
+pub(super) struct Comparisons {
+    /// Routes with enough requests at the new release.
+    pub(super) routes: Vec<RouteComparison>,
+    /// All other routes, merged into one comparison.
     pub(super) rest: RouteComparison,
 }
 
-impl Cases {
+impl Comparisons {
     fn all(self) -> Vec<RouteComparison> {
-        let mut all = self.seen;
+        let mut all = self.routes;
         all.push(self.rest);
         all
     }
 }
 
-impl Seen {
+impl ServerRecord {
     fn counts(&self) -> Counts {
         self.evidence.routes.iter().cloned().collect()
     }
 
-    /// Returns the counts at the beginning of a span.
-    const fn since(&self, span: Span) -> &Counts {
-        match span {
-            Span::Whole => &self.from,
-            Span::Recent => &self.recent[0],
+    /// Returns the counts at the start of a window.
+    const fn window_start(&self, window: Window) -> &Counts {
+        match window {
+            Window::Whole => &self.baseline,
+            Window::Recent => &self.recent[0],
         }
     }
 
@@ -293,16 +313,19 @@
     }
 
     fn is_fresh(&self, now: Instant) -> bool {
-        now.since(self.at) < STALE
+        now.since(self.received) < STALE_AFTER
     }
 }
 
-pub(super) fn findings(cases: &[RouteComparison]) -> Vec<RolloutFinding> {
-    cases.iter().flat_map(RouteComparison::findings).collect()
+pub(super) fn findings(comparisons: &[RouteComparison]) -> Vec<RolloutFinding> {
+    comparisons
+        .iter()
+        .flat_map(RouteComparison::findings)
+        .collect()
 }
 
-fn add(sums: &mut BTreeMap<NodeId, RouteStats>, counts: BTreeMap<NodeId, RouteStats>) {
-    for (id, tally) in counts {
-        sums.entry(id).or_default().add(&tally);
+fn merge_stats(sums: &mut BTreeMap<NodeId, RouteStats>, counts: BTreeMap<NodeId, RouteStats>) {
+    for (id, stats) in counts {
+        sums.entry(id).or_default().merge(&stats);
     }
 }
--- a/crates/swiftcart-core/tests/rollout.rs
+++ b/crates/swiftcart-core/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: which orders and stages count, how evidence is judged, and what trials end in.
+//! Tests of roll-outs: merging of orders and stages, analysis of evidence, and results of trials.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[path = "support/rollout.rs"]
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use support::{Fault, Play, Trouble};
+use support::{Defect, Disturbance, Simulation};
 use swiftcart_core::*;
 
-/// The plays of each row.
+/// Number of simulations per test case.
 const SEEDS: u64 = 10;
 
 fn at(ms: u64) -> Instant {
@@ -30,8 +30,8 @@
     }
 }
 
-/// Returns what is known after these orders, each ended as told.
-fn after(orders: &[(u64, &str, RolloutStage)]) -> Rollouts {
+/// Returns the roll-outs after these orders, each advanced to the given stage.
+fn rollouts_after(orders: &[(u64, &str, RolloutStage)]) -> Rollouts {
     let mut rollouts = Rollouts::default();
     for (id, target, stage) in orders {
         rollouts.order(at(0), &order(*id, target));
@@ -49,55 +49,55 @@
 use RolloutStage::{Closing, Completed, Ordered, RolledBack, Stopped, Trial as OnTrial};
 
 #[rstest]
-#[case::ordered(&[(1, "v2", Ordered)], "v1", Clearance::Open)]
+#[case::ordered_old(&[(1, "v2", Ordered)], "v1", Clearance::Open)]
 #[case::ordered_new(&[(1, "v2", Ordered)], "v2", Clearance::Closed)]
 #[case::on_trial(&[(1, "v2", OnTrial)], "v2", Clearance::OnCredit)]
-#[case::closing(&[(1, "v2", Closing)], "v1", Clearance::Draining)]
+#[case::closing_old(&[(1, "v2", Closing)], "v1", Clearance::Draining)]
 #[case::closing_new(&[(1, "v2", Closing)], "v2", Clearance::Open)]
 #[case::stopped(&[(1, "v2", Stopped)], "v2", Clearance::Closed)]
 #[case::stopped_old(&[(1, "v2", Stopped)], "v1", Clearance::Open)]
-#[case::taken_back(&[(1, "v2", RolledBack)], "v2", Clearance::Closed)]
-#[case::taken_back_and_another_ordered(&[(1, "v2", RolledBack), (2, "v3", Ordered)], "v2", Clearance::Closed)]
-#[case::replaced_before_its_end(&[(1, "v2", OnTrial), (2, "v3", Ordered)], "v2", Clearance::Closed)]
-#[case::taken_back_and_ordered_again(&[(1, "v2", RolledBack), (2, "v2", OnTrial)], "v2", Clearance::OnCredit)]
-#[case::in_use_and_another_ordered(&[(1, "v2", Completed), (2, "v3", Ordered)], "v2", Clearance::Open)]
-#[case::in_use_and_ordered_again(&[(1, "v2", Completed), (2, "v2", Ordered)], "v2", Clearance::Open)]
-fn a_backend_server_is_given_what_its_release_may_have(
+#[case::rolled_back(&[(1, "v2", RolledBack)], "v2", Clearance::Closed)]
+#[case::rolled_back_then_superseded(&[(1, "v2", RolledBack), (2, "v3", Ordered)], "v2", Clearance::Closed)]
+#[case::superseded_during_trial(&[(1, "v2", OnTrial), (2, "v3", Ordered)], "v2", Clearance::Closed)]
+#[case::rolled_back_then_reordered(&[(1, "v2", RolledBack), (2, "v2", OnTrial)], "v2", Clearance::OnCredit)]
+#[case::completed_then_superseded(&[(1, "v2", Completed), (2, "v3", Ordered)], "v2", Clearance::Open)]
+#[case::completed_then_reordered(&[(1, "v2", Completed), (2, "v2", Ordered)], "v2", Clearance::Open)]
+fn clearance_follows_stage_and_release(
     #[case] orders: &[(u64, &str, RolloutStage)],
     #[case] release: &str,
     #[case] expected: Clearance,
 ) {
-    assert_eq!(clearance(&after(orders), release), expected);
+    assert_eq!(clearance(&rollouts_after(orders), release), expected);
 }
 
 #[rstest]
-#[case::a_later_stage((1, OnTrial), (1, Stopped), (1, Stopped))]
-#[case::an_earlier_stage((1, Stopped), (1, OnTrial), (1, Stopped))]
-#[case::a_move_after_a_stop((1, Stopped), (1, Closing), (1, Stopped))]
-#[case::an_end_that_the_platform_knows((1, Stopped), (1, Completed), (1, Completed))]
-#[case::a_later_order((1, Completed), (2, Ordered), (2, Ordered))]
-#[case::an_earlier_order((2, Ordered), (1, Completed), (2, Ordered))]
-fn of_two_words_the_later_one_counts_in_either_order(
+#[case::later_stage((1, OnTrial), (1, Stopped), (1, Stopped))]
+#[case::earlier_stage((1, Stopped), (1, OnTrial), (1, Stopped))]
+#[case::move_after_stop((1, Stopped), (1, Closing), (1, Stopped))]
+#[case::completion_on_platform((1, Stopped), (1, Completed), (1, Completed))]
+#[case::later_order((1, Completed), (2, Ordered), (2, Ordered))]
+#[case::earlier_order((2, Ordered), (1, Completed), (2, Ordered))]
+fn merged_statuses_keep_the_latest_in_either_order(
     #[case] first: (u64, RolloutStage),
     #[case] second: (u64, RolloutStage),
     #[case] expected: (u64, RolloutStage),
 ) {
-    let words = |(id, stage)| after(&[(id, "v2", stage)]).all(at(0));
-    let mut forth = Rollouts::default();
-    forth.merge(at(0), &words(first));
-    forth.merge(at(0), &words(second));
-    let mut back = Rollouts::default();
-    back.merge(at(0), &words(second));
-    back.merge(at(0), &words(first));
-    for rollouts in [&forth, &back] {
+    let statuses = |(id, stage)| rollouts_after(&[(id, "v2", stage)]).all(at(0));
+    let mut forward = Rollouts::default();
+    forward.merge(at(0), &statuses(first));
+    forward.merge(at(0), &statuses(second));
+    let mut reverse = Rollouts::default();
+    reverse.merge(at(0), &statuses(second));
+    reverse.merge(at(0), &statuses(first));
+    for rollouts in [&forward, &reverse] {
         let rollout = rollouts.get(&sensor()).unwrap();
         assert_eq!((rollout.order.0, rollout.stage), expected);
     }
-    assert_eq!(forth.digest(), back.digest());
+    assert_eq!(forward.digest(), reverse.digest());
 }
 
-/// One node knows both orders, the other one read the later one only.
-fn one_and_other() -> (Rollouts, Rollouts) {
+/// Returns the state of a node that knows both orders, and of a node that read only the later one.
+fn two_views() -> (Rollouts, Rollouts) {
     let mut one = Rollouts::default();
     one.order(at(0), &order(1, "v2"));
     one.order(at(100), &order(2, "v3"));
@@ -107,17 +107,20 @@
 }
 
 #[test]
-fn who_read_the_later_order_only_learns_which_release_stays_out() {
-    let (one, mut other) = one_and_other();
+fn barred_releases_are_merged_from_a_peer() {
+    let (one, mut other) = two_views();
     assert!(other.merge(at(200), &one.all(at(200))));
     assert_eq!(clearance(&other, "v2"), Clearance::Closed);
     assert_eq!(clearance(&other, "v1"), Clearance::Open);
-    assert!(!other.merge(at(300), &one.all(at(300))), "it is no news");
+    assert!(
+        !other.merge(at(300), &one.all(at(300))),
+        "statuses that are merged again change nothing"
+    );
 }
 
 #[test]
-fn who_knows_the_earlier_order_keeps_its_release_out_whoever_tells_the_later_one() {
-    let (_, other) = one_and_other();
+fn superseded_release_stays_barred_when_a_peer_reports_a_newer_order() {
+    let (_, other) = two_views();
     let mut third = Rollouts::default();
     third.order(at(0), &order(1, "v2"));
     assert!(third.merge(at(200), &other.all(at(200))));
@@ -125,43 +128,43 @@
 }
 
 #[test]
-fn a_release_in_use_is_not_kept_out_by_who_missed_its_end() {
-    let mut knows = after(&[(1, "v2", Completed), (2, "v3", Ordered)]);
-    let missed = after(&[(1, "v2", OnTrial), (2, "v3", Ordered)]);
-    assert!(!knows.merge(at(200), &missed.all(at(200))));
-    assert_eq!(clearance(&knows, "v2"), Clearance::Open);
+fn release_in_use_is_not_barred_by_a_stale_peer() {
+    let mut current = rollouts_after(&[(1, "v2", Completed), (2, "v3", Ordered)]);
+    let stale = rollouts_after(&[(1, "v2", OnTrial), (2, "v3", Ordered)]);
+    assert!(!current.merge(at(200), &stale.all(at(200))));
+    assert_eq!(clearance(&current, "v2"), Clearance::Open);
 }
 
 #[test]
-fn two_who_keep_other_releases_out_differ() {
-    let (one, other) = one_and_other();
+fn digest_covers_barred_releases() {
+    let (one, other) = two_views();
     assert_ne!(one.digest(), other.digest());
 }
 
 #[test]
-fn an_order_that_is_read_again_changes_nothing() {
-    let mut rollouts = after(&[(4, "v2", RolledBack)]);
+fn repeated_or_older_order_is_ignored() {
+    let mut rollouts = rollouts_after(&[(4, "v2", RolledBack)]);
     assert!(!rollouts.order(at(0), &order(4, "v2")));
     assert!(!rollouts.order(at(0), &order(3, "v3")));
     assert_eq!(rollouts.get(&sensor()).unwrap().stage, RolledBack);
 }
 
 #[test]
-fn news_is_passed_on_in_three_rounds_and_told_when_asked() {
-    let mut rollouts = after(&[(1, "v2", OnTrial)]);
+fn update_is_gossiped_for_three_rounds_and_digest_mismatch_requests_all() {
+    let mut rollouts = rollouts_after(&[(1, "v2", OnTrial)]);
     let rounds: Vec<usize> = (0..5).map(|_| rollouts.gossip_round(at(0)).len()).collect();
     assert_eq!(rounds, [1, 1, 1, 0, 0]);
     let other = Rollouts::default();
     assert!(
         other
             .sync_request(&rollouts.digest_message())
-            .is_some_and(|words| words.asks)
+            .is_some_and(|statuses| statuses.asks)
     );
     assert!(rollouts.sync_request(&rollouts.digest_message()).is_none());
 }
 
 #[test]
-fn words_of_many_services_fit_datagrams() {
+fn statuses_of_many_services_fit_datagrams() {
     let mut rollouts = Rollouts::default();
     for n in 0..52 {
         let service = ServiceName::new(format!("service-{n}"));
@@ -173,8 +176,8 @@
             },
         );
     }
-    for words in RolloutStatuses::pack(rollouts.digest(), rollouts.all(at(0))) {
-        let datagram = Datagram::Rollouts(RolloutMessage::Statuses(words));
+    for statuses in RolloutStatuses::pack(rollouts.digest(), rollouts.all(at(0))) {
+        let datagram = Datagram::Rollouts(RolloutMessage::Statuses(statuses));
         let from = NodeId("10.0.0.1:7600".parse().unwrap());
         let sealed = seal(&datagram, from, &MeshKey::new([7; 32]));
         assert!(sealed.unwrap().len() <= MAX_DATAGRAM);
@@ -183,11 +186,11 @@
 
 #[test]
 fn evidence_of_many_routes_fits_a_datagram() {
-    let mut tally = TrialStats::default();
+    let mut stats = TrialStats::default();
     for n in 0..200_000_u32 {
-        tally.arrived();
+        stats.arrived();
         let route = RouteTag(n % 300 + 1);
-        tally.ended(
+        stats.ended(
             route,
             n % 3 == 0,
             Duration::from_millis(u64::from(n % 4_000)),
@@ -202,9 +205,9 @@
         epoch: u32::MAX,
         ready: true,
         open: true,
-        arrived: tally.arrivals(),
+        arrived: stats.arrivals(),
         running: 9,
-        routes: tally.routes(),
+        routes: stats.routes(),
     };
     assert_eq!(
         evidence.routes.iter().map(|(_, t)| t.runs).sum::<u32>(),
@@ -231,23 +234,27 @@
 }
 
 #[rstest]
-#[case::that_hears_of_all(4, 4, Some(Completed))]
-#[case::that_lacks_one_waits_for_it(3, 4, None)]
-#[case::that_hears_of_less_than_half(1, 4, None)]
-fn a_watcher(#[case] heard: u8, #[case] known: usize, #[case] expected: Option<RolloutStage>) {
-    let rollouts = after(&[(1, "v2", Closing)]);
+#[case::evidence_from_all(4, 4, Some(Completed))]
+#[case::one_server_missing(3, 4, None)]
+#[case::no_quorum(1, 4, None)]
+fn trial_completes_only_with_evidence_from_all_servers(
+    #[case] senders: u8,
+    #[case] known_servers: usize,
+    #[case] expected: Option<RolloutStage>,
+) {
+    let rollouts = rollouts_after(&[(1, "v2", Closing)]);
     let rollout = rollouts.get(&sensor()).unwrap();
     let settings = TrialSettings {
         share: 0.1,
         extra: 50.0,
     };
     let mut trial = Trial::new(at(0), &rollout, settings);
-    for n in 0..heard {
+    for n in 0..senders {
         let side = if n % 2 == 0 { Side::New } else { Side::Old };
         let (id, evidence) = evidence(n, side);
         trial.observe(at(0), id, evidence);
     }
-    let steps = trial.evaluate(at(100), &rollout, known);
+    let steps = trial.evaluate(at(100), &rollout, known_servers);
     let stage = steps.iter().find_map(|step| match step {
         TrialAction::Advance(step) => Some(step.stage),
         TrialAction::Grant(..) => None,
@@ -256,8 +263,8 @@
 }
 
 #[test]
-fn a_watcher_that_is_cut_off_takes_nothing_back_when_the_time_is_over() {
-    let rollouts = after(&[(1, "v2", OnTrial)]);
+fn partitioned_trial_does_not_stop_the_rollout_at_its_deadline() {
+    let rollouts = rollouts_after(&[(1, "v2", OnTrial)]);
     let rollout = rollouts.get(&sensor()).unwrap();
     let settings = TrialSettings {
         share: 0.1,
@@ -273,95 +280,114 @@
     assert_eq!(advances.count(), 0, "{steps:?}");
 }
 
-fn server(runs: u32, failed: u32, ms: u64) -> RouteStats {
-    let mut tally = RouteStats::default();
-    (0..runs).for_each(|i| tally.count(i < failed, Duration::from_millis(ms)));
-    tally
+fn route_stats(runs: u32, failed: u32, ms: u64) -> RouteStats {
+    let mut stats = RouteStats::default();
+    (0..runs).for_each(|i| stats.record(i < failed, Duration::from_millis(ms)));
+    stats
 }
 
 #[rstest]
-#[case::half_of_its_requests_fail(vec![server(20, 10, 100), server(20, 9, 100)], true)]
-#[case::a_fifth_fails(vec![server(60, 12, 100), server(60, 13, 100)], true)]
-#[case::all_take_eight_times_as_long(vec![server(10, 0, 800), server(10, 0, 800)], true)]
-#[case::it_is_as_good(vec![server(60, 0, 100), server(60, 1, 100)], false)]
-#[case::one_of_three_backend_servers_fails(vec![server(40, 20, 100), server(40, 0, 100), server(40, 0, 100)], false)]
-#[case::hardly_any_request_was_seen(vec![server(3, 2, 100)], false)]
-fn a_release_is_blamed_when_most_of_its_backend_servers_are_worse(
+#[case::half_of_requests_fail(vec![route_stats(20, 10, 100), route_stats(20, 9, 100)], true)]
+#[case::fifth_of_requests_fails(vec![route_stats(60, 12, 100), route_stats(60, 13, 100)], true)]
+#[case::eightfold_latency(vec![route_stats(10, 0, 800), route_stats(10, 0, 800)], true)]
+#[case::equivalent_release(vec![route_stats(60, 0, 100), route_stats(60, 1, 100)], false)]
+#[case::single_faulty_server(vec![route_stats(40, 20, 100), route_stats(40, 0, 100), route_stats(40, 0, 100)], false)]
+#[case::too_few_requests(vec![route_stats(3, 2, 100)], false)]
+fn regression_requires_most_backend_servers_to_be_worse(
     #[case] new: Vec<RouteStats>,
     #[case] expected: bool,
 ) {
-    let old = vec![server(100, 1, 100); 8];
-    let case = RouteComparison {
+    let old = vec![route_stats(100, 1, 100); 8];
+    let comparison = RouteComparison {
         old,
         new,
         ..RouteComparison::default()
     };
-    let blamed = case.findings().iter().any(RolloutFinding::blames);
-    assert_eq!(blamed, expected);
+    let regression = comparison
+        .findings()
+        .iter()
+        .any(RolloutFinding::is_regression);
+    assert_eq!(regression, expected);
 }
 
 #[test]
-fn what_strikes_old_ones_as_well_is_not_laid_to_the_release() {
-    let mut old = vec![server(100, 1, 100); 4];
-    old.extend(vec![server(100, 40, 100); 4]);
-    let new = vec![server(40, 16, 100), server(40, 16, 100)];
-    let case = RouteComparison {
+fn failures_on_both_releases_are_not_a_regression() {
+    let mut old = vec![route_stats(100, 1, 100); 4];
+    old.extend(vec![route_stats(100, 40, 100); 4]);
+    let new = vec![route_stats(40, 16, 100), route_stats(40, 16, 100)];
+    let comparison = RouteComparison {
         old,
         new,
         ..RouteComparison::default()
     };
-    assert!(!case.findings().iter().any(RolloutFinding::blames));
+    assert!(
+        !comparison
+            .findings()
+            .iter()
+            .any(RolloutFinding::is_regression)
+    );
 }
 
 #[rstest]
-#[case::alone(Trouble::None, 0)]
-#[case::beside_failing_servers(Trouble::Grey(0.15, 0.4), 2)]
-#[case::beside_slow_servers(Trouble::Slow(0.16, 5.0), 2)]
-#[case::with_one_bad_server(Trouble::OneBad(0.4), 2)]
-fn a_good_release_is_completed_in_time(#[case] trouble: Trouble, #[case] lost: usize) {
-    let plays = (0..SEEDS).map(|seed| {
-        Play {
-            trouble,
+#[case::no_disturbance(Disturbance::None, 0)]
+#[case::failing_servers(Disturbance::Grey(0.15, 0.4), 2)]
+#[case::slow_servers(Disturbance::Slow(0.16, 5.0), 2)]
+#[case::one_bad_server(Disturbance::OneBad(0.4), 2)]
+fn good_release_completes_before_its_deadline(
+    #[case] disturbance: Disturbance,
+    #[case] max_stopped: usize,
+) {
+    let runs = (0..SEEDS).map(|seed| {
+        Simulation {
+            disturbance,
             seed,
-            ..Play::default()
+            ..Simulation::default()
         }
         .run()
     });
-    let endings: Vec<_> = plays.collect();
-    let other = endings.iter().filter(|ending| ending.stage != Completed);
-    assert!(other.count() <= lost, "{endings:?}");
+    let results: Vec<_> = runs.collect();
+    let other = results.iter().filter(|result| result.stage != Completed);
+    assert!(other.count() <= max_stopped, "{results:?}");
     assert!(
-        endings
+        results
             .iter()
-            .all(|e| e.stage != Completed || !e.left.is_zero())
+            .all(|result| result.stage != Completed || !result.left.is_zero())
     );
 }
 
 #[rstest]
-#[case::at_once(Fault::Errors(0.5))]
-#[case::at_a_quarter(Fault::Errors(0.25))]
-#[case::slow(Fault::Slow(0.5, 8.0))]
-#[case::late(Fault::Late(0.5, 4.5))]
-#[case::very_late(Fault::Late(0.5, 9.0))]
-#[case::under_load(Fault::UnderLoad(0.5))]
-#[case::on_one_route(Fault::OneRoute(0.5))]
-fn a_bad_release_is_stopped_within_its_bounds(
-    #[case] fault: Fault,
-    #[values(Trouble::None, Trouble::Grey(0.15, 0.4), Trouble::Slow(0.16, 5.0))] trouble: Trouble,
+#[case::half_fail(Defect::Errors(0.5))]
+#[case::quarter_fails(Defect::Errors(0.25))]
+#[case::slow(Defect::Slow(0.5, 8.0))]
+#[case::fails_late(Defect::Late(0.5, 4.5))]
+#[case::fails_very_late(Defect::Late(0.5, 9.0))]
+#[case::fails_under_load(Defect::UnderLoad(0.5))]
+#[case::fails_on_one_route(Defect::OneRoute(0.5))]
+fn bad_release_is_stopped_within_its_bounds(
+    #[case] defect: Defect,
+    #[values(
+        Disturbance::None,
+        Disturbance::Grey(0.15, 0.4),
+        Disturbance::Slow(0.16, 5.0)
+    )]
+    disturbance: Disturbance,
 ) {
     for seed in 0..SEEDS {
-        let ending = Play {
-            fault,
-            trouble,
+        let result = Simulation {
+            defect,
+            disturbance,
             seed,
-            ..Play::default()
+            ..Simulation::default()
         }
         .run();
-        assert_eq!(ending.stage, Stopped, "{seed}: {ending:?}");
+        assert_eq!(result.stage, Stopped, "{seed}: {result:?}");
+        assert!(
+            result.exposed <= result.total / 10 + 50,
+            "{seed}: {result:?}"
+        );
         assert!(
-            ending.exposed <= ending.total / 10 + 50,
-            "{seed}: {ending:?}"
+            result.stop_delay <= Duration::from_secs(5),
+            "{seed}: {result:?}"
         );
-        assert!(ending.after <= Duration::from_secs(5), "{seed}: {ending:?}");
     }
 }
--- a/crates/swiftcart-core/tests/support/rollout.rs
+++ b/crates/swiftcart-core/tests/support/rollout.rs
@@ -1,5 +1,5 @@
-//! A service in virtual time whose backend servers are being replaced by those of a new release.
-#![allow(clippy::unwrap_used, reason = "a play fails by panicking")]
+//! Simulation of a service in virtual time during the roll-out of a new release.
+#![allow(clippy::unwrap_used, reason = "a simulation fails by panicking")]
 
 use std::time::Duration;
 
@@ -7,34 +7,34 @@
 use rand::{Rng, SeedableRng};
 use swiftcart_core::*;
 
-/// The time between two steps.
+/// Time between two simulation steps.
 const STEP: Duration = Duration::from_millis(50);
 
-/// How a release is bad.
+/// Defect of the new release.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fault {
+pub enum Defect {
     None,
-    /// A part of its requests fails.
+    /// A share of its requests fails.
     Errors(f64),
-    /// A part of its requests takes so many times as long.
+    /// A share of its requests takes longer, by the given factor.
     Slow(f64, f64),
-    /// A part fails from some seconds after its start on.
+    /// A share of its requests fails from the given second of the roll-out on.
     Late(f64, f64),
-    /// A part fails while half of the slots are taken.
+    /// A share of its requests fails while at least half of the slots are taken.
     UnderLoad(f64),
-    /// A part of one route's requests fails.
+    /// A share of one route's requests fails.
     OneRoute(f64),
 }
 
-/// What befalls backend servers of either release.
+/// Disturbance of backend servers of either release.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
+pub enum Disturbance {
     None,
-    /// A part of all backend servers fails a part of its requests for some seconds.
+    /// A share of the backend servers fails a share of the requests for some seconds.
     Grey(f64, f64),
-    /// A part of all is so many times slower.
+    /// A share of the backend servers is slower for some seconds, by the given factor.
     Slow(f64, f64),
-    /// The first new one fails a part of its requests from its start on.
+    /// The first new backend server fails a share of its requests from its start on.
     OneBad(f64),
 }
 
@@ -42,72 +42,72 @@
 pub struct Server {
     id: NodeId,
     side: Side,
-    turn: RolloutBatch,
+    batch: RolloutBatch,
     speed: f64,
     affected: bool,
-    tally: TrialStats,
+    stats: TrialStats,
     credit: u64,
     credit_until: Instant,
-    ends: Vec<Run>,
+    in_flight: Vec<Request>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Run {
+struct Request {
     start: Instant,
     end: Instant,
     route: RouteTag,
     failed: bool,
-    /// Whether it went badly because of its release.
-    blame: bool,
+    /// Set if the defect of the release affected the request.
+    defective: bool,
 }
 
-/// How a roll-out ended.
+/// Result of a simulated roll-out.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ending {
+pub struct SimulationResult {
     pub stage: RolloutStage,
-    /// Requests of the service, and those that reached the new release until the deadline.
+    /// Requests of the service, and those given to the new release before the deadline.
     pub total: u64,
     pub exposed: u64,
     /// Bad answers of the new release.
     pub bad: u32,
-    /// The time from the 50th bad answer to the last request at the new release.
-    pub after: Duration,
-    /// The time left when the end was reached.
+    /// Time from the 50th bad answer to the last request given to the new release.
+    pub stop_delay: Duration,
+    /// Time left when the final stage was reached.
     pub left: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub struct Play {
+pub struct Simulation {
     pub old: usize,
     pub new: usize,
     pub rate: f64,
     pub duration: Duration,
-    pub fault: Fault,
-    pub trouble: Trouble,
+    pub defect: Defect,
+    pub disturbance: Disturbance,
     pub seed: u64,
 }
 
-impl Default for Play {
+impl Default for Simulation {
     fn default() -> Self {
         Self {
             old: 32,
             new: 32,
             rate: 1_200.0,
             duration: Duration::from_secs(16),
-            fault: Fault::None,
-            trouble: Trouble::None,
+            defect: Defect::None,
+            disturbance: Disturbance::None,
             seed: 1,
         }
     }
 }
 
 const SLOTS: usize = 9;
-/// Mean of a request's time, and the spread of its logarithm.
-const WORK_MS: f64 = 160.0;
-const SPREAD: f64 = 0.6;
+/// Mean service time, and the standard deviation of its logarithm.
+const MEAN_SERVICE_MS: f64 = 160.0;
+const SERVICE_TIME_SIGMA: f64 = 0.6;
 
-impl Play {
-    pub fn run(self) -> Ending {
+impl Simulation {
+    pub fn run(self) -> SimulationResult {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let service = ServiceName::new("sensor");
         let order = RolloutOrder {
@@ -128,9 +128,9 @@
         let mut trial = Trial::new(start, &rollout, settings);
         let routes = [RouteTag(1), RouteTag(3)];
         let (mut total, mut exposed, mut bad) = (0, 0, 0);
-        let (mut fiftieth, mut last) = (None, start);
+        let (mut limit_reached, mut last) = (None, start);
         let mut left = Duration::ZERO;
-        let mut round = start;
+        let mut last_round = start;
         let mut now = start;
         while now.since(start) < self.duration {
             now = now + STEP;
@@ -138,9 +138,9 @@
             let stage = rollouts.get(&service).unwrap().stage;
             let started = since >= Duration::from_millis(1_500);
             for server in &mut servers {
-                bad += server.finish(now);
+                bad += server.complete_due(now);
                 if bad >= 50 {
-                    fiftieth.get_or_insert(now);
+                    limit_reached.get_or_insert(now);
                 }
             }
             let arrivals = poisson(self.rate * STEP.as_secs_f64(), &mut rng);
@@ -152,8 +152,8 @@
                     if server.side == Side::New && !started {
                         continue;
                     }
-                    let clear = stage.clearance(server.side, server.turn);
-                    if !server.takes(now, clear) {
+                    let clearance = stage.clearance(server.side, server.batch);
+                    if !server.accepts(now, clearance) {
                         continue;
                     }
                     if server.side == Side::New {
@@ -161,33 +161,37 @@
                         last = now;
                     }
                     let route = routes[usize::from(rng.random::<f64>() < 0.15)];
-                    self.hand(server, now, since, route, &mut rng);
+                    self.start_request(server, now, since, route, &mut rng);
                     break;
                 }
             }
-            if now.since(round) < TRIAL_INTERVAL {
+            if now.since(last_round) < TRIAL_INTERVAL {
                 continue;
             }
-            round = now;
+            last_round = now;
             for server in &servers {
                 if server.side == Side::New && !started {
                     continue;
                 }
-                let clear = stage.clearance(server.side, server.turn);
-                trial.observe(now, server.id, server.evidence(&service, order.id, clear));
+                let clearance = stage.clearance(server.side, server.batch);
+                trial.observe(
+                    now,
+                    server.id,
+                    server.evidence(&service, order.id, clearance),
+                );
             }
             let rollout = rollouts.get(&service).unwrap();
             let before = rollout.stage;
-            let known = if started { servers.len() } else { self.old };
-            for step in trial.evaluate(now, &rollout, known) {
-                match step {
+            let known_servers = if started { servers.len() } else { self.old };
+            for action in trial.evaluate(now, &rollout, known_servers) {
+                match action {
                     TrialAction::Grant(id, grant) => {
                         let server = servers.iter_mut().find(|s| s.id == id).unwrap();
                         server.credit = grant.upto;
                         server.credit_until = now + TRIAL_INTERVAL * 2;
                     }
-                    TrialAction::Advance(step) => {
-                        rollouts.advance(&service, order.id, step.stage);
+                    TrialAction::Advance(advance) => {
+                        rollouts.advance(&service, order.id, advance.stage);
                     }
                 }
             }
@@ -197,13 +201,13 @@
                 left = rollout.remaining(now);
             }
         }
-        let after = fiftieth.map_or(Duration::ZERO, |at| last.since(at));
-        Ending {
+        let stop_delay = limit_reached.map_or(Duration::ZERO, |at| last.since(at));
+        SimulationResult {
             stage: rollouts.get(&service).unwrap().stage,
             total,
             exposed,
             bad,
-            after,
+            stop_delay,
             left,
         }
     }
@@ -216,29 +220,29 @@
             .map(|(i, side)| Server {
                 id: NodeId(([10, 0, (i >> 8) as u8, i as u8], 7600).into()),
                 side,
-                turn: match side {
+                batch: match side {
                     Side::Old | Side::Barred => RolloutBatch::new(i, self.old),
                     Side::New => RolloutBatch::new(i - self.old, self.new),
                 },
                 speed: [0.5, 1.0, 1.0, 1.5][rng.random_range(0..4)],
-                affected: match self.trouble {
-                    Trouble::None => false,
-                    Trouble::Grey(share, _) | Trouble::Slow(share, _) => {
+                affected: match self.disturbance {
+                    Disturbance::None => false,
+                    Disturbance::Grey(share, _) | Disturbance::Slow(share, _) => {
                         rng.random::<f64>() < share
                     }
-                    Trouble::OneBad(_) => i == self.old,
+                    Disturbance::OneBad(_) => i == self.old,
                 },
-                tally: TrialStats::default(),
+                stats: TrialStats::default(),
                 credit: 0,
                 credit_until: Instant::default(),
-                ends: Vec::new(),
+                in_flight: Vec::new(),
             })
             .collect();
         servers.sort_by_key(|server| server.id);
         servers
     }
 
-    fn hand(
+    fn start_request(
         &self,
         server: &mut Server,
         now: Instant,
@@ -246,78 +250,83 @@
         route: RouteTag,
         rng: &mut SmallRng,
     ) {
-        server.tally.arrived();
+        server.stats.arrived();
         let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-        let mut ms = WORK_MS * (SPREAD * normal - SPREAD * SPREAD / 2.0).exp() / server.speed;
+        let mut ms = MEAN_SERVICE_MS
+            * (SERVICE_TIME_SIGMA * normal - SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2.0).exp()
+            / server.speed;
         let mut failed = rng.random::<f64>() < 0.004;
         let is_new = server.side == Side::New;
         let hit = |share: f64, rng: &mut SmallRng| is_new && rng.random::<f64>() < share;
-        let blame = match self.fault {
-            Fault::None => false,
-            Fault::Errors(share) | Fault::Slow(share, _) => hit(share, rng),
-            Fault::Late(share, from) => since.as_secs_f64() > from && hit(share, rng),
-            Fault::UnderLoad(share) => server.ends.len() * 2 >= SLOTS && hit(share, rng),
-            Fault::OneRoute(share) => route == RouteTag(3) && hit(share, rng),
+        let defective = match self.defect {
+            Defect::None => false,
+            Defect::Errors(share) | Defect::Slow(share, _) => hit(share, rng),
+            Defect::Late(share, from) => since.as_secs_f64() > from && hit(share, rng),
+            Defect::UnderLoad(share) => server.in_flight.len() * 2 >= SLOTS && hit(share, rng),
+            Defect::OneRoute(share) => route == RouteTag(3) && hit(share, rng),
         };
-        match self.fault {
-            Fault::Slow(_, times) if blame => ms *= times,
-            _ => failed |= blame,
+        match self.defect {
+            Defect::Slow(_, factor) if defective => ms *= factor,
+            _ => failed |= defective,
         }
-        let within = (4.0..9.0).contains(&since.as_secs_f64());
-        match self.trouble {
-            Trouble::Grey(_, share) if server.affected && within => {
+        let disturbed = (4.0..9.0).contains(&since.as_secs_f64());
+        match self.disturbance {
+            Disturbance::Grey(_, share) if server.affected && disturbed => {
                 failed |= rng.random::<f64>() < share;
             }
-            Trouble::Slow(_, times) if server.affected && within => ms *= times,
-            Trouble::OneBad(share) if server.affected => failed |= rng.random::<f64>() < share,
+            Disturbance::Slow(_, factor) if server.affected && disturbed => ms *= factor,
+            Disturbance::OneBad(share) if server.affected => failed |= rng.random::<f64>() < share,
             _ => {}
         }
         let end = now + Duration::from_secs_f64(ms.min(4_000.0) / 1e3);
-        server.ends.push(Run {
+        server.in_flight.push(Request {
             start: now,
             end,
             route,
             failed,
-            blame,
+            defective,
         });
     }
 }
 
 impl Server {
-    fn takes(&self, now: Instant, clear: Clearance) -> bool {
-        let room = self.ends.len() < SLOTS;
-        match clear {
+    fn accepts(&self, now: Instant, clearance: Clearance) -> bool {
+        let room = self.in_flight.len() < SLOTS;
+        match clearance {
             Clearance::Open => room,
             Clearance::OnCredit => {
                 room && now.since(self.credit_until).is_zero()
-                    && self.tally.arrivals() < self.credit
+                    && self.stats.arrivals() < self.credit
             }
             Clearance::Closed | Clearance::Draining => false,
         }
     }
 
-    /// Ends what is over; returns how much of it went badly because of its release.
-    fn finish(&mut self, now: Instant) -> u32 {
-        let (over, running): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|run| run.end <= now);
-        self.ends = running;
-        for run in &over {
-            let time = run.end.since(run.start);
-            self.tally.ended(run.route, run.failed, time);
+    /// Completes the requests that have ended. Returns the number of those affected by the defect.
+    fn complete_due(&mut self, now: Instant) -> u32 {
+        let (completed, running): (Vec<_>, Vec<_>) = self
+            .in_flight
+            .drain(..)
+            .partition(|request| request.end <= now);
+        self.in_flight = running;
+        for request in &completed {
+            let time = request.end.since(request.start);
+            self.stats.ended(request.route, request.failed, time);
         }
-        over.iter().filter(|run| run.blame).count() as u32
+        completed.iter().filter(|request| request.defective).count() as u32
     }
 
-    fn evidence(&self, service: &ServiceName, order: OrderId, clear: Clearance) -> Evidence {
+    fn evidence(&self, service: &ServiceName, order: OrderId, clearance: Clearance) -> Evidence {
         Evidence {
             service: service.clone(),
             order,
             side: self.side,
             epoch: 1,
             ready: true,
-            open: matches!(clear, Clearance::Open | Clearance::OnCredit),
-            arrived: self.tally.arrivals(),
-            running: self.ends.len() as u32,
-            routes: self.tally.routes(),
+            open: matches!(clearance, Clearance::Open | Clearance::OnCredit),
+            arrived: self.stats.arrivals(),
+            running: self.in_flight.len() as u32,
+            routes: self.stats.routes(),
         }
     }
 }
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -110,11 +110,7 @@
             watched.known = true;
         }
         match state {
-            RolloutState::Running => {
-                self.watching
-                    .rollouts
-                    .set_deadline(service, *order, now + left)
-            }
+            RolloutState::Running => self.watching.rollouts.set_due(service, *order, now + left),
             RolloutState::Completed => self.advance(service, *order, RolloutStage::Completed, None),
             RolloutState::RolledBack => {
                 self.advance(service, *order, RolloutStage::RolledBack, None);
