--- a/crates/swiftcart-core/src/rollout/trial.rs
+++ b/crates/swiftcart-core/src/rollout/trial.rs
@@ -118,7 +118,7 @@
         self.credit.update_rate(now, self.exposure().all);
         self.observations.rotate_recent(now);
         let remaining = rollout.remaining(now);
-        let step = match rollout.stage {
+        let advance = match rollout.stage {
             RolloutStage::Ordered => self.check_ordered(now, remaining, known_servers),
             RolloutStage::Trial => self.check_trial(remaining),
             RolloutStage::Moving(step) => self.check_moving(now, step),
@@ -126,11 +126,12 @@
             RolloutStage::Stopped | RolloutStage::RolledBack | RolloutStage::Completed => None,
         };
         let has_quorum = self.observations.fresh_count(now) * 2 >= known_servers;
-        let step = step.filter(|step| has_quorum || matches!(step.cause, Cause::Bad(_)));
-        match step {
-            Some(step) => {
-                self.enter(now, step.stage);
-                vec![TrialAction::Advance(step)]
+        let advance =
+            advance.filter(|advance| has_quorum || matches!(advance.cause, Cause::Bad(_)));
+        match advance {
+            Some(advance) => {
+                self.enter(now, advance.stage);
+                vec![TrialAction::Advance(advance)]
             }
             None if rollout.stage == RolloutStage::Trial => self.grants(now, rollout.service),
             None => Vec::new(),
--- a/crates/swiftcart-core/tests/rollout.rs
+++ b/crates/swiftcart-core/tests/rollout.rs
@@ -98,33 +98,33 @@
 
 /// Returns the state of a node that knows both orders, and of a node that read only the later one.
 fn two_views() -> (Rollouts, Rollouts) {
-    let mut one = Rollouts::default();
-    one.order(at(0), &order(1, "v2"));
-    one.order(at(100), &order(2, "v3"));
-    let mut other = Rollouts::default();
-    other.order(at(100), &order(2, "v3"));
-    (one, other)
+    let mut full = Rollouts::default();
+    full.order(at(0), &order(1, "v2"));
+    full.order(at(100), &order(2, "v3"));
+    let mut partial = Rollouts::default();
+    partial.order(at(100), &order(2, "v3"));
+    (full, partial)
 }
 
 #[test]
 fn barred_releases_are_merged_from_a_peer() {
-    let (one, mut other) = two_views();
-    assert!(other.merge(at(200), &one.all(at(200))));
-    assert_eq!(clearance(&other, "v2"), Clearance::Closed);
-    assert_eq!(clearance(&other, "v1"), Clearance::Open);
+    let (full, mut partial) = two_views();
+    assert!(partial.merge(at(200), &full.all(at(200))));
+    assert_eq!(clearance(&partial, "v2"), Clearance::Closed);
+    assert_eq!(clearance(&partial, "v1"), Clearance::Open);
     assert!(
-        !other.merge(at(300), &one.all(at(300))),
+        !partial.merge(at(300), &full.all(at(300))),
         "statuses that are merged again change nothing"
     );
 }
 
 #[test]
 fn superseded_release_stays_barred_when_a_peer_reports_a_newer_order() {
-    let (_, other) = two_views();
-    let mut third = Rollouts::default();
-    third.order(at(0), &order(1, "v2"));
-    assert!(third.merge(at(200), &other.all(at(200))));
-    assert_eq!(clearance(&third, "v2"), Clearance::Closed);
+    let (_, partial) = two_views();
+    let mut node = Rollouts::default();
+    node.order(at(0), &order(1, "v2"));
+    assert!(node.merge(at(200), &partial.all(at(200))));
+    assert_eq!(clearance(&node, "v2"), Clearance::Closed);
 }
 
 #[test]
@@ -137,8 +137,8 @@
 
 #[test]
 fn digest_covers_barred_releases() {
-    let (one, other) = two_views();
-    assert_ne!(one.digest(), other.digest());
+    let (full, partial) = two_views();
+    assert_ne!(full.digest(), partial.digest());
 }
 
 #[test]
@@ -254,9 +254,9 @@
         let (id, evidence) = evidence(n, side);
         trial.observe(at(0), id, evidence);
     }
-    let steps = trial.evaluate(at(100), &rollout, known_servers);
-    let stage = steps.iter().find_map(|step| match step {
-        TrialAction::Advance(step) => Some(step.stage),
+    let actions = trial.evaluate(at(100), &rollout, known_servers);
+    let stage = actions.iter().find_map(|action| match action {
+        TrialAction::Advance(advance) => Some(advance.stage),
         TrialAction::Grant(..) => None,
     });
     assert_eq!(stage, expected);
@@ -273,11 +273,11 @@
     let mut trial = Trial::new(at(0), &rollout, settings);
     let (id, evidence) = evidence(1, Side::New);
     trial.observe(at(11_000), id, evidence);
-    let steps = trial.evaluate(at(11_500), &rollout, 6);
-    let advances = steps
+    let actions = trial.evaluate(at(11_500), &rollout, 6);
+    let advances = actions
         .iter()
-        .filter(|step| matches!(step, TrialAction::Advance(..)));
-    assert_eq!(advances.count(), 0, "{steps:?}");
+        .filter(|action| matches!(action, TrialAction::Advance(..)));
+    assert_eq!(advances.count(), 0, "{actions:?}");
 }
 
 fn route_stats(runs: u32, failed: u32, ms: u64) -> RouteStats {
