--- a/crates/swiftcart-core/src/feed.rs
+++ b/crates/swiftcart-core/src/feed.rs
@@ -1,23 +1,23 @@
-//! The feed: how one node follows the configuration stream, wherever records come from.
+//! Feed of configuration versions: follows the stream of records and snapshots for one node.
 
 mod action;
-mod anchor;
-mod floor;
+mod enforcement_gate;
 mod follow;
-mod join;
+mod readiness_gate;
+mod replay_start;
 mod ring;
 mod search;
 mod settings;
-mod snapshots;
+mod snapshot_feed;
 mod tree;
 mod witness;
 
 pub use action::*;
-pub use anchor::Anchor;
-pub use floor::*;
+pub use enforcement_gate::*;
 pub use follow::*;
-pub use join::*;
+pub use readiness_gate::*;
+pub use replay_start::ReplayStart;
 pub use settings::*;
-pub use snapshots::*;
+pub use snapshot_feed::*;
 pub use tree::*;
 pub use witness::*;
--- a/crates/swiftcart-core/src/feed/action.rs
+++ b/crates/swiftcart-core/src/feed/action.rs
@@ -4,19 +4,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Anchor;
+use super::ReplayStart;
 use crate::{Checkpoint, Delta, Entry, NodeId, Offset, Snapshot, Version};
 
 /// Where records came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Source {
+pub enum RecordSource {
     /// The platform's log.
     Platform,
     /// Another node.
     Peer(NodeId),
 }
 
-impl Source {
+impl RecordSource {
     /// Returns the name used in metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -49,14 +49,14 @@
     /// The next record follows this later rule; the version stays.
     Stalled(u16),
     /// The source has another state at the same position; nothing changed.
-    Diverged(Source),
+    Diverged(RecordSource),
     /// The log neither starts at 0 nor holds a usable checkpoint; ask peers.
     NoStart(Offset),
     /// Append this checkpoint to the log.
     AppendCheckpoint(Checkpoint),
     /// Send the delta to this node's children in the tree of `origin`, or offer them the
     /// version when the delta is too long.
-    Spread {
+    PushDelta {
         /// The reader at the root of the tree.
         origin: NodeId,
         /// What leads to the version, where it is known.
@@ -81,7 +81,7 @@
         /// The state.
         checkpoint: Checkpoint,
         /// The oldest record that the log's readers need, when it is known.
-        anchor: Option<Anchor>,
+        anchor: Option<ReplayStart>,
         /// The records, without gaps.
         entries: Vec<Entry>,
         /// This node's position.
--- a/crates/swiftcart-core/src/feed/floor.rs
+++ b/crates/swiftcart-core/src/feed/enforcement_gate.rs
@@ -6,7 +6,7 @@
 use crate::{Instant, NodeId, Version};
 
 /// How long a node waits for one witness before it puts a version in force anyway.
-pub const REPORT_WAIT: Duration = Duration::from_millis(300);
+pub const WITNESS_ACK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Witnesses in the node's own failure domain.
 const NEAR: usize = 2;
 /// Witnesses in other failure domains.
@@ -14,7 +14,7 @@
 
 /// Asks the node to do something on behalf of the floor.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FloorAction {
+pub enum EnforcementAction {
     /// Report the version to these witnesses.
     Report {
         /// The version that is about to be put in force.
@@ -32,18 +32,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Floor, FloorAction, Instant, NodeId, Version};
+/// use swiftcart_core::{EnforcementGate, EnforcementAction, Instant, NodeId, Version};
 ///
 /// let witness = NodeId(([10, 0, 0, 2], 7000).into());
-/// let mut floor = Floor::new();
+/// let mut floor = EnforcementGate::new();
 /// let version = Version(4);
-/// let report = FloorAction::Report { version, to: vec![witness] };
+/// let report = EnforcementAction::Report { version, to: vec![witness] };
 /// assert_eq!(floor.on_version(Instant::default(), version, &[witness]), [report]);
-/// let enforce = FloorAction::Enforce(version);
+/// let enforce = EnforcementAction::Enforce(version);
 /// assert_eq!(floor.on_ack(Instant::default(), witness, version, &[witness]), [enforce]);
 /// ```
 #[derive(Debug, Default, Clone)]
-pub struct Floor {
+pub struct EnforcementGate {
     enforced: Version,
     open: Option<Report>,
     next: Version,
@@ -57,7 +57,7 @@
     to: Vec<NodeId>,
 }
 
-impl Floor {
+impl EnforcementGate {
     /// Creates the floor of a node that has put nothing in force.
     #[must_use]
     pub fn new() -> Self {
@@ -91,7 +91,7 @@
         now: Instant,
         version: Version,
         witnesses: &[NodeId],
-    ) -> Vec<FloorAction> {
+    ) -> Vec<EnforcementAction> {
         self.next = self.next.max(version);
         match self.open {
             Some(_) => Vec::new(),
@@ -106,7 +106,7 @@
         peer: NodeId,
         version: Version,
         witnesses: &[NodeId],
-    ) -> Vec<FloorAction> {
+    ) -> Vec<EnforcementAction> {
         let acked = |r: &mut Report| r.version <= version && r.to.contains(&peer);
         match self.open.take_if(acked) {
             Some(report) => self.enforce(now, report.version, witnesses),
@@ -115,7 +115,7 @@
     }
 
     /// Puts a version in force for which no witness answered in time.
-    pub fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<FloorAction> {
+    pub fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<EnforcementAction> {
         match self.open.take_if(|report| now >= report.until) {
             Some(report) => {
                 self.unacknowledged += 1;
@@ -130,30 +130,30 @@
         now: Instant,
         version: Version,
         witnesses: &[NodeId],
-    ) -> Vec<FloorAction> {
+    ) -> Vec<EnforcementAction> {
         self.enforced = version;
-        let mut actions = vec![FloorAction::Enforce(version)];
+        let mut actions = vec![EnforcementAction::Enforce(version)];
         actions.extend(self.report(now, witnesses));
         actions
     }
 
-    fn report(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<FloorAction> {
+    fn report(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<EnforcementAction> {
         let version = self.next;
         match witnesses {
             _ if version <= self.enforced => Vec::new(),
             [] => {
                 self.enforced = version;
                 self.unacknowledged += 1;
-                vec![FloorAction::Enforce(version)]
+                vec![EnforcementAction::Enforce(version)]
             }
             _ => {
                 let to = witnesses.to_vec();
                 self.open = Some(Report {
                     version,
-                    until: now + REPORT_WAIT,
+                    until: now + WITNESS_ACK_TIMEOUT,
                     to: to.clone(),
                 });
-                vec![FloorAction::Report { version, to }]
+                vec![EnforcementAction::Report { version, to }]
             }
         }
     }
--- a/crates/swiftcart-core/src/feed/follow.rs
+++ b/crates/swiftcart-core/src/feed/follow.rs
@@ -5,7 +5,7 @@
 
 use super::ring::Ring;
 use super::search::Search;
-use super::{Anchor, FeedAction, FeedCounts, FeedSettings, PullAnswer, Source};
+use super::{FeedAction, FeedCounts, FeedSettings, PullAnswer, RecordSource, ReplayStart};
 use crate::{
     Agreement, Checkpoint, Entry, Fold, FoldError, Head, Instant, NodeId, Offset, Verdict, Version,
 };
@@ -37,7 +37,7 @@
     ring: Ring,
     first: Offset,
     search: Search,
-    anchor: Option<Anchor>,
+    anchor: Option<ReplayStart>,
     stalled: Option<u16>,
     pull: Option<Pull>,
     asked_ms: Option<u64>,
@@ -119,7 +119,7 @@
             Search::All { at } if at >= next => actions.push(FeedAction::NoStart(self.first)),
             Search::Near { .. } | Search::All { .. } => {}
             Search::None | Search::Failed => {
-                actions.extend(self.fold_all(entries, Source::Platform, Some(self.me)));
+                actions.extend(self.fold_all(entries, RecordSource::Platform, Some(self.me)));
             }
         }
         actions
@@ -139,7 +139,7 @@
                 self.counts.gaps += 1;
                 self.pull(now, peer, Some(origin))
             }
-            _ => self.fold_all(entries, Source::Peer(peer), Some(origin)),
+            _ => self.fold_all(entries, RecordSource::Peer(peer), Some(origin)),
         }
     }
 
@@ -149,7 +149,7 @@
         match head.position {
             theirs if theirs > own => self.pull(now, peer, None),
             theirs if theirs == own && head.digest != self.fold.digest().short() => {
-                self.diverged(Source::Peer(peer))
+                self.diverged(RecordSource::Peer(peer))
             }
             _ => Vec::new(),
         }
@@ -178,7 +178,7 @@
         answer: PullAnswer,
     ) -> Vec<FeedAction> {
         let origin = self.end_pull(peer);
-        let source = Source::Peer(peer);
+        let source = RecordSource::Peer(peer);
         let before = self.fold.position();
         let (mut actions, next) = match answer {
             PullAnswer::Current | PullAnswer::Snapshot(_) | PullAnswer::Deltas(_) => {
@@ -212,7 +212,7 @@
     fn fold_all(
         &mut self,
         entries: Vec<Entry>,
-        source: Source,
+        source: RecordSource,
         origin: Option<NodeId>,
     ) -> Vec<FeedAction> {
         let version = self.fold.version();
@@ -246,8 +246,8 @@
         actions
     }
 
-    fn note(&mut self, entry: Entry, verdict: &Verdict, source: Source) -> Vec<FeedAction> {
-        let here = Anchor {
+    fn note(&mut self, entry: Entry, verdict: &Verdict, source: RecordSource) -> Vec<FeedAction> {
+        let here = ReplayStart {
             from: entry.offset,
             at_ms: entry.at_ms,
         };
@@ -261,7 +261,7 @@
                 ..
             } => return self.diverged(source),
             Verdict::Checkpoint { position, .. } if *position >= anchor.from => {
-                let needed = self.ring.at(*position).map(|entry| Anchor {
+                let needed = self.ring.at(*position).map(|entry| ReplayStart {
                     from: entry.offset,
                     at_ms: entry.at_ms,
                 });
@@ -288,7 +288,7 @@
         }
     }
 
-    fn diverged(&mut self, source: Source) -> Vec<FeedAction> {
+    fn diverged(&mut self, source: RecordSource) -> Vec<FeedAction> {
         self.counts.diverged += 1;
         vec![FeedAction::Diverged(source)]
     }
--- a/crates/swiftcart-core/src/feed/follow/adopt.rs
+++ b/crates/swiftcart-core/src/feed/follow/adopt.rs
@@ -1,7 +1,7 @@
 //! How the feed takes over a state, from the log or from a peer.
 
 use super::super::search::Search;
-use super::super::{Anchor, FeedAction, Source};
+use super::super::{FeedAction, RecordSource, ReplayStart};
 use super::Feed;
 use crate::{Body, Checkpoint, CheckpointError, Entry, Envelope, Fold};
 
@@ -18,13 +18,13 @@
                 continue;
             };
             let kept = self.first..=entry.offset;
-            let anchor = Anchor {
+            let anchor = ReplayStart {
                 from: checkpoint.position,
                 at_ms: entry.at_ms,
             };
             let before = self.counts.adopted;
             let actions = match kept.contains(&checkpoint.position) {
-                true => self.adopt(&checkpoint, Some(anchor), Source::Platform),
+                true => self.adopt(&checkpoint, Some(anchor), RecordSource::Platform),
                 false => Vec::new(),
             };
             if self.counts.adopted > before {
@@ -38,8 +38,8 @@
     pub(super) fn adopt(
         &mut self,
         checkpoint: &Checkpoint,
-        anchor: Option<Anchor>,
-        source: Source,
+        anchor: Option<ReplayStart>,
+        source: RecordSource,
     ) -> Vec<FeedAction> {
         let (position, version) = (self.fold.position(), self.fold.version());
         match Fold::from_checkpoint(checkpoint) {
--- a/crates/swiftcart-core/src/feed/follow/serve.rs
+++ b/crates/swiftcart-core/src/feed/follow/serve.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::super::anchor::Log;
+use super::super::replay_start::Log;
 use super::super::{FeedAction, PullAnswer};
 use super::Feed;
 use crate::{Checkpoint, Offset};
--- a/crates/swiftcart-core/src/feed/join.rs
+++ b/crates/swiftcart-core/src/feed/readiness_gate.rs
@@ -8,9 +8,9 @@
 use crate::{Instant, NodeId, Offset, Version};
 
 /// How long a peer has to answer a joiner.
-pub const ASK_WAIT: Duration = Duration::from_secs(1);
+pub const FLOOR_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Peers that a joiner asks, at most.
-pub const MAX_ASKED: usize = 4096;
+pub const MAX_QUERIED_PEERS: usize = 4096;
 
 /// How much longer than so far a start is expected to take. Starts of one mesh last from 0.2 s to
 /// 2 s, when 295 nodes share what the platform gives out; who comes back after the time so far meets
@@ -30,14 +30,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::start_wait;
+/// use swiftcart_core::startup_retry_after;
 ///
-/// assert_eq!(start_wait(Duration::from_millis(10)), Duration::from_millis(250));
-/// assert_eq!(start_wait(Duration::from_millis(400)), Duration::from_millis(800));
-/// assert_eq!(start_wait(Duration::from_secs(60)), Duration::from_secs(2));
+/// assert_eq!(startup_retry_after(Duration::from_millis(10)), Duration::from_millis(250));
+/// assert_eq!(startup_retry_after(Duration::from_millis(400)), Duration::from_millis(800));
+/// assert_eq!(startup_retry_after(Duration::from_secs(60)), Duration::from_secs(2));
 /// ```
 #[must_use]
-pub fn start_wait(uptime: Duration) -> Duration {
+pub fn startup_retry_after(uptime: Duration) -> Duration {
     uptime
         .saturating_mul(START_FACTOR)
         .clamp(START_LEAST, START_MOST)
@@ -48,23 +48,23 @@
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum NotReady {
         /// The platform was not read yet and is not known to be out of reach.
-        Unread {
+        PlatformUnread {
             display("the platform was not read yet; wait for it")
         }
         /// Records up to the end of the log are missing.
-        Behind(position: Offset, head: Offset) {
+        BehindLog(position: Offset, head: Offset) {
             display("read up to {position} of {head}; wait for the rest")
         }
         /// Peers have time left to answer.
-        Asking(peers: usize) {
+        AwaitingPeers(peers: usize) {
             display("the platform is out of reach and {peers} peers have not answered; wait for them")
         }
         /// No peer that is ready itself has answered.
-        Alone {
+        NoReadyPeer {
             display("neither the platform nor a ready peer answers; check the network")
         }
         /// A peer knows of a later version.
-        Below(version: Version, floor: Version) {
+        BehindPeer(version: Version, floor: Version) {
             display("at version {version}, below {floor} that a peer reports; wait for it")
         }
     }
@@ -75,18 +75,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Join, NotReady, Offset, Version};
+/// use swiftcart_core::{ReadinessGate, NotReady, Offset, Version};
 ///
-/// let mut join = Join::new();
+/// let mut join = ReadinessGate::new();
 /// let now = Default::default();
-/// assert_eq!(join.ready(now, Offset(0), Version::NONE), Err(NotReady::Unread));
-/// join.on_platform(Offset(2));
-/// let behind = NotReady::Behind(Offset(0), Offset(2));
+/// assert_eq!(join.ready(now, Offset(0), Version::NONE), Err(NotReady::PlatformUnread));
+/// join.on_log_end(Offset(2));
+/// let behind = NotReady::BehindLog(Offset(0), Offset(2));
 /// assert_eq!(join.ready(now, Offset(0), Version::NONE), Err(behind));
 /// assert_eq!(join.ready(now, Offset(2), Version(1)), Ok(()));
 /// ```
 #[derive(Debug, Default, Clone)]
-pub struct Join {
+pub struct ReadinessGate {
     ready: bool,
     head: Option<Offset>,
     outage: bool,
@@ -100,7 +100,7 @@
     answer: Option<Version>,
 }
 
-impl Join {
+impl ReadinessGate {
     /// Creates the joiner that knows nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -108,7 +108,7 @@
     }
 
     /// Notes the end of the platform's log; the first one after the start counts.
-    pub fn on_platform(&mut self, next: Offset) {
+    pub fn on_log_end(&mut self, next: Offset) {
         self.head.get_or_insert(next);
     }
 
@@ -121,11 +121,11 @@
     /// Returns the known peers that are to be asked now.
     ///
     /// Whoever did not answer, or is not ready itself, is asked again after
-    /// [`ASK_WAIT`].
-    pub fn asks(&mut self, now: Instant, known: &[NodeId]) -> Vec<NodeId> {
+    /// [`FLOOR_REPLY_TIMEOUT`].
+    pub fn peers_to_query(&mut self, now: Instant, known: &[NodeId]) -> Vec<NodeId> {
         let mut due = Vec::new();
         for id in known {
-            let has_room = self.peers.len() < MAX_ASKED;
+            let has_room = self.peers.len() < MAX_QUERIED_PEERS;
             match self.peers.get_mut(id) {
                 _ if self.ready => {}
                 Some(asked) if asked.is_due(now) => {
@@ -145,7 +145,7 @@
     /// Takes a peer's answer, see [`Witness::answer`](crate::Witness::answer).
     ///
     /// An answer of a peer that was not asked is ignored.
-    pub fn on_answer(&mut self, peer: NodeId, floor: Version) {
+    pub fn on_peer_floor(&mut self, peer: NodeId, floor: Version) {
         if let Some(asked) = self.peers.get_mut(&peer) {
             asked.answer = asked.answer.max(Some(floor));
         }
@@ -179,11 +179,11 @@
         let floor = answers.max().unwrap_or_default();
         match self.head {
             Some(head) if position >= head => Ok(()),
-            Some(head) if !self.outage => Err(NotReady::Behind(position, head)),
-            None if !self.outage => Err(NotReady::Unread),
-            _ if waiting > 0 => Err(NotReady::Asking(waiting)),
-            _ if floor == Version::NONE => Err(NotReady::Alone),
-            _ if version < floor => Err(NotReady::Below(version, floor)),
+            Some(head) if !self.outage => Err(NotReady::BehindLog(position, head)),
+            None if !self.outage => Err(NotReady::PlatformUnread),
+            _ if waiting > 0 => Err(NotReady::AwaitingPeers(waiting)),
+            _ if floor == Version::NONE => Err(NotReady::NoReadyPeer),
+            _ if version < floor => Err(NotReady::BehindPeer(version, floor)),
             _ => Ok(()),
         }
     }
@@ -200,10 +200,10 @@
 
     fn is_due(&self, now: Instant) -> bool {
         let answered = self.answer.is_some_and(|version| version > Version::NONE);
-        !answered && now.since(self.last) >= ASK_WAIT
+        !answered && now.since(self.last) >= FLOOR_REPLY_TIMEOUT
     }
 
     fn is_open(&self, now: Instant) -> bool {
-        self.answer.is_none() && now.since(self.first) < ASK_WAIT
+        self.answer.is_none() && now.since(self.first) < FLOOR_REPLY_TIMEOUT
     }
 }
--- a/crates/swiftcart-core/src/feed/anchor.rs
+++ b/crates/swiftcart-core/src/feed/replay_start.rs
@@ -14,14 +14,14 @@
 
 /// The oldest record that a reader without state needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Anchor {
+pub struct ReplayStart {
     /// Its offset: the position of the last checkpoint, or 0 without one.
     pub from: Offset,
     /// When it was appended, in Unix milliseconds of the platform's clock.
     pub at_ms: u64,
 }
 
-impl Anchor {
+impl ReplayStart {
     /// Tells whether a reader of this rank appends a checkpoint now.
     ///
     /// It is due when half of the retention is over, or when a joiner would have
--- a/crates/swiftcart-core/src/feed/snapshots.rs
+++ b/crates/swiftcart-core/src/feed/snapshot_feed.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{FeedAction, PullAnswer, Source};
+use super::{FeedAction, PullAnswer, RecordSource};
 use crate::{Delta, Digest, Head, Instant, NodeId, Offset, Snapshot, Version};
 
 /// How long a pull may take before another one starts; a pull within a failure domain takes
@@ -27,18 +27,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{FeedAction, NodeId, Snapshot, Snapshots, Table, Version};
+/// use swiftcart_core::{FeedAction, NodeId, Snapshot, SnapshotFeed, Table, Version};
 ///
 /// let me = NodeId(([10, 0, 0, 1], 7000).into());
-/// let mut snapshots = Snapshots::new(me);
+/// let mut snapshots = SnapshotFeed::new(me);
 /// let actions = snapshots.on_read(Snapshot::new(Version(7), Table::new()));
 /// let delta = None;
-/// let spread = FeedAction::Spread { origin: me, delta };
+/// let spread = FeedAction::PushDelta { origin: me, delta };
 /// assert_eq!(actions, [spread, FeedAction::Applied(Version(7))]);
 /// assert_eq!(snapshots.on_read(Snapshot::new(Version(6), Table::new())), []);
 /// ```
 #[derive(Debug, Clone)]
-pub struct Snapshots {
+pub struct SnapshotFeed {
     me: NodeId,
     newest: Arc<Snapshot>,
     digest: Digest,
@@ -55,7 +55,7 @@
     origin: Option<NodeId>,
 }
 
-impl Snapshots {
+impl SnapshotFeed {
     /// Creates the state of a node that knows nothing yet.
     #[must_use]
     pub fn new(me: NodeId) -> Self {
@@ -92,7 +92,7 @@
 
     /// Takes the version that the platform holds.
     pub fn on_read(&mut self, snapshot: Snapshot) -> Vec<FeedAction> {
-        self.adopt(snapshot, Source::Platform, Some(self.me))
+        self.adopt(snapshot, RecordSource::Platform, Some(self.me))
     }
 
     /// Takes the version that `peer` told of itself.
@@ -100,7 +100,7 @@
         match head.position {
             theirs if theirs > self.newest.version.0 => self.pull(now, peer, None),
             theirs if theirs == self.newest.version.0 && head.digest != self.digest.short() => {
-                vec![FeedAction::Diverged(Source::Peer(peer))]
+                vec![FeedAction::Diverged(RecordSource::Peer(peer))]
             }
             _ => Vec::new(),
         }
@@ -143,9 +143,11 @@
     pub fn on_pulled(&mut self, peer: NodeId, answer: PullAnswer) -> Vec<FeedAction> {
         let origin = self.end_pull(peer);
         match answer {
-            PullAnswer::Snapshot(snapshot) => {
-                self.adopt(Arc::unwrap_or_clone(snapshot), Source::Peer(peer), origin)
-            }
+            PullAnswer::Snapshot(snapshot) => self.adopt(
+                Arc::unwrap_or_clone(snapshot),
+                RecordSource::Peer(peer),
+                origin,
+            ),
             PullAnswer::Deltas(deltas) => self.take_all(deltas, origin),
             // Records of a log, from a node with other settings, mean nothing here.
             PullAnswer::Current | PullAnswer::Entries { .. } | PullAnswer::State { .. } => {
@@ -185,7 +187,7 @@
     fn adopt(
         &mut self,
         snapshot: Snapshot,
-        source: Source,
+        source: RecordSource,
         origin: Option<NodeId>,
     ) -> Vec<FeedAction> {
         let version = snapshot.version;
@@ -215,7 +217,7 @@
         self.digest = digest;
         self.newest = Arc::new(snapshot);
         self.keep(delta.as_ref());
-        let spread = origin.map(|origin| FeedAction::Spread { origin, delta });
+        let spread = origin.map(|origin| FeedAction::PushDelta { origin, delta });
         let applied = FeedAction::Applied(version);
         spread.into_iter().chain([applied]).collect()
     }
--- a/crates/swiftcart-core/src/feed/tree.rs
+++ b/crates/swiftcart-core/src/feed/tree.rs
@@ -10,14 +10,14 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{NodeId, children};
+/// use swiftcart_core::{NodeId, push_children};
 ///
 /// let nodes: Vec<_> = (1..=4).map(|port| NodeId(([10, 0, 0, 1], port).into())).collect();
-/// assert_eq!(children(&nodes, nodes[2], nodes[2], 2), [nodes[3], nodes[0]]);
-/// assert_eq!(children(&nodes, nodes[2], nodes[3], 2), [nodes[1]]);
+/// assert_eq!(push_children(&nodes, nodes[2], nodes[2], 2), [nodes[3], nodes[0]]);
+/// assert_eq!(push_children(&nodes, nodes[2], nodes[3], 2), [nodes[1]]);
 /// ```
 #[must_use]
-pub fn children(members: &[NodeId], origin: NodeId, me: NodeId, fanout: usize) -> Vec<NodeId> {
+pub fn push_children(members: &[NodeId], origin: NodeId, me: NodeId, fanout: usize) -> Vec<NodeId> {
     let (Ok(start) | Err(start)) = members.binary_search(&origin);
     let (before, after) = members.split_at(start);
     let others = after.iter().chain(before).filter(|id| **id != origin);
--- a/crates/swiftcart-core/src/feed/witness.rs
+++ b/crates/swiftcart-core/src/feed/witness.rs
@@ -5,7 +5,7 @@
 use crate::{NodeId, Version};
 
 /// Nodes that a witness remembers; the one with the oldest version goes first.
-pub const MAX_WITNESSED: usize = 4096;
+pub const MAX_WITNESSED_NODES: usize = 4096;
 
 /// Remembers the greatest version that each node reported.
 ///
@@ -33,7 +33,7 @@
     pub fn on_report(&mut self, node: NodeId, version: Version) -> bool {
         let known = self.0.entry(node).or_default();
         *known = version.max(*known);
-        if self.0.len() > MAX_WITNESSED {
+        if self.0.len() > MAX_WITNESSED_NODES {
             let oldest = self.0.iter().min_by_key(|(id, version)| (**version, **id));
             let oldest = oldest.map(|(id, _)| *id);
             oldest.and_then(|id| self.0.remove(&id));
--- a/crates/swiftcart-core/src/member/list.rs
+++ b/crates/swiftcart-core/src/member/list.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::{FailureDomain, Incarnation, Instant, Liveness, Member, News, NodeId, Status};
+use crate::{FailureDomain, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId, Status};
 
 /// The number of parts in which two lists are compared.
 pub const BUCKETS: usize = 64;
@@ -56,10 +56,10 @@
     }
 
     /// Applies news when it is newer than what the list holds.
-    pub fn apply(&mut self, now: Instant, news: News) -> Applied {
+    pub fn apply(&mut self, now: Instant, news: MemberUpdate) -> Applied {
         match news {
-            News::Entry(member) => self.apply_entry(now, member),
-            News::Status(status) => self.apply_status(now, status),
+            MemberUpdate::Entry(member) => self.apply_entry(now, member),
+            MemberUpdate::Status(status) => self.apply_status(now, status),
         }
     }
 
--- a/crates/swiftcart-core/src/member/membership.rs
+++ b/crates/swiftcart-core/src/member/membership.rs
@@ -11,7 +11,8 @@
 use super::verdict::Watch;
 use super::{Action, Applied, Gossip, Kind, List, MemberCounts, NewsQueue, Probes, Reach, Relay};
 use crate::{
-    Backend, Beat, Datagram, Head, Incarnation, Instant, Liveness, Member, News, NodeId, Pace,
+    Backend, Datagram, Head, Heartbeat, Incarnation, Instant, Liveness, Member, MemberUpdate,
+    NodeId, Pace,
 };
 
 /// Seeds that are asked at once; some of those that a directory names may be gone.
@@ -214,7 +215,7 @@
         self.far_differs = None;
         for member in entries {
             let id = member.id;
-            let news = News::Entry(member);
+            let news = MemberUpdate::Entry(member);
             match id == self.me.id {
                 true => self.answer_news_of_me(now, &news),
                 false if carries => drop(self.accept(now, news)),
@@ -328,24 +329,24 @@
             incarnation,
             liveness: Liveness::Left,
         };
-        self.accept(now, News::Status(status));
+        self.accept(now, MemberUpdate::Status(status));
     }
 
     /// Answers a beat; a sender that introduces itself gets this node's entry in return.
-    fn answer(&mut self, now: Instant, from: NodeId, beat: Beat) -> Beat {
+    fn answer(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Heartbeat {
         // Whoever finds a node that knows nobody has the list that it lacks.
         self.synced = self.merged || (self.synced && !self.is_alone());
-        let own = |n: &News| n.id() == from && matches!(n, News::Entry(_));
+        let own = |n: &MemberUpdate| n.id() == from && matches!(n, MemberUpdate::Entry(_));
         let introduced = self.list.get(from).is_none() || beat.news.iter().any(own);
         let mut replies = self.hear(now, from, beat);
         if introduced {
-            replies.insert(0, News::Entry(self.me.clone()));
+            replies.insert(0, MemberUpdate::Entry(self.me.clone()));
         }
         self.beat(from, replies)
     }
 
     /// Takes in a beat and returns what its sender should be told.
-    fn hear(&mut self, now: Instant, from: NodeId, beat: Beat) -> Vec<News> {
+    fn hear(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Vec<MemberUpdate> {
         let replies = self.learn(now, beat.news);
         self.compare(now, from, beat.hash);
         replies
@@ -362,7 +363,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, to: NodeId, news: Vec<News>) {
+    pub(super) fn reply(&mut self, to: NodeId, news: Vec<MemberUpdate>) {
         let news = NewsQueue::fit(news, self.settings.news_bytes);
         if !news.is_empty() {
             self.send(to, Datagram::Gossip { news });
@@ -374,7 +375,7 @@
     }
 
     /// Applies news and counts what the list refuses.
-    pub(super) fn apply(&mut self, now: Instant, news: News) -> Applied {
+    pub(super) fn apply(&mut self, now: Instant, news: MemberUpdate) -> Applied {
         let id = news.id();
         let applied = self.list.apply(now, news);
         match applied {
--- a/crates/swiftcart-core/src/member/news.rs
+++ b/crates/swiftcart-core/src/member/news.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{News, NodeId};
+use crate::{MemberUpdate, NodeId};
 
 /// Counts the bytes that do not count towards any item: room for the list's length.
 const LIST_OVERHEAD: usize = 2;
 
 #[derive(Debug, Clone)]
 struct Item {
-    news: News,
+    news: MemberUpdate,
     size: usize,
     sent: u32,
     order: u64,
@@ -25,7 +25,7 @@
 
 impl NewsQueue {
     /// Adds news, in place of what the queue held of the same node.
-    pub fn push(&mut self, news: News) {
+    pub fn push(&mut self, news: MemberUpdate) {
         let id = news.id();
         self.remove(id);
         self.order += 1;
@@ -50,11 +50,11 @@
     /// what was sent `limit` times.
     pub fn fill(
         &mut self,
-        first: Vec<News>,
+        first: Vec<MemberUpdate>,
         budget: usize,
         limit: u32,
         wanted: impl Fn(NodeId) -> bool,
-    ) -> Vec<News> {
+    ) -> Vec<MemberUpdate> {
         let mut chosen = Self::fit(first, budget);
         let taken: usize = chosen.iter().map(size_of).sum();
         let mut left = budget.saturating_sub(taken + LIST_OVERHEAD);
@@ -80,7 +80,7 @@
     }
 
     /// Drops from `news` what does not fit into `budget` bytes.
-    pub fn fit(mut news: Vec<News>, budget: usize) -> Vec<News> {
+    pub fn fit(mut news: Vec<MemberUpdate>, budget: usize) -> Vec<MemberUpdate> {
         let mut left = budget.saturating_sub(LIST_OVERHEAD);
         news.retain(|item| {
             let size = size_of(item);
@@ -115,6 +115,6 @@
 }
 
 /// Returns the encoded size; news that cannot be encoded fits nowhere.
-fn size_of(news: &News) -> usize {
+fn size_of(news: &MemberUpdate) -> usize {
     postcard::experimental::serialized_size(news).unwrap_or(usize::MAX / 1024)
 }
--- a/crates/swiftcart-core/src/member/prober.rs
+++ b/crates/swiftcart-core/src/member/prober.rs
@@ -9,7 +9,7 @@
 use super::list::ring_key;
 use super::verdict::WORST_HEALTH;
 use super::{Kind, Membership, Probe};
-use crate::{Datagram, FailureDomain, Instant, Liveness, News, NodeId, Seq};
+use crate::{Datagram, FailureDomain, Instant, Liveness, MemberUpdate, NodeId, Seq};
 
 /// How long after it left or died a node is expected back. A restart takes seconds, and a
 /// platform that cannot tell the node of the others is seldom out for longer than this.
@@ -134,7 +134,7 @@
         });
         self.counts.probes += 1;
         let first = match kind {
-            Kind::Stray => vec![News::Entry(self.me.clone())],
+            Kind::Stray => vec![MemberUpdate::Entry(self.me.clone())],
             Kind::Own | Kind::Cross => Vec::new(),
         };
         let beat = self.beat(target, first);
--- a/crates/swiftcart-core/src/member/spread.rs
+++ b/crates/swiftcart-core/src/member/spread.rs
@@ -6,7 +6,8 @@
 
 use super::{Action, Applied, Membership};
 use crate::{
-    Backend, Beat, Incarnation, Instant, Liveness, Member, News, NodeId, Readiness, Status,
+    Backend, Heartbeat, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId, Readiness,
+    Status,
 };
 
 /// The least time between two rounds of urgent news.
@@ -32,7 +33,7 @@
 
 impl Membership {
     /// Takes in news and returns what its sender should be told in turn.
-    pub(super) fn learn(&mut self, now: Instant, news: Vec<News>) -> Vec<News> {
+    pub(super) fn learn(&mut self, now: Instant, news: Vec<MemberUpdate>) -> Vec<MemberUpdate> {
         let mut replies = Vec::new();
         for item in news {
             let id = item.id();
@@ -48,7 +49,7 @@
     }
 
     /// Applies news of another node and passes it on when it is new.
-    pub(super) fn accept(&mut self, now: Instant, news: News) -> Applied {
+    pub(super) fn accept(&mut self, now: Instant, news: MemberUpdate) -> Applied {
         let id = news.id();
         let before = self.list.get(id).map(|m| m.liveness);
         let applied = self.absorb(now, news.clone());
@@ -64,7 +65,7 @@
     }
 
     /// Applies news of another node without passing it on.
-    pub(super) fn absorb(&mut self, now: Instant, news: News) -> Applied {
+    pub(super) fn absorb(&mut self, now: Instant, news: MemberUpdate) -> Applied {
         let id = news.id();
         let applied = self.apply(now, news);
         if applied == Applied::Changed {
@@ -74,10 +75,12 @@
     }
 
     /// Refutes what others wrongly hold of this node.
-    pub(super) fn answer_news_of_me(&mut self, now: Instant, news: &News) {
+    pub(super) fn answer_news_of_me(&mut self, now: Instant, news: &MemberUpdate) {
         let (incarnation, wrong) = match news {
-            News::Entry(entry) => (entry.incarnation, *entry != self.me),
-            News::Status(status) => (status.incarnation, status.liveness != Liveness::Alive),
+            MemberUpdate::Entry(entry) => (entry.incarnation, *entry != self.me),
+            MemberUpdate::Status(status) => {
+                (status.incarnation, status.liveness != Liveness::Alive)
+            }
         };
         match self.me.liveness.is_live() {
             true if incarnation > self.me.incarnation => self.refute(now, incarnation),
@@ -93,7 +96,7 @@
         self.list.put(now, self.me.clone());
         self.last_change = now;
         self.out.push(Action::Changed(self.me.id));
-        self.news.push(News::Entry(self.me.clone()));
+        self.news.push(MemberUpdate::Entry(self.me.clone()));
         self.announce_afar();
         self.urgent = true;
     }
@@ -106,7 +109,7 @@
         self.urgent = false;
         self.next_urgent = now + URGENT_EVERY;
         for id in self.own_round() {
-            let news = vec![News::Entry(self.me.clone())];
+            let news = vec![MemberUpdate::Entry(self.me.clone())];
             self.reply(id, news);
         }
         let near = self.near_peers(self.settings.fanout);
@@ -120,7 +123,7 @@
     ///
     /// Another failure domain hears of this one's nodes only. What it has to know of its own
     /// nodes and of third ones spreads there, or comes from theirs.
-    fn pick_news(&mut self, to: NodeId, first: Vec<News>) -> Vec<News> {
+    fn pick_news(&mut self, to: NodeId, first: Vec<MemberUpdate>) -> Vec<MemberUpdate> {
         let (budget, limit) = (self.settings.news_bytes, self.limit());
         let list = &self.list;
         let own = &self.me.domain;
@@ -131,14 +134,14 @@
     }
 
     /// Returns a beat for `to`, with what it should know of itself or of this node first.
-    pub(super) fn beat(&mut self, to: NodeId, mut first: Vec<News>) -> Beat {
+    pub(super) fn beat(&mut self, to: NodeId, mut first: Vec<MemberUpdate>) -> Heartbeat {
         match self.list.get(to) {
             Some(m) if m.liveness != Liveness::Alive => first.insert(0, status_of(m)),
             Some(_) => {}
-            None if first.is_empty() => first.push(News::Entry(self.me.clone())),
+            None if first.is_empty() => first.push(MemberUpdate::Entry(self.me.clone())),
             None => {}
         }
-        Beat {
+        Heartbeat {
             head: self.head,
             hash: self.list.hash(),
             news: self.pick_news(to, first),
@@ -220,18 +223,18 @@
     }
 
     /// Returns what is known of a node, without its addresses when it is not alive.
-    fn known_of(&self, id: NodeId) -> Option<News> {
+    fn known_of(&self, id: NodeId) -> Option<MemberUpdate> {
         let member = self.list.get(id)?;
         Some(match member.liveness {
-            Liveness::Alive => News::Entry(member.clone()),
+            Liveness::Alive => MemberUpdate::Entry(member.clone()),
             Liveness::Suspect | Liveness::Dead | Liveness::Left => status_of(member),
         })
     }
 }
 
 /// Returns the short form of an entry.
-pub(super) fn status_of(member: &Member) -> News {
-    News::Status(Status {
+pub(super) fn status_of(member: &Member) -> MemberUpdate {
+    MemberUpdate::Status(Status {
         id: member.id,
         incarnation: member.incarnation,
         liveness: member.liveness,
@@ -239,11 +242,11 @@
 }
 
 /// Tells whether news should not wait: a node is in doubt, gone, back, or drains.
-fn is_urgent(before: Option<Liveness>, news: &News) -> bool {
+fn is_urgent(before: Option<Liveness>, news: &MemberUpdate) -> bool {
     let drains = |b: &Backend| b.readiness == Readiness::Draining;
     match news {
-        News::Status(_) => true,
-        News::Entry(_) if before.is_some_and(|l| l != Liveness::Alive) => true,
-        News::Entry(member) => member.backend.as_ref().is_some_and(drains),
+        MemberUpdate::Status(_) => true,
+        MemberUpdate::Entry(_) if before.is_some_and(|l| l != Liveness::Alive) => true,
+        MemberUpdate::Entry(member) => member.backend.as_ref().is_some_and(drains),
     }
 }
--- a/crates/swiftcart-core/src/member/verdict.rs
+++ b/crates/swiftcart-core/src/member/verdict.rs
@@ -3,7 +3,7 @@
 use rand::seq::IteratorRandom;
 
 use super::{Action, Kind, Membership, Probe};
-use crate::{Datagram, Instant, Liveness, News, NodeId, Seq, Status};
+use crate::{Datagram, Instant, Liveness, MemberUpdate, NodeId, Seq, Status};
 
 /// The worst value of a node's health; timeouts double there.
 pub(super) const WORST_HEALTH: u32 = 4;
@@ -164,7 +164,7 @@
             Liveness::Suspect => self.counts.suspected += 1,
             _ => self.counts.declared += 1,
         }
-        let news = News::Status(Status {
+        let news = MemberUpdate::Status(Status {
             id,
             incarnation: member.incarnation,
             liveness,
--- a/crates/swiftcart-core/src/wire.rs
+++ b/crates/swiftcart-core/src/wire.rs
@@ -5,5 +5,5 @@
 mod sync;
 
 pub use datagram::*;
-pub use seal::{FORMAT, MAX_DATAGRAM, MeshKey, SEAL_LEN, WireError, open, seal};
+pub use seal::{MAX_DATAGRAM_LEN, MeshKey, SEAL_LEN, WIRE_FORMAT, WireError, open, seal};
 pub use sync::*;
--- a/crates/swiftcart-core/src/wire/datagram.rs
+++ b/crates/swiftcart-core/src/wire/datagram.rs
@@ -21,14 +21,14 @@
 
 /// Tells one thing about one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum News {
+pub enum MemberUpdate {
     /// Everything that is known of a node.
     Entry(Member),
     /// Only its liveness, for receivers that know the rest.
     Status(Status),
 }
 
-impl News {
+impl MemberUpdate {
     /// Returns the node that the news is about.
     #[must_use]
     pub const fn id(&self) -> NodeId {
@@ -52,19 +52,19 @@
 
 /// What every probe and every acknowledgement carries.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's place in the configuration stream.
     pub head: Head,
     /// The hash of the sender's member list.
     pub hash: u32,
     /// What the sender passes on of other nodes and itself.
-    pub news: Vec<News>,
+    pub news: Vec<MemberUpdate>,
 }
 
 /// A message between two nodes.
 ///
 /// Postcard writes a variant as its position in this list: new variants go to the
-/// end, and a change of an existing one needs a new [`FORMAT`](crate::FORMAT).
+/// end, and a change of an existing one needs a new [`WIRE_FORMAT`](crate::FORMAT).
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Datagram {
     /// Asks the receiver for an [`Datagram::Ack`].
@@ -72,14 +72,14 @@
         /// Repeated in the answer.
         seq: Seq,
         /// The sender's state.
-        beat: Beat,
+        beat: Heartbeat,
     },
     /// Answers a probe.
     Ack {
         /// The probe's number.
         seq: Seq,
         /// The sender's state.
-        beat: Beat,
+        beat: Heartbeat,
     },
     /// Asks the receiver to probe `target` in the sender's place.
     ProbeFor {
@@ -98,7 +98,7 @@
     /// Passes on news outside a probe.
     Gossip {
         /// The news.
-        news: Vec<News>,
+        news: Vec<MemberUpdate>,
     },
     /// Carries new records of the configuration stream down the tree.
     Push {
--- a/crates/swiftcart-core/src/wire/seal.rs
+++ b/crates/swiftcart-core/src/wire/seal.rs
@@ -10,10 +10,10 @@
 use crate::NodeId;
 
 /// The number of the datagram format that this release writes and reads.
-pub const FORMAT: u8 = 1;
+pub const WIRE_FORMAT: u8 = 1;
 
 /// The greatest length of a sealed datagram in bytes; it fits a common path MTU.
-pub const MAX_DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_LEN: usize = 1200;
 
 /// The bytes in front of the body: the format number and the tag.
 pub const SEAL_LEN: usize = 1 + TAG_LEN;
@@ -35,7 +35,7 @@
         }
         /// The sender is a newer release.
         NewerFormat(format: u8) {
-            display("datagram of format {format}, this release reads {FORMAT}: update this node")
+            display("datagram of format {format}, this release reads {WIRE_FORMAT}: update this node")
         }
         /// The tag fits and the body cannot be read.
         Malformed {
@@ -106,8 +106,8 @@
 impl Kind {
     const fn prefix(self) -> &'static [u8] {
         match self {
-            Self::Datagram => &[FORMAT],
-            Self::Sync => &[FORMAT, b's'],
+            Self::Datagram => &[WIRE_FORMAT],
+            Self::Sync => &[WIRE_FORMAT, b's'],
         }
     }
 }
@@ -149,7 +149,7 @@
             len if len > self.max => Err(WireError::Oversize(len, self.max)),
             _ => {
                 let (head, body) = sealed.split_at_mut(SEAL_LEN);
-                head[0] = FORMAT;
+                head[0] = WIRE_FORMAT;
                 head[1..].copy_from_slice(&key.tag(self.kind, body));
                 Ok(sealed)
             }
@@ -164,8 +164,8 @@
         let len = sealed.len();
         match sealed {
             _ if len > self.max => Err(WireError::Oversize(len, self.max)),
-            [format, ..] if *format > FORMAT => Err(WireError::NewerFormat(*format)),
-            [format, ..] if *format < FORMAT => Err(WireError::Forged),
+            [format, ..] if *format > WIRE_FORMAT => Err(WireError::NewerFormat(*format)),
+            [format, ..] if *format < WIRE_FORMAT => Err(WireError::Forged),
             [_, rest @ ..] if rest.len() >= TAG_LEN => {
                 let (tag, body) = rest.split_at(TAG_LEN);
                 match same(tag, &key.tag(self.kind, body)) {
@@ -194,9 +194,9 @@
 ///
 /// # Errors
 ///
-/// Returns [`WireError::Oversize`] when the result is longer than [`MAX_DATAGRAM`].
+/// Returns [`WireError::Oversize`] when the result is longer than [`MAX_DATAGRAM_LEN`].
 pub fn seal(datagram: &Datagram, from: NodeId, key: &MeshKey) -> Result<Vec<u8>, WireError> {
-    Frame::new(Kind::Datagram, MAX_DATAGRAM).seal(datagram, from, key)
+    Frame::new(Kind::Datagram, MAX_DATAGRAM_LEN).seal(datagram, from, key)
 }
 
 /// Checks and decodes a datagram and returns its sender.
@@ -208,7 +208,7 @@
 ///
 /// Returns a [`WireError`] for every input that [`seal`] cannot have made with `key`.
 pub fn open(sealed: &[u8], key: &MeshKey) -> Result<(NodeId, Datagram), WireError> {
-    Frame::new(Kind::Datagram, MAX_DATAGRAM).open(sealed, key)
+    Frame::new(Kind::Datagram, MAX_DATAGRAM_LEN).open(sealed, key)
 }
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<(NodeId, T), WireError> {
--- a/crates/swiftcart-core/src/wire/sync.rs
+++ b/crates/swiftcart-core/src/wire/sync.rs
@@ -8,7 +8,7 @@
 use crate::{CompactSnapshot, Member, NodeId, Offset, PullAnswer};
 
 /// The greatest length of a sealed message of a state pull in bytes.
-pub const MAX_SYNC: usize = 8 << 20;
+pub const MAX_SYNC_LEN: usize = 8 << 20;
 
 /// Asks another node for state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -41,14 +41,14 @@
         retry_ms: u32,
     },
     /// Answers [`SyncRequest::Whole`].
-    Whole(Placed),
+    Whole(PositionedSnapshot),
 }
 
 /// A whole version, and where the platform's versions go on behind it.
 ///
 /// Who gets it looks behind that place, and knows by a few bytes whether it is the newest one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct PositionedSnapshot {
     /// The place behind the version.
     pub next: u64,
     /// The version.
@@ -59,13 +59,13 @@
 ///
 /// # Errors
 ///
-/// Returns [`WireError::Oversize`] when the result is longer than [`MAX_SYNC`].
+/// Returns [`WireError::Oversize`] when the result is longer than [`MAX_SYNC_LEN`].
 pub fn seal_sync<T: Serialize>(
     message: &T,
     from: NodeId,
     key: &MeshKey,
 ) -> Result<Vec<u8>, WireError> {
-    Frame::new(Kind::Sync, MAX_SYNC).seal(message, from, key)
+    Frame::new(Kind::Sync, MAX_SYNC_LEN).seal(message, from, key)
 }
 
 /// Checks and decodes a message of a state pull and returns its sender.
@@ -77,5 +77,5 @@
     sealed: &[u8],
     key: &MeshKey,
 ) -> Result<(NodeId, T), WireError> {
-    Frame::new(Kind::Sync, MAX_SYNC).open(sealed, key)
+    Frame::new(Kind::Sync, MAX_SYNC_LEN).open(sealed, key)
 }
--- a/crates/swiftcart-core/tests/feed.rs
+++ b/crates/swiftcart-core/tests/feed.rs
@@ -4,9 +4,10 @@
 
 use rstest::rstest;
 use swiftcart_core::{
-    Body, Edit, Entry, Envelope, Feed, FeedAction, FeedSettings, Floor, FloorAction, Fold, Head,
-    Instant, Join, Limits, MAX_WITNESSED, NodeId, NotReady, Offset, Publish, PublishId, PullAnswer,
-    Row, RowKey, ServiceName, Source, Version, Witness, children, rank, witnesses,
+    Body, Edit, EnforcementAction, EnforcementGate, Entry, Envelope, Feed, FeedAction,
+    FeedSettings, Fold, Head, Instant, Limits, MAX_WITNESSED_NODES, NodeId, NotReady, Offset,
+    Publish, PublishId, PullAnswer, ReadinessGate, RecordSource, Row, RowKey, ServiceName, Version,
+    Witness, push_children, rank, witnesses,
 };
 
 const RETENTION: Duration = Duration::from_secs(1000);
@@ -97,7 +98,7 @@
 #[case::ahead(3, 0, vec![FeedAction::Pull { peer: id(2), from: Offset(2) }])]
 #[case::behind(1, 0, vec![])]
 #[case::equal(2, reader(2).head().digest, vec![])]
-#[case::diverged(2, 0, vec![FeedAction::Diverged(Source::Peer(id(2)))])]
+#[case::diverged(2, 0, vec![FeedAction::Diverged(RecordSource::Peer(id(2)))])]
 fn a_head_is_compared(
     #[case] position: u64,
     #[case] digest: u64,
@@ -143,7 +144,7 @@
 #[case::a_little_behind(18, PullAnswer::Entries { entries: log(18..20), next: Offset(20) })]
 #[case::far_behind(2, PullAnswer::State {
     checkpoint: checkpoint_at(20),
-    anchor: Some(swiftcart_core::Anchor { from: Offset(0), at_ms: 0 }),
+    anchor: Some(swiftcart_core::ReplayStart { from: Offset(0), at_ms: 0 }),
     entries: vec![],
     next: Offset(20),
 })]
@@ -281,7 +282,7 @@
         entries: vec![],
         next: Offset(5),
     };
-    let diverged = FeedAction::Diverged(Source::Peer(id(2)));
+    let diverged = FeedAction::Diverged(RecordSource::Peer(id(2)));
     assert_eq!(feed.on_pull_reply(at(0), id(2), answer), [diverged]);
     assert_eq!(feed.fold(), reader(2).fold());
 }
@@ -296,7 +297,7 @@
         let mut reached = vec![origin];
         for i in 0.. {
             match reached.get(i) {
-                Some(me) => reached.extend(children(&members, origin, *me, fanout)),
+                Some(me) => reached.extend(push_children(&members, origin, *me, fanout)),
                 None => break,
             }
         }
@@ -322,12 +323,12 @@
 #[test]
 fn a_version_waits_for_one_witness_or_the_timeout() {
     let to = vec![id(2), id(3)];
-    let report = |n| FloorAction::Report {
+    let report = |n| EnforcementAction::Report {
         version: Version(n),
         to: to.clone(),
     };
-    let enforce = |n| FloorAction::Enforce(Version(n));
-    let mut floor = Floor::new();
+    let enforce = |n| EnforcementAction::Enforce(Version(n));
+    let mut floor = EnforcementGate::new();
     assert_eq!(floor.on_version(at(0), Version(1), &to), [report(1)]);
     assert_eq!(floor.on_version(at(1), Version(2), &to), []);
     assert_eq!(floor.on_version(at(2), Version(4), &to), []);
@@ -357,57 +358,57 @@
     let forgotten = (2..5000)
         .filter(|n| witness.floor(id(*n)).is_none())
         .count();
-    assert_eq!(forgotten, 4998 - (MAX_WITNESSED - 1));
+    assert_eq!(forgotten, 4998 - (MAX_WITNESSED_NODES - 1));
     assert_eq!(witness.floor(id(1)), Some(Version(7)));
 }
 
 #[rstest]
-#[case::waits_for_the_answers(500, &[(2, 4)], 4, Err(NotReady::Asking(1)))]
+#[case::waits_for_the_answers(500, &[(2, 4)], 4, Err(NotReady::AwaitingPeers(1)))]
 #[case::one_answered_one_timed_out(1000, &[(2, 4)], 4, Ok(()))]
-#[case::below_the_greatest_floor(500, &[(2, 4), (3, 6)], 5, Err(NotReady::Below(Version(5), Version(6))))]
+#[case::below_the_greatest_floor(500, &[(2, 4), (3, 6)], 5, Err(NotReady::BehindPeer(Version(5), Version(6))))]
 #[case::at_the_greatest_floor(500, &[(2, 4), (3, 6)], 6, Ok(()))]
-#[case::peers_that_are_not_ready(500, &[(2, 0), (3, 0)], 0, Err(NotReady::Alone))]
-#[case::nobody_answers(1000, &[], 0, Err(NotReady::Alone))]
-#[case::an_unknown_peer(1000, &[(7, 4)], 4, Err(NotReady::Alone))]
+#[case::peers_that_are_not_ready(500, &[(2, 0), (3, 0)], 0, Err(NotReady::NoReadyPeer))]
+#[case::nobody_answers(1000, &[], 0, Err(NotReady::NoReadyPeer))]
+#[case::an_unknown_peer(1000, &[(7, 4)], 4, Err(NotReady::NoReadyPeer))]
 fn a_joiner_without_the_platform(
     #[case] ms: u64,
     #[case] answers: &[(u16, u64)],
     #[case] version: u64,
     #[case] expected: Result<(), NotReady>,
 ) {
-    let mut join = Join::new();
-    assert_eq!(join.asks(at(0), &[id(2), id(3)]), [id(2), id(3)]);
+    let mut join = ReadinessGate::new();
+    assert_eq!(join.peers_to_query(at(0), &[id(2), id(3)]), [id(2), id(3)]);
     for (peer, floor) in answers {
-        join.on_answer(id(*peer), Version(*floor));
+        join.on_peer_floor(id(*peer), Version(*floor));
     }
     let unread = join.ready(at(ms), Offset(0), Version(version));
-    assert_eq!(unread, Err(NotReady::Unread));
+    assert_eq!(unread, Err(NotReady::PlatformUnread));
     join.on_outage();
     assert_eq!(join.ready(at(ms), Offset(0), Version(version)), expected);
 }
 
 #[test]
 fn a_joiner_reads_to_the_first_head_and_stays_ready() {
-    let mut join = Join::new();
-    join.on_platform(Offset(5));
-    join.on_platform(Offset(9));
-    let behind = Err(NotReady::Behind(Offset(4), Offset(5)));
+    let mut join = ReadinessGate::new();
+    join.on_log_end(Offset(5));
+    join.on_log_end(Offset(9));
+    let behind = Err(NotReady::BehindLog(Offset(4), Offset(5)));
     assert_eq!(join.ready(at(0), Offset(4), Version(1)), behind);
     assert_eq!(join.ready(at(0), Offset(5), Version(1)), Ok(()));
     join.on_outage();
-    assert_eq!(join.asks(at(0), &[id(2)]), []);
+    assert_eq!(join.peers_to_query(at(0), &[id(2)]), []);
     assert_eq!(join.ready(at(9), Offset(5), Version(1)), Ok(()));
 }
 
 #[test]
 fn a_joiner_asks_again_whoever_is_not_ready() {
-    let mut join = Join::new();
+    let mut join = ReadinessGate::new();
     let known = [id(2), id(3), id(4)];
-    assert_eq!(join.asks(at(0), &known), known);
-    join.on_answer(id(2), Version(4));
-    join.on_answer(id(3), Version::NONE);
-    assert_eq!(join.asks(at(999), &known), []);
-    assert_eq!(join.asks(at(1000), &known), [id(3), id(4)]);
+    assert_eq!(join.peers_to_query(at(0), &known), known);
+    join.on_peer_floor(id(2), Version(4));
+    join.on_peer_floor(id(3), Version::NONE);
+    assert_eq!(join.peers_to_query(at(999), &known), []);
+    assert_eq!(join.peers_to_query(at(1000), &known), [id(3), id(4)]);
 }
 
 #[test]
--- a/crates/swiftcart-core/tests/feed_converge.rs
+++ b/crates/swiftcart-core/tests/feed_converge.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use swiftcart_core::{
     Body, Edit, Entry, Envelope, Feed, FeedAction, FeedSettings, Fold, Instant, Limits, NodeId,
-    Offset, Publish, PublishId, PullAnswer, Row, RowKey, ServiceName, children,
+    Offset, Publish, PublishId, PullAnswer, Row, RowKey, ServiceName, push_children,
 };
 
 const NODES: usize = 4;
@@ -149,7 +149,7 @@
         };
         match action {
             FeedAction::Push { origin, entries } => {
-                for child in children(&members, origin, id(node), 2) {
+                for child in push_children(&members, origin, id(node), 2) {
                     let entries = entries.clone();
                     self.messages
                         .push((node, place(child), Message::Push { origin, entries }));
@@ -160,7 +160,7 @@
             }
             FeedAction::AppendCheckpoint(checkpoint) => self.append(Body::Checkpoint(checkpoint)),
             FeedAction::Applied(_) | FeedAction::NoStart(_) => {}
-            FeedAction::Stalled(_) | FeedAction::Diverged(_) | FeedAction::Spread { .. } => {
+            FeedAction::Stalled(_) | FeedAction::Diverged(_) | FeedAction::PushDelta { .. } => {
                 panic!("{action:?}")
             }
         }
--- a/crates/swiftcart-core/tests/member.rs
+++ b/crates/swiftcart-core/tests/member.rs
@@ -218,7 +218,7 @@
         incarnation,
         liveness: Liveness::Suspect,
     };
-    let news = vec![News::Status(accused)];
+    let news = vec![MemberUpdate::Status(accused)];
     net.call(1, |m, now| {
         m.on_datagram(now, id(2), Datagram::Gossip { news })
     });
@@ -283,7 +283,7 @@
 fn tick(
     machine: &mut Membership,
     ms: u64,
-    answer: impl Fn(NodeId) -> Option<Vec<News>>,
+    answer: impl Fn(NodeId) -> Option<Vec<MemberUpdate>>,
 ) -> BTreeMap<NodeId, usize> {
     let mut probes = BTreeMap::new();
     for now in (0..ms).step_by(50).map(|t| Instant::from_millis(100 + t)) {
@@ -292,9 +292,9 @@
                 Action::Send(to, Datagram::Probe { seq, .. }) => {
                     *probes.entry(to).or_insert(0) += 1;
                     answer(to).map(|news| {
-                        let beat = Beat {
+                        let beat = Heartbeat {
                             news,
-                            ..Beat::default()
+                            ..Heartbeat::default()
                         };
                         (to, Datagram::Ack { seq, beat })
                     })
@@ -376,17 +376,17 @@
         ..Member::new(id(2), domain(0), Incarnation(1))
     };
     machine.merge(now, vec![held]);
-    let beat = Beat::default();
+    let beat = Heartbeat::default();
     let actions = machine.on_datagram(now, id(2), Datagram::Probe { seq: 9, beat });
     let status = Status {
         id: id(2),
         incarnation: Incarnation(1),
         liveness,
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         hash: machine.hash(),
-        news: vec![News::Status(status)],
-        ..Beat::default()
+        news: vec![MemberUpdate::Status(status)],
+        ..Heartbeat::default()
     };
     assert_eq!(
         actions,
@@ -398,7 +398,7 @@
 fn older_news_is_answered_with_the_newer() {
     let mut machine = machine(Gossip::new(), 3, 0);
     let now = Instant::from_millis(50);
-    let entry = |at, life| News::Entry(Member::new(id(at), domain(0), Incarnation(life)));
+    let entry = |at, life| MemberUpdate::Entry(Member::new(id(at), domain(0), Incarnation(life)));
     let tell = |news| Datagram::Gossip { news };
     machine.on_datagram(now, id(1), tell(vec![entry(2, 5)]));
     let actions = machine.on_datagram(now, id(3), tell(vec![entry(2, 4), entry(1, 1)]));
@@ -413,10 +413,10 @@
         incarnation: Incarnation(1),
         liveness: Liveness::Suspect,
     };
-    let news = vec![News::Status(suspect)];
+    let news = vec![MemberUpdate::Status(suspect)];
     machine.on_datagram(Instant::from_millis(50), id(3), Datagram::Gossip { news });
     assert!(!machine.routable(id(7)));
-    let refuted = News::Entry(Member::new(id(7), domain(0), Incarnation(2)));
+    let refuted = MemberUpdate::Entry(Member::new(id(7), domain(0), Incarnation(2)));
     tick(&mut machine, 3_000, |to| {
         Some(Vec::from_iter((to == id(7)).then(|| refuted.clone())))
     });
--- a/crates/swiftcart-core/tests/rollout.rs
+++ b/crates/swiftcart-core/tests/rollout.rs
@@ -177,7 +177,7 @@
         let datagram = Datagram::Rollouts(RolloutMessage::Words(words));
         let from = NodeId("10.0.0.1:7600".parse().unwrap());
         let sealed = seal(&datagram, from, &MeshKey::new([7; 32]));
-        assert!(sealed.unwrap().len() <= MAX_DATAGRAM);
+        assert!(sealed.unwrap().len() <= MAX_DATAGRAM_LEN);
     }
 }
 
@@ -212,7 +212,7 @@
     );
     let datagram = Datagram::Rollouts(RolloutMessage::Evidence(evidence));
     let from = NodeId("10.0.0.1:7600".parse().unwrap());
-    assert!(seal(&datagram, from, &MeshKey::new([7; 32])).unwrap().len() <= MAX_DATAGRAM);
+    assert!(seal(&datagram, from, &MeshKey::new([7; 32])).unwrap().len() <= MAX_DATAGRAM_LEN);
 }
 
 fn evidence(n: u8, side: Side) -> (NodeId, Evidence) {
--- a/crates/swiftcart-core/tests/snapshots.rs
+++ b/crates/swiftcart-core/tests/snapshots.rs
@@ -34,8 +34,8 @@
     Snapshot::new(Version(n), table).with_policies(policies)
 }
 
-fn at(n: u64) -> Snapshots {
-    let mut snapshots = Snapshots::new(node(1));
+fn at(n: u64) -> SnapshotFeed {
+    let mut snapshots = SnapshotFeed::new(node(1));
     snapshots.on_read(version(n));
     snapshots
 }
@@ -45,7 +45,7 @@
     Delta::between(&old, &new, new.digest())
 }
 
-fn newest(snapshots: &Snapshots) -> u64 {
+fn newest(snapshots: &SnapshotFeed) -> u64 {
     snapshots.newest().version.0
 }
 
@@ -67,13 +67,13 @@
 }
 
 #[rstest]
-#[case::the_next_delta(|s: &mut Snapshots| s.on_delta(START, node(2), node(3), delta(4, 6)), 6)]
-#[case::an_older_delta(|s: &mut Snapshots| s.on_delta(START, node(2), node(3), delta(2, 3)), 4)]
-#[case::a_delta_with_a_gap(|s: &mut Snapshots| s.on_delta(START, node(2), node(3), delta(5, 6)), 4)]
-#[case::an_older_read(|s: &mut Snapshots| s.on_read(version(3)), 4)]
-#[case::a_newer_read(|s: &mut Snapshots| s.on_read(version(9)), 9)]
+#[case::the_next_delta(|s: &mut SnapshotFeed| s.on_delta(START, node(2), node(3), delta(4, 6)), 6)]
+#[case::an_older_delta(|s: &mut SnapshotFeed| s.on_delta(START, node(2), node(3), delta(2, 3)), 4)]
+#[case::a_delta_with_a_gap(|s: &mut SnapshotFeed| s.on_delta(START, node(2), node(3), delta(5, 6)), 4)]
+#[case::an_older_read(|s: &mut SnapshotFeed| s.on_read(version(3)), 4)]
+#[case::a_newer_read(|s: &mut SnapshotFeed| s.on_read(version(9)), 9)]
 fn the_newest_version_after(
-    #[case] event: fn(&mut Snapshots) -> Vec<FeedAction>,
+    #[case] event: fn(&mut SnapshotFeed) -> Vec<FeedAction>,
     #[case] expected: u64,
 ) {
     let mut snapshots = at(4);
@@ -84,10 +84,10 @@
 }
 
 #[rstest]
-#[case::a_gap_before_a_delta(|s: &mut Snapshots| s.on_delta(START, node(2), node(3), delta(5, 6)))]
-#[case::an_offer(|s: &mut Snapshots| s.on_offer(START, node(2), node(3), at(6).head()))]
-#[case::a_probe(|s: &mut Snapshots| s.on_head(START, node(2), at(6).head()))]
-fn what_is_missing_is_pulled_after(#[case] event: fn(&mut Snapshots) -> Vec<FeedAction>) {
+#[case::a_gap_before_a_delta(|s: &mut SnapshotFeed| s.on_delta(START, node(2), node(3), delta(5, 6)))]
+#[case::an_offer(|s: &mut SnapshotFeed| s.on_offer(START, node(2), node(3), at(6).head()))]
+#[case::a_probe(|s: &mut SnapshotFeed| s.on_head(START, node(2), at(6).head()))]
+fn what_is_missing_is_pulled_after(#[case] event: fn(&mut SnapshotFeed) -> Vec<FeedAction>) {
     let mut snapshots = at(4);
     let pull = FeedAction::Pull {
         peer: node(2),
@@ -126,7 +126,7 @@
 #[test]
 fn a_reader_spreads_what_has_changed_and_others_pass_it_on() {
     let mut reader = at(4);
-    let spread = FeedAction::Spread {
+    let spread = FeedAction::PushDelta {
         origin: node(1),
         delta: Some(Arc::new(delta(4, 6))),
     };
@@ -142,7 +142,7 @@
     let other = Snapshot::new(Version(4), Table::new());
     assert_eq!(
         snapshots.on_read(other),
-        [FeedAction::Diverged(Source::Platform)]
+        [FeedAction::Diverged(RecordSource::Platform)]
     );
     assert_eq!(**snapshots.newest(), version(4));
 }
--- a/crates/swiftcart-core/tests/wire.rs
+++ b/crates/swiftcart-core/tests/wire.rs
@@ -35,25 +35,25 @@
     }
 }
 
-fn beat() -> Beat {
+fn beat() -> Heartbeat {
     let status = Status {
         id: node(9),
         incarnation: Incarnation(7),
         liveness: Liveness::Suspect,
     };
-    Beat {
+    Heartbeat {
         head: Head {
             position: 12,
             digest: u64::MAX,
         },
         hash: 99,
-        news: vec![News::Entry(member()), News::Status(status)],
+        news: vec![MemberUpdate::Entry(member()), MemberUpdate::Status(status)],
     }
 }
 
 #[rstest]
 #[case::probe(Datagram::Probe { seq: 1, beat: beat() })]
-#[case::ack(Datagram::Ack { seq: u32::MAX, beat: Beat::default() })]
+#[case::ack(Datagram::Ack { seq: u32::MAX, beat: Heartbeat::default() })]
 #[case::probe_for(Datagram::ProbeFor { seq: 2, target: node(8) })]
 #[case::ack_for(Datagram::AckFor { seq: 2, target: node(8) })]
 #[case::gossip(Datagram::Gossip { news: beat().news })]
@@ -77,7 +77,7 @@
 #[case::tag_flipped(|s: &mut Vec<u8>| { s[16] ^= 128; s.clone() }, WireError::Forged)]
 #[case::older_format(|s: &mut Vec<u8>| { s[0] = 0; s.clone() }, WireError::Forged)]
 #[case::newer_format(|s: &mut Vec<u8>| { s[0] = 2; s.clone() }, WireError::NewerFormat(2))]
-#[case::too_long(|s: &mut Vec<u8>| { s.resize(1201, 0); s.clone() }, WireError::Oversize(1201, MAX_DATAGRAM))]
+#[case::too_long(|s: &mut Vec<u8>| { s.resize(1201, 0); s.clone() }, WireError::Oversize(1201, MAX_DATAGRAM_LEN))]
 fn a_damaged_datagram_is_refused_with_its_reason(
     #[case] damage: fn(&mut Vec<u8>) -> Vec<u8>,
     #[case] reason: WireError,
@@ -100,16 +100,18 @@
         entries: vec![0; 1200],
     };
     let sealed = seal(&push, node(1), &key());
-    assert!(matches!(sealed, Err(WireError::Oversize(len, MAX_DATAGRAM)) if len > MAX_DATAGRAM));
+    assert!(
+        matches!(sealed, Err(WireError::Oversize(len, MAX_DATAGRAM_LEN)) if len > MAX_DATAGRAM_LEN)
+    );
 }
 
 /// Seals any body under the mesh key, as a faulty or newer peer may.
 fn signed(body: &[u8]) -> Vec<u8> {
     let bytes = blake3::derive_key("swiftcart 2026 mesh datagram key", b"one");
     let mut hasher = blake3::Hasher::new_keyed(&bytes);
-    hasher.update(&[FORMAT]).update(body);
+    hasher.update(&[WIRE_FORMAT]).update(body);
     let tag = hasher.finalize();
-    [&[FORMAT], &tag.as_bytes()[..16], body].concat()
+    [&[WIRE_FORMAT], &tag.as_bytes()[..16], body].concat()
 }
 
 #[rstest]
--- a/crates/swiftcart-core/tests/wire_releases.rs
+++ b/crates/swiftcart-core/tests/wire_releases.rs
@@ -79,13 +79,13 @@
     };
     Datagram::Probe {
         seq: 12,
-        beat: Beat {
+        beat: Heartbeat {
             head: Head {
                 position: 12,
                 digest: u64::MAX,
             },
             hash: 99,
-            news: vec![News::Entry(member()), News::Status(status)],
+            news: vec![MemberUpdate::Entry(member()), MemberUpdate::Status(status)],
         },
     }
 }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -17,7 +17,8 @@
 use swiftcart_core::{
     Asking, BalanceSettings, Balancer, CallResult, Candidate, FleetBudget, Identity, Instant, Need,
     Next, NodeId, Outcome, Pick, PickRule, PolicyTries, Reason, Refusal, RetryBudget,
-    RetrySettings, Returns, RouteProfiles, ServiceEntry, ToldNotices, Tries, Version, start_wait,
+    RetrySettings, Returns, RouteProfiles, ServiceEntry, ToldNotices, Tries, Version,
+    startup_retry_after,
 };
 
 use tokio::task::JoinError;
@@ -165,7 +166,7 @@
             Phase::Ready | Phase::Leaving | Phase::Finishing => {}
             Phase::Stopping => return Err(Reason::Stopping.into()),
             Phase::NoConfig | Phase::BelowFloor | Phase::NoMembers => {
-                let wait = start_wait(now.elapsed());
+                let wait = startup_retry_after(now.elapsed());
                 return Err(Refusal::new(Reason::NotReady).with_retry(wait).into());
             }
         }
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -240,7 +240,7 @@
             Datagram::Rollouts(message) => self.on_rollouts(now, from, message),
             Datagram::Quotas(message) => self.on_quotas(now, from, message),
             Datagram::Drains(message) => self.on_drains(now, from, message),
-            Datagram::FloorReply { version } => self.stream.join.on_answer(from, *version),
+            Datagram::FloorReply { version } => self.stream.join.on_peer_floor(from, *version),
             _ => {}
         }
         let actions = self.membership.on_datagram(now, from, datagram);
--- a/crates/swiftcart-node/src/control/following.rs
+++ b/crates/swiftcart-node/src/control/following.rs
@@ -6,7 +6,7 @@
 use slog::{info, warn};
 use swiftcart_core::{
     Body, Checkpoint, Datagram, Envelope, FeedAction, Instant, NodeId, Offset, SyncReply,
-    SyncRequest, children,
+    SyncRequest, push_children,
 };
 use swiftcart_platform::PlatformError;
 
@@ -172,11 +172,11 @@
                 warn!(logger, ""; "event" => Event::NoStart, "first" => first.0);
             }
             FeedAction::AppendCheckpoint(checkpoint) => self.append(checkpoint),
-            FeedAction::Spread {
+            FeedAction::PushDelta {
                 origin,
                 delta: Some(delta),
             } => self.push(origin, &*delta),
-            FeedAction::Spread {
+            FeedAction::PushDelta {
                 origin,
                 delta: None,
             } => {
@@ -201,7 +201,7 @@
     /// Sends a datagram to this node's children in the tree of `origin`.
     fn pass_on(&self, origin: NodeId, datagram: &Datagram) {
         let fanout = usize::try_from(self.shared.settings.gossip.fanout).unwrap_or(1);
-        for child in children(&self.roster.near, origin, self.shared.id, fanout) {
+        for child in push_children(&self.roster.near, origin, self.shared.id, fanout) {
             self.net.send(child, datagram);
         }
     }
@@ -223,7 +223,7 @@
         if !duty.joining || !answers {
             return;
         }
-        for peer in self.stream.join.asks(now, &self.roster.asked) {
+        for peer in self.stream.join.peers_to_query(now, &self.roster.asked) {
             self.net.send(peer, &Datagram::FloorAsk);
         }
     }
--- a/crates/swiftcart-node/src/control/net.rs
+++ b/crates/swiftcart-node/src/control/net.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use swiftcart_core::{Datagram, MAX_DATAGRAM, MeshKey, NodeId, open, seal};
+use swiftcart_core::{Datagram, MAX_DATAGRAM_LEN, MeshKey, NodeId, open, seal};
 use tokio::net::UdpSocket;
 
 use super::{ControlError, reachable};
@@ -75,7 +75,7 @@
 
     /// Waits for the next datagram that holds against its tag.
     pub(super) async fn receive(&self) -> (NodeId, Datagram) {
-        let mut buf = [0; MAX_DATAGRAM + 1];
+        let mut buf = [0; MAX_DATAGRAM_LEN + 1];
         loop {
             // Errors here are ICMP answers to earlier sends, which probes notice anyway.
             let Ok((len, from)) = self.socket.recv_from(&mut buf).await else {
--- a/crates/swiftcart-node/src/control/placed.rs
+++ b/crates/swiftcart-node/src/control/placed.rs
@@ -4,7 +4,8 @@
 
 use slog::info;
 use swiftcart_core::{
-    CompactSnapshot, Instant, NodeId, Placed, PullAnswer, SyncAdmit, SyncGate, SyncReply, Version,
+    CompactSnapshot, Instant, NodeId, PositionedSnapshot, PullAnswer, SyncAdmit, SyncGate,
+    SyncReply, Version,
 };
 
 use super::control_loop::Control;
@@ -36,7 +37,7 @@
 /// Holds the newest version as it is told, and bounds how often.
 #[derive(Debug)]
 pub(super) struct Wholes {
-    placed: Option<Placed>,
+    placed: Option<PositionedSnapshot>,
     version: Version,
     /// When it was needed last.
     used: Instant,
@@ -55,7 +56,7 @@
     }
 
     /// Keeps what is told of a version; `None` when its place is not known here.
-    fn put(&mut self, now: Instant, version: Version, placed: Option<Placed>) {
+    fn put(&mut self, now: Instant, version: Version, placed: Option<PositionedSnapshot>) {
         self.version = version;
         self.placed = placed;
         self.used = now;
@@ -90,7 +91,7 @@
                 .and_then(|whole| whole.place(newest.version));
             let compact = place.and_then(|_| CompactSnapshot::new(&newest));
             let placed = place.zip(compact);
-            let placed = placed.map(|(next, compact)| Placed { next, compact });
+            let placed = placed.map(|(next, compact)| PositionedSnapshot { next, compact });
             self.wholes.put(now, newest.version, placed);
         }
         self.wholes.used = now;
@@ -101,7 +102,7 @@
     }
 
     /// Takes the version that another node told, and looks behind it at the platform.
-    pub(super) fn on_whole(&mut self, peer: NodeId, placed: Placed) {
+    pub(super) fn on_whole(&mut self, peer: NodeId, placed: PositionedSnapshot) {
         let now = self.now();
         let Ok(snapshot) = placed.compact.expand() else {
             self.stream.source.on_pull_failed(peer);
--- a/crates/swiftcart-node/src/control/publish.rs
+++ b/crates/swiftcart-node/src/control/publish.rs
@@ -68,7 +68,7 @@
 
 const fn waiting(reason: NotReady) -> Phase {
     match reason {
-        NotReady::Below(..) => Phase::BelowFloor,
+        NotReady::BehindPeer(..) => Phase::BelowFloor,
         _ => Phase::NoConfig,
     }
 }
--- a/crates/swiftcart-node/src/control/source.rs
+++ b/crates/swiftcart-node/src/control/source.rs
@@ -4,7 +4,7 @@
 
 use swiftcart_core::{
     Digest, Feed, FeedAction, FeedSettings, Head, Instant, NodeId, Offset, PullAnswer, Snapshot,
-    Snapshots, Version,
+    SnapshotFeed, Version,
 };
 
 use crate::config::Config;
@@ -15,7 +15,7 @@
     /// The platform's log, folded by every node.
     Log(Box<Feed>),
     /// Versions that the platform has judged itself.
-    Snapshots(Snapshots),
+    SnapshotFeed(SnapshotFeed),
 }
 
 impl Source {
@@ -26,14 +26,14 @@
 
     /// Follows versions that come as a whole.
     pub(super) fn snapshots(me: NodeId) -> Self {
-        Self::Snapshots(Snapshots::new(me))
+        Self::SnapshotFeed(SnapshotFeed::new(me))
     }
 
     /// Returns what probes tell other nodes.
     pub(super) fn head(&self) -> Head {
         match self {
             Self::Log(feed) => feed.head(),
-            Self::Snapshots(snapshots) => snapshots.head(),
+            Self::SnapshotFeed(snapshots) => snapshots.head(),
         }
     }
 
@@ -41,7 +41,7 @@
     pub(super) fn version(&self) -> Version {
         match self {
             Self::Log(feed) => feed.fold().version(),
-            Self::Snapshots(snapshots) => snapshots.newest().version,
+            Self::SnapshotFeed(snapshots) => snapshots.newest().version,
         }
     }
 
@@ -52,7 +52,7 @@
                 let fold = feed.fold();
                 Config::from_table(fold.version(), Arc::clone(fold.table()))
             }
-            Self::Snapshots(snapshots) => Config::from_snapshot(Arc::clone(snapshots.newest())),
+            Self::SnapshotFeed(snapshots) => Config::from_snapshot(Arc::clone(snapshots.newest())),
         }
     }
 
@@ -60,7 +60,7 @@
     pub(super) fn snapshot(&self) -> Option<Arc<Snapshot>> {
         match self {
             Self::Log(_) => None,
-            Self::Snapshots(snapshots) => Some(Arc::clone(snapshots.newest())),
+            Self::SnapshotFeed(snapshots) => Some(Arc::clone(snapshots.newest())),
         }
     }
 
@@ -68,7 +68,7 @@
     pub(super) fn position(&self) -> Offset {
         match self {
             Self::Log(feed) => feed.fold().position(),
-            Self::Snapshots(snapshots) => Offset(snapshots.newest().version.0),
+            Self::SnapshotFeed(snapshots) => Offset(snapshots.newest().version.0),
         }
     }
 
@@ -76,7 +76,7 @@
     pub(super) fn from(&self) -> Offset {
         match self {
             Self::Log(feed) => feed.from(),
-            Self::Snapshots(_) => self.position(),
+            Self::SnapshotFeed(_) => self.position(),
         }
     }
 
@@ -84,7 +84,7 @@
     pub(super) fn digest(&self) -> Digest {
         match self {
             Self::Log(feed) => feed.fold().digest(),
-            Self::Snapshots(snapshots) => snapshots.digest(),
+            Self::SnapshotFeed(snapshots) => snapshots.digest(),
         }
     }
 
@@ -92,7 +92,7 @@
     pub(super) const fn stalled(&self) -> Option<u16> {
         match self {
             Self::Log(feed) => feed.stalled(),
-            Self::Snapshots(_) => None,
+            Self::SnapshotFeed(_) => None,
         }
     }
 
@@ -100,7 +100,7 @@
     pub(super) fn on_head(&mut self, now: Instant, peer: NodeId, head: Head) -> Vec<FeedAction> {
         match self {
             Self::Log(feed) => feed.on_head(now, peer, head),
-            Self::Snapshots(snapshots) => snapshots.on_head(now, peer, head),
+            Self::SnapshotFeed(snapshots) => snapshots.on_head(now, peer, head),
         }
     }
 
@@ -118,7 +118,7 @@
     ) -> Result<Vec<FeedAction>, postcard::Error> {
         Ok(match self {
             Self::Log(feed) => feed.on_push(now, peer, origin, postcard::from_bytes(bytes)?),
-            Self::Snapshots(snapshots) => {
+            Self::SnapshotFeed(snapshots) => {
                 snapshots.on_delta(now, peer, origin, postcard::from_bytes(bytes)?)
             }
         })
@@ -134,7 +134,7 @@
     ) -> Vec<FeedAction> {
         match self {
             Self::Log(feed) => feed.on_offer(now, peer, origin, head),
-            Self::Snapshots(snapshots) => snapshots.on_offer(now, peer, origin, head),
+            Self::SnapshotFeed(snapshots) => snapshots.on_offer(now, peer, origin, head),
         }
     }
 
@@ -142,7 +142,7 @@
     pub(super) fn answer(&mut self, from: Offset) -> PullAnswer {
         match self {
             Self::Log(feed) => feed.answer(from),
-            Self::Snapshots(snapshots) => snapshots.answer(from),
+            Self::SnapshotFeed(snapshots) => snapshots.answer(from),
         }
     }
 
@@ -155,7 +155,7 @@
     ) -> Vec<FeedAction> {
         match self {
             Self::Log(feed) => feed.on_pull_reply(now, peer, answer),
-            Self::Snapshots(snapshots) => snapshots.on_pulled(peer, answer),
+            Self::SnapshotFeed(snapshots) => snapshots.on_pulled(peer, answer),
         }
     }
 
@@ -163,7 +163,7 @@
     pub(super) fn on_pull_failed(&mut self, peer: NodeId) {
         match self {
             Self::Log(feed) => feed.on_pull_failed(peer),
-            Self::Snapshots(snapshots) => snapshots.on_pull_failed(peer),
+            Self::SnapshotFeed(snapshots) => snapshots.on_pull_failed(peer),
         }
     }
 }
--- a/crates/swiftcart-node/src/control/stream.rs
+++ b/crates/swiftcart-node/src/control/stream.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use swiftcart_core::{
-    FeedAction, FeedSettings, Floor, FloorAction, Instant, Join, NodeId, NotReady, Offset, Version,
-    Witness,
+    EnforcementAction, EnforcementGate, FeedAction, FeedSettings, Instant, NodeId, NotReady,
+    Offset, ReadinessGate, Version, Witness,
 };
 
 use super::reader::Read;
@@ -17,8 +17,8 @@
 pub(super) struct Stream {
     pub(super) source: Source,
     pub(super) witness: Witness,
-    pub(super) join: Join,
-    floor: Floor,
+    pub(super) join: ReadinessGate,
+    floor: EnforcementGate,
     /// The versions that wait for a witness.
     waiting: BTreeMap<Version, Config>,
     /// The version that the floor has let through.
@@ -52,8 +52,8 @@
             enforced: source.config(),
             source,
             witness: Witness::new(),
-            join: Join::new(),
-            floor: Floor::new(),
+            join: ReadinessGate::new(),
+            floor: EnforcementGate::new(),
             waiting: BTreeMap::new(),
             clock: None,
             peers: whole && settings.first_start,
@@ -74,24 +74,24 @@
         let actions = match (&mut self.source, read) {
             (Source::Log(feed), Read::Page(page)) => {
                 self.clock = Some((now, page.now_ms));
-                self.join.on_platform(page.next);
+                self.join.on_log_end(page.next);
                 feed.on_page(page.first, page.next, page.entries)
             }
-            (Source::Snapshots(snapshots), Read::Newest(Some(snapshot))) => {
-                self.join.on_platform(Offset(snapshot.version.0));
+            (Source::SnapshotFeed(snapshots), Read::Newest(Some(snapshot))) => {
+                self.join.on_log_end(Offset(snapshot.version.0));
                 snapshots.on_read(snapshot)
             }
             // Nothing was published yet; a node is as far as the platform with the first version.
-            (Source::Snapshots(_), Read::Newest(None)) => {
-                self.join.on_platform(Offset(1));
+            (Source::SnapshotFeed(_), Read::Newest(None)) => {
+                self.join.on_log_end(Offset(1));
                 Vec::new()
             }
-            (Source::Snapshots(_), Read::Confirmed(version)) => {
-                self.join.on_platform(Offset(version.0));
+            (Source::SnapshotFeed(_), Read::Confirmed(version)) => {
+                self.join.on_log_end(Offset(version.0));
                 Vec::new()
             }
             (Source::Log(_), Read::Newest(_) | Read::Confirmed(_) | Read::Unplaced)
-            | (Source::Snapshots(_), Read::Page(_) | Read::Unplaced) => Vec::new(),
+            | (Source::SnapshotFeed(_), Read::Page(_) | Read::Unplaced) => Vec::new(),
         };
         self.after(now, actions, witnesses)
     }
@@ -154,7 +154,7 @@
         let passed = u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
         match &mut self.source {
             Source::Log(feed) => feed.on_tick(ms.saturating_add(passed), rank),
-            Source::Snapshots(_) => None,
+            Source::SnapshotFeed(_) => None,
         }
     }
 
@@ -191,12 +191,12 @@
         self.enforce(actions)
     }
 
-    fn enforce(&mut self, actions: Vec<FloorAction>) -> Todo {
+    fn enforce(&mut self, actions: Vec<EnforcementAction>) -> Todo {
         let mut todo = Todo::default();
         for action in actions {
             match action {
-                FloorAction::Report { version, to } => todo.reports.push((version, to)),
-                FloorAction::Enforce(version) => {
+                EnforcementAction::Report { version, to } => todo.reports.push((version, to)),
+                EnforcementAction::Enforce(version) => {
                     let later = self.waiting.split_off(&Version(version.0 + 1));
                     let ready = std::mem::replace(&mut self.waiting, later);
                     if let Some((_, latest)) = ready.into_iter().next_back() {
--- a/crates/swiftcart-node/src/control/sync_client.rs
+++ b/crates/swiftcart-node/src/control/sync_client.rs
@@ -9,7 +9,7 @@
 use super::{ControlError, frames};
 
 /// Longest answer that is accepted, in bytes; the core bounds sealed messages alike.
-const ANSWER_BYTES: usize = swiftcart_core::MAX_SYNC;
+const ANSWER_BYTES: usize = swiftcart_core::MAX_SYNC_LEN;
 /// Longest time for a pull; the feed starts another one after the same time.
 const PULL_TIME: Duration = Duration::from_secs(2);
 
