--- a/crates/swiftcart-core/src/feed/action.rs
+++ b/crates/swiftcart-core/src/feed/action.rs
@@ -1,4 +1,4 @@
-//! What the feed asks its node to do, and what nodes hand each other.
+//! Actions, pull answers and counters of the feed.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use super::ReplayStart;
 use crate::{Checkpoint, Delta, Entry, NodeId, Offset, Snapshot, Version};
 
-/// Where records came from.
+/// Origin of records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RecordSource {
     /// The platform's log.
@@ -17,7 +17,7 @@
 }
 
 impl RecordSource {
-    /// Returns the name used in metrics.
+    /// Returns the metric label of the source.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -27,89 +27,93 @@
     }
 }
 
-/// Asks the node to do something on behalf of the feed.
+/// Action that the node performs on behalf of the feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FeedAction {
     /// Send the records to this node's children in the tree of `origin`.
     Push {
         /// The reader at the root of the tree.
         origin: NodeId,
-        /// The records, without gaps.
+        /// Records without gaps.
         entries: Vec<Entry>,
     },
-    /// Ask `peer` for the records from `from` on; see [`PullAnswer`].
+    /// Ask `peer` for the records from offset `from` on; see [`PullAnswer`].
     Pull {
-        /// The node that is ahead.
+        /// The node with the greater position.
         peer: NodeId,
-        /// The offset of the next record to fold.
+        /// Offset of the next record to fold.
         from: Offset,
     },
-    /// The fold now has this greater version.
+    /// The feed has advanced to this version.
     Applied(Version),
-    /// The next record follows this later rule; the version stays.
+    /// The next record needs this rule, which this release does not know. The version stays the same.
     Stalled(u16),
-    /// The source has another state at the same position; nothing changed.
+    /// The source has a different state at the same position. The feed keeps its own state.
     Diverged(RecordSource),
-    /// The log neither starts at 0 nor holds a usable checkpoint; ask peers.
+    /// The log no longer starts at offset 0 and holds no usable checkpoint. The state has to come
+    /// from a peer.
     NoStart(Offset),
     /// Append this checkpoint to the log.
     AppendCheckpoint(Checkpoint),
-    /// Send the delta to this node's children in the tree of `origin`, or offer them the
-    /// version when the delta is too long.
+    /// Send the delta to this node's children in the tree of `origin`, or offer them the version
+    /// when there is no delta or the delta is too long for a datagram.
     PushDelta {
         /// The reader at the root of the tree.
         origin: NodeId,
-        /// What leads to the version, where it is known.
+        /// Change from the previous version, or `None` if this node had no previous version.
         delta: Option<Arc<Delta>>,
     },
 }
 
-/// Answers a pull.
+/// Answer to a pull.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PullAnswer {
-    /// The asker is as far as this node.
+    /// The requesting node is up to date with this node.
     Current,
-    /// Records from the asker's position on.
+    /// Records from the requesting node's position on.
     Entries {
-        /// The records, without gaps.
+        /// Records without gaps.
         entries: Vec<Entry>,
-        /// This node's position; the asker pulls again when it is still behind.
+        /// Position of the answering node. The requesting node pulls again while its own position
+        /// is smaller.
         next: Offset,
     },
-    /// A state with the records that follow it.
+    /// State of the fold with the records that follow it.
     State {
-        /// The state.
+        /// Checkpoint that holds the state.
         checkpoint: Checkpoint,
-        /// The oldest record that the log's readers need, when it is known.
-        anchor: Option<ReplayStart>,
-        /// The records, without gaps.
+        /// Oldest record that readers of the log need, if known.
+        #[serde(rename = "anchor")]
+        replay_start: Option<ReplayStart>,
+        /// Records without gaps.
         entries: Vec<Entry>,
-        /// This node's position.
+        /// Position of the answering node.
         next: Offset,
     },
-    /// The newest version of a platform that judges versions itself.
+    /// Newest version, from a platform that validates versions itself.
     Snapshot(Arc<Snapshot>),
-    /// What leads to it from the asker's version, in order.
+    /// Deltas from the requesting node's version to the newest version, in order.
     Deltas(Vec<Arc<Delta>>),
 }
 
-/// Counts what the feed met, for metrics.
+/// Counters of a feed.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct FeedCounts {
     /// Records folded.
     pub folded: u64,
-    /// Records that were known already.
+    /// Records skipped because they were folded before.
     pub repeated: u64,
-    /// Batches that began after the next record.
+    /// Batches that did not start with the next record or had a gap.
     pub gaps: u64,
     /// Checkpoints adopted.
     pub adopted: u64,
-    /// Checkpoints refused, because they are damaged or would move back.
+    /// Checkpoints refused because they are damaged or not newer than the own state.
     pub refused: u64,
-    /// Sources that had another state at the same position.
+    /// Cases in which a source had a different state at the same position, or an older version at a
+    /// later position.
     pub diverged: u64,
-    /// Records that are no envelope.
+    /// Records that are not a valid envelope.
     pub malformed: u64,
-    /// Publishes rejected.
+    /// Publish records rejected by validation.
     pub rejected: u64,
 }
--- a/crates/swiftcart-core/src/feed/enforcement_gate.rs
+++ b/crates/swiftcart-core/src/feed/enforcement_gate.rs
@@ -1,105 +1,109 @@
-//! The floor: a version is reported to witnesses before it is put in force.
+//! Gate that reports each version to witnesses before the node enforces it.
 
 use std::time::Duration;
 
 use super::rank;
 use crate::{Instant, NodeId, Version};
 
-/// How long a node waits for one witness before it puts a version in force anyway.
+/// Maximum time that a version waits for the first acknowledgement of a witness. The node enforces
+/// the version after this time even without an acknowledgement.
 pub const WITNESS_ACK_TIMEOUT: Duration = Duration::from_millis(300);
-/// Witnesses in the node's own failure domain.
-const NEAR: usize = 2;
-/// Witnesses in other failure domains.
-const FAR: usize = 1;
+/// Number of witnesses in the node's own failure domain.
+const OWN_DOMAIN_WITNESSES: usize = 2;
+/// Number of witnesses in other failure domains.
+const OTHER_DOMAIN_WITNESSES: usize = 1;
 
-/// Asks the node to do something on behalf of the floor.
+/// Action that the node performs on behalf of an [`EnforcementGate`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EnforcementAction {
     /// Report the version to these witnesses.
     Report {
-        /// The version that is about to be put in force.
+        /// Version that is about to be enforced.
         version: Version,
-        /// The witnesses.
+        /// Witnesses that receive the report.
         to: Vec<NodeId>,
     },
-    /// Put the version in force now.
+    /// Enforce the version now.
     Enforce(Version),
 }
 
-/// Holds back each version until a witness knows it, so that a restarted node can
-/// learn how far it was.
+/// Gate that holds back each version until a witness has acknowledged it or has not answered within
+/// [`WITNESS_ACK_TIMEOUT`].
+///
+/// After a restart, a node can ask the witnesses for the greatest version that it had reported.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{EnforcementGate, EnforcementAction, Instant, NodeId, Version};
+/// use swiftcart_core::{EnforcementAction, EnforcementGate, Instant, NodeId, Version};
 ///
 /// let witness = NodeId(([10, 0, 0, 2], 7000).into());
-/// let mut floor = EnforcementGate::new();
+/// let mut gate = EnforcementGate::new();
 /// let version = Version(4);
 /// let report = EnforcementAction::Report { version, to: vec![witness] };
-/// assert_eq!(floor.on_version(Instant::default(), version, &[witness]), [report]);
+/// assert_eq!(gate.on_version(Instant::default(), version, &[witness]), [report]);
 /// let enforce = EnforcementAction::Enforce(version);
-/// assert_eq!(floor.on_ack(Instant::default(), witness, version, &[witness]), [enforce]);
+/// assert_eq!(gate.on_ack(Instant::default(), witness, version, &[witness]), [enforce]);
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct EnforcementGate {
     enforced: Version,
-    open: Option<Report>,
-    next: Version,
+    pending: Option<PendingReport>,
+    latest: Version,
     unacknowledged: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Report {
+struct PendingReport {
     version: Version,
-    until: Instant,
-    to: Vec<NodeId>,
+    deadline: Instant,
+    witnesses: Vec<NodeId>,
 }
 
 impl EnforcementGate {
-    /// Creates the floor of a node that has put nothing in force.
+    /// Creates the gate of a node that has not enforced any version.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the version in force.
+    /// Returns the enforced version.
     #[must_use]
     pub const fn enforced(&self) -> Version {
         self.enforced
     }
 
-    /// Returns how many versions were put in force without an acknowledgement.
+    /// Returns the number of versions that were enforced without an acknowledgement.
     #[must_use]
     pub const fn unacknowledged(&self) -> u64 {
         self.unacknowledged
     }
 
-    /// Returns when [`on_tick`](Self::on_tick) has something to do.
+    /// Returns the time at which [`on_tick`](Self::on_tick) has to be called.
     #[must_use]
     pub fn wake(&self) -> Option<Instant> {
-        self.open.as_ref().map(|report| report.until)
+        self.pending.as_ref().map(|report| report.deadline)
     }
 
-    /// Takes a version that the feed has reached; `witnesses` come from [`witnesses`].
+    /// Handles a version that the feed has reached.
     ///
-    /// While a report is open, later versions wait together for the next one, so
-    /// that a steady stream of publishes cannot postpone the change for ever.
+    /// `witnesses` are the nodes that [`witnesses`] returns. While a report is pending, newer
+    /// versions wait for the next report. A steady stream of publishes therefore cannot postpone
+    /// enforcement forever.
     pub fn on_version(
         &mut self,
         now: Instant,
         version: Version,
         witnesses: &[NodeId],
     ) -> Vec<EnforcementAction> {
-        self.next = self.next.max(version);
-        match self.open {
+        self.latest = self.latest.max(version);
+        match self.pending {
             Some(_) => Vec::new(),
-            None => self.report(now, witnesses),
+            None => self.start_report(now, witnesses),
         }
     }
 
-    /// Takes a witness's acknowledgement.
+    /// Handles the acknowledgement of a witness.
     pub fn on_ack(
         &mut self,
         now: Instant,
@@ -107,16 +111,17 @@
         version: Version,
         witnesses: &[NodeId],
     ) -> Vec<EnforcementAction> {
-        let acked = |r: &mut Report| r.version <= version && r.to.contains(&peer);
-        match self.open.take_if(acked) {
+        let is_acknowledged =
+            |r: &mut PendingReport| r.version <= version && r.witnesses.contains(&peer);
+        match self.pending.take_if(is_acknowledged) {
             Some(report) => self.enforce(now, report.version, witnesses),
             None => Vec::new(),
         }
     }
 
-    /// Puts a version in force for which no witness answered in time.
+    /// Enforces the reported version if no witness has acknowledged it in time.
     pub fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<EnforcementAction> {
-        match self.open.take_if(|report| now >= report.until) {
+        match self.pending.take_if(|report| now >= report.deadline) {
             Some(report) => {
                 self.unacknowledged += 1;
                 self.enforce(now, report.version, witnesses)
@@ -133,12 +138,12 @@
     ) -> Vec<EnforcementAction> {
         self.enforced = version;
         let mut actions = vec![EnforcementAction::Enforce(version)];
-        actions.extend(self.report(now, witnesses));
+        actions.extend(self.start_report(now, witnesses));
         actions
     }
 
-    fn report(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<EnforcementAction> {
-        let version = self.next;
+    fn start_report(&mut self, now: Instant, witnesses: &[NodeId]) -> Vec<EnforcementAction> {
+        let version = self.latest;
         match witnesses {
             _ if version <= self.enforced => Vec::new(),
             [] => {
@@ -148,10 +153,10 @@
             }
             _ => {
                 let to = witnesses.to_vec();
-                self.open = Some(Report {
+                self.pending = Some(PendingReport {
                     version,
-                    until: now + WITNESS_ACK_TIMEOUT,
-                    to: to.clone(),
+                    deadline: now + WITNESS_ACK_TIMEOUT,
+                    witnesses: to.clone(),
                 });
                 vec![EnforcementAction::Report { version, to }]
             }
@@ -159,15 +164,15 @@
     }
 }
 
-/// Returns the witnesses of `me`: two of its own failure domain and one of another.
+/// Returns the witnesses of `me`: two nodes of its own failure domain and one node of another.
 ///
-/// They depend on the members alone, so that they rarely change.
+/// The choice depends only on the member list, so that it rarely changes.
 #[must_use]
 pub fn witnesses(me: NodeId, near: &[NodeId], far: &[NodeId]) -> Vec<NodeId> {
     let salt = me.to_string();
     let others = |ids| rank(ids, &salt).into_iter().filter(move |id| *id != me);
     others(near)
-        .take(NEAR)
-        .chain(others(far).take(FAR))
+        .take(OWN_DOMAIN_WITNESSES)
+        .chain(others(far).take(OTHER_DOMAIN_WITNESSES))
         .collect()
 }
--- a/crates/swiftcart-core/src/feed/follow.rs
+++ b/crates/swiftcart-core/src/feed/follow.rs
@@ -1,20 +1,20 @@
-//! The feed's state machine: records and states in, a fold that only moves forward.
+//! State machine of the feed. Its input is records and states; its fold only moves forward.
 
 mod adopt;
 mod serve;
 
 use super::ring::Ring;
-use super::search::Search;
+use super::search::CheckpointSearch;
 use super::{FeedAction, FeedCounts, FeedSettings, PullAnswer, RecordSource, ReplayStart};
 use crate::{
     Agreement, Checkpoint, Entry, Fold, FoldError, Head, Instant, NodeId, Offset, Verdict, Version,
 };
 
-/// Follows the configuration stream for one node.
+/// State of one node that follows the log of configuration records.
 ///
-/// Records reach it in pages of the platform, as pushes and in answers to pulls,
-/// in any order and any number of times. It neither moves to an older position
-/// nor to an older version.
+/// Records arrive in pages of the platform's log, in pushes and in answers to pulls. They may arrive
+/// in any order and any number of times. The feed never moves to an older position or to an older
+/// version.
 ///
 /// # Examples
 ///
@@ -35,26 +35,27 @@
     settings: FeedSettings,
     fold: Fold,
     ring: Ring,
-    first: Offset,
-    search: Search,
-    anchor: Option<ReplayStart>,
+    log_start: Offset,
+    search: CheckpointSearch,
+    replay_start: Option<ReplayStart>,
     stalled: Option<u16>,
     pull: Option<Pull>,
-    asked_ms: Option<u64>,
-    cache: Option<Checkpoint>,
+    requested_ms: Option<u64>,
+    cached_checkpoint: Option<Checkpoint>,
     counts: FeedCounts,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Pull {
     peer: NodeId,
-    until: Instant,
-    /// The tree in which the records would have been pushed on, after a gap.
+    deadline: Instant,
+    /// Root of the push tree in which the pulled records are forwarded, if a push or an offer led to
+    /// the pull.
     origin: Option<NodeId>,
 }
 
 impl Feed {
-    /// Creates the feed of a node that knows nothing yet.
+    /// Creates the feed of a node that has not read any records.
     #[must_use]
     pub fn new(me: NodeId, settings: FeedSettings) -> Self {
         Self {
@@ -62,18 +63,18 @@
             settings,
             fold: Fold::new(),
             ring: Ring::new(settings.ring_records, settings.ring_bytes),
-            first: Offset(0),
-            search: Search::None,
-            anchor: None,
+            log_start: Offset(0),
+            search: CheckpointSearch::Inactive,
+            replay_start: None,
             stalled: None,
             pull: None,
-            asked_ms: None,
-            cache: None,
+            requested_ms: None,
+            cached_checkpoint: None,
             counts: FeedCounts::default(),
         }
     }
 
-    /// Returns the fold of what was read.
+    /// Returns the fold of all records that were read.
     #[must_use]
     pub const fn fold(&self) -> &Fold {
         &self.fold
@@ -82,10 +83,10 @@
     /// Returns the offset from which to read the platform's log next.
     #[must_use]
     pub fn from(&self) -> Offset {
-        self.search.at().unwrap_or(self.fold.position())
+        self.search.scan_offset().unwrap_or(self.fold.position())
     }
 
-    /// Returns what probes tell other nodes.
+    /// Returns the stream position that probes announce to other nodes.
     #[must_use]
     pub fn head(&self) -> Head {
         Head {
@@ -94,38 +95,42 @@
         }
     }
 
-    /// Returns the later rule that keeps the feed from reading on, if there is one.
+    /// Returns the unknown rule at which the feed has stalled, if any.
     #[must_use]
     pub const fn stalled(&self) -> Option<u16> {
         self.stalled
     }
 
-    /// Returns what the feed counted.
+    /// Returns the counters of the feed.
     #[must_use]
     pub const fn counts(&self) -> FeedCounts {
         self.counts
     }
 
-    /// Takes a page of the platform's log that was read from [`from`](Self::from).
+    /// Handles a page of the platform's log that was read from [`from`](Self::from).
+    ///
+    /// `first` is the oldest offset in the log, and `next` is the offset after its last record.
     pub fn on_page(&mut self, first: Offset, next: Offset, entries: Vec<Entry>) -> Vec<FeedAction> {
-        self.first = self.first.max(first);
+        self.log_start = self.log_start.max(first);
         let position = self.fold.position();
         let lookback = self.settings.lookback();
         self.search = self
             .search
-            .with_bounds(position, self.first, next, lookback);
-        let mut actions = self.look(&entries);
+            .with_bounds(position, self.log_start, next, lookback);
+        let mut actions = self.scan_for_checkpoint(&entries);
         match self.search {
-            Search::All { at } if at >= next => actions.push(FeedAction::NoStart(self.first)),
-            Search::Near { .. } | Search::All { .. } => {}
-            Search::None | Search::Failed => {
+            CheckpointSearch::Full { at } if at >= next => {
+                actions.push(FeedAction::NoStart(self.log_start))
+            }
+            CheckpointSearch::Recent { .. } | CheckpointSearch::Full { .. } => {}
+            CheckpointSearch::Inactive | CheckpointSearch::Failed => {
                 actions.extend(self.fold_all(entries, RecordSource::Platform, Some(self.me)));
             }
         }
         actions
     }
 
-    /// Takes records that `peer` pushed down the tree of `origin`.
+    /// Handles records that `peer` pushed down the tree of `origin`.
     pub fn on_push(
         &mut self,
         now: Instant,
@@ -137,26 +142,26 @@
         match entries.first() {
             Some(entry) if entry.offset > position => {
                 self.counts.gaps += 1;
-                self.pull(now, peer, Some(origin))
+                self.start_pull(now, peer, Some(origin))
             }
             _ => self.fold_all(entries, RecordSource::Peer(peer), Some(origin)),
         }
     }
 
-    /// Takes the place in the stream that `peer` told of itself.
+    /// Handles the stream position that `peer` announced.
     pub fn on_head(&mut self, now: Instant, peer: NodeId, head: Head) -> Vec<FeedAction> {
         let own = self.fold.position().0;
         match head.position {
-            theirs if theirs > own => self.pull(now, peer, None),
-            theirs if theirs == own && head.digest != self.fold.digest().short() => {
-                self.diverged(RecordSource::Peer(peer))
+            remote if remote > own => self.start_pull(now, peer, None),
+            remote if remote == own && head.digest != self.fold.digest().short() => {
+                self.report_divergence(RecordSource::Peer(peer))
             }
             _ => Vec::new(),
         }
     }
 
-    /// Takes the place in the stream that `peer` offers in the tree of `origin`, in
-    /// place of records that are too long to push.
+    /// Handles the stream position that `peer` offers in the tree of `origin`, in place of records that
+    /// are too long to push.
     pub fn on_offer(
         &mut self,
         now: Instant,
@@ -165,12 +170,12 @@
         head: Head,
     ) -> Vec<FeedAction> {
         match head.position > self.fold.position().0 {
-            true => self.pull(now, peer, Some(origin)),
+            true => self.start_pull(now, peer, Some(origin)),
             false => Vec::new(),
         }
     }
 
-    /// Takes the answer to a pull.
+    /// Handles the answer to a pull.
     pub fn on_pull_reply(
         &mut self,
         now: Instant,
@@ -187,28 +192,28 @@
             PullAnswer::Entries { entries, next } => (self.fold_all(entries, source, origin), next),
             PullAnswer::State {
                 checkpoint,
-                anchor,
+                replay_start,
                 entries,
                 next,
             } => {
-                let mut actions = self.adopt(&checkpoint, anchor, source);
+                let mut actions = self.adopt(&checkpoint, replay_start, source);
                 actions.extend(self.fold_all(entries, source, None));
                 (actions, next)
             }
         };
         let position = self.fold.position();
         if next > position && position > before {
-            actions.extend(self.pull(now, peer, origin));
+            actions.extend(self.start_pull(now, peer, origin));
         }
         actions
     }
 
-    /// Notes that a pull failed or was refused, so that the next one may start.
+    /// Ends a pull that failed or was refused, so that the next pull may start.
     pub fn on_pull_failed(&mut self, peer: NodeId) {
         self.end_pull(peer);
     }
 
-    /// Folds the records that come next and skips those that are known.
+    /// Folds the records that follow the current position and skips records that were folded before.
     fn fold_all(
         &mut self,
         entries: Vec<Entry>,
@@ -216,7 +221,7 @@
         origin: Option<NodeId>,
     ) -> Vec<FeedAction> {
         let version = self.fold.version();
-        let mut fresh = Vec::new();
+        let mut new_entries = Vec::new();
         let mut actions = Vec::new();
         for entry in entries {
             match self.fold.apply(&entry) {
@@ -232,26 +237,31 @@
                     break;
                 }
                 Ok(verdict) => {
-                    fresh.push(entry.clone());
-                    actions.extend(self.note(entry, &verdict, source));
+                    new_entries.push(entry.clone());
+                    actions.extend(self.record_verdict(entry, &verdict, source));
                 }
             }
         }
-        let push = origin.filter(|_| !fresh.is_empty());
+        let push = origin.filter(|_| !new_entries.is_empty());
         actions.extend(push.map(|origin| FeedAction::Push {
             origin,
-            entries: fresh,
+            entries: new_entries,
         }));
-        actions.extend(self.applied(version));
+        actions.extend(self.version_change(version));
         actions
     }
 
-    fn note(&mut self, entry: Entry, verdict: &Verdict, source: RecordSource) -> Vec<FeedAction> {
-        let here = ReplayStart {
+    fn record_verdict(
+        &mut self,
+        entry: Entry,
+        verdict: &Verdict,
+        source: RecordSource,
+    ) -> Vec<FeedAction> {
+        let this_record = ReplayStart {
             from: entry.offset,
             at_ms: entry.at_ms,
         };
-        let anchor = *self.anchor.get_or_insert(here);
+        let replay_start = *self.replay_start.get_or_insert(this_record);
         self.stalled = None;
         self.counts.folded += 1;
         self.ring.push(entry);
@@ -259,13 +269,13 @@
             Verdict::Checkpoint {
                 agreement: Agreement::Different,
                 ..
-            } => return self.diverged(source),
-            Verdict::Checkpoint { position, .. } if *position >= anchor.from => {
-                let needed = self.ring.at(*position).map(|entry| ReplayStart {
+            } => return self.report_divergence(source),
+            Verdict::Checkpoint { position, .. } if *position >= replay_start.from => {
+                let needed = self.ring.get(*position).map(|entry| ReplayStart {
                     from: entry.offset,
                     at_ms: entry.at_ms,
                 });
-                self.anchor = needed.or(self.anchor);
+                self.replay_start = needed.or(self.replay_start);
             }
             Verdict::Malformed => self.counts.malformed += 1,
             Verdict::Rejected(_) => self.counts.rejected += 1,
@@ -274,7 +284,7 @@
         Vec::new()
     }
 
-    fn applied(&self, before: Version) -> Vec<FeedAction> {
+    fn version_change(&self, before: Version) -> Vec<FeedAction> {
         match self.fold.version() {
             version if version > before => vec![FeedAction::Applied(version)],
             _ => Vec::new(),
@@ -288,24 +298,29 @@
         }
     }
 
-    fn diverged(&mut self, source: RecordSource) -> Vec<FeedAction> {
+    fn report_divergence(&mut self, source: RecordSource) -> Vec<FeedAction> {
         self.counts.diverged += 1;
         vec![FeedAction::Diverged(source)]
     }
 
-    /// Starts a pull unless one is open or the feed cannot read on anyway.
-    fn pull(&mut self, now: Instant, peer: NodeId, origin: Option<NodeId>) -> Vec<FeedAction> {
+    /// Starts a pull unless a pull is pending or the feed has stalled.
+    fn start_pull(
+        &mut self,
+        now: Instant,
+        peer: NodeId,
+        origin: Option<NodeId>,
+    ) -> Vec<FeedAction> {
         match &mut self.pull {
             _ if self.stalled.is_some() => Vec::new(),
-            Some(open) if now < open.until => {
-                open.origin = open.origin.or(origin);
+            Some(pending) if now < pending.deadline => {
+                pending.origin = pending.origin.or(origin);
                 Vec::new()
             }
             pull => {
-                let until = now + self.settings.pull_timeout;
+                let deadline = now + self.settings.pull_timeout;
                 *pull = Some(Pull {
                     peer,
-                    until,
+                    deadline,
                     origin,
                 });
                 let from = self.fold.position();
--- a/crates/swiftcart-core/src/feed/follow/adopt.rs
+++ b/crates/swiftcart-core/src/feed/follow/adopt.rs
@@ -1,30 +1,31 @@
-//! How the feed takes over a state, from the log or from a peer.
+//! Adoption of a state, from the log or from a peer.
 
-use super::super::search::Search;
+use super::super::search::CheckpointSearch;
 use super::super::{FeedAction, RecordSource, ReplayStart};
 use super::Feed;
 use crate::{Body, Checkpoint, CheckpointError, Entry, Envelope, Fold};
 
 impl Feed {
-    /// Looks for a usable checkpoint: one whose later records are all still kept.
-    pub(super) fn look(&mut self, entries: &[Entry]) -> Vec<FeedAction> {
+    /// Searches `entries` for a usable checkpoint and adopts it. A checkpoint is usable if the log still
+    /// holds all records after it.
+    pub(super) fn scan_for_checkpoint(&mut self, entries: &[Entry]) -> Vec<FeedAction> {
         for entry in entries {
-            if self.search.at() != Some(entry.offset) {
+            if self.search.scan_offset() != Some(entry.offset) {
                 continue;
             }
-            self.search = self.search.stepped();
+            self.search = self.search.advanced();
             let Ok(Body::Checkpoint(checkpoint)) = Envelope::decode(&entry.body).map(|e| e.body)
             else {
                 continue;
             };
-            let kept = self.first..=entry.offset;
-            let anchor = ReplayStart {
+            let available = self.log_start..=entry.offset;
+            let replay_start = ReplayStart {
                 from: checkpoint.position,
                 at_ms: entry.at_ms,
             };
             let before = self.counts.adopted;
-            let actions = match kept.contains(&checkpoint.position) {
-                true => self.adopt(&checkpoint, Some(anchor), RecordSource::Platform),
+            let actions = match available.contains(&checkpoint.position) {
+                true => self.adopt(&checkpoint, Some(replay_start), RecordSource::Platform),
                 false => Vec::new(),
             };
             if self.counts.adopted > before {
@@ -34,11 +35,12 @@
         Vec::new()
     }
 
-    /// Takes over a state that lies ahead; anything else changes nothing.
+    /// Adopts a state that has a later position and no older version. A conflicting state is reported as
+    /// a divergence, a state with an unknown rule stalls the feed, and any other state is refused.
     pub(super) fn adopt(
         &mut self,
         checkpoint: &Checkpoint,
-        anchor: Option<ReplayStart>,
+        replay_start: Option<ReplayStart>,
         source: RecordSource,
     ) -> Vec<FeedAction> {
         let (position, version) = (self.fold.position(), self.fold.version());
@@ -46,14 +48,16 @@
             Ok(fold) if fold.position() > position && fold.version() >= version => {
                 self.fold = fold;
                 self.ring.clear();
-                self.search = Search::None;
+                self.search = CheckpointSearch::Inactive;
                 self.stalled = None;
-                self.anchor = anchor.or(self.anchor);
+                self.replay_start = replay_start.or(self.replay_start);
                 self.counts.adopted += 1;
-                self.applied(version)
+                self.version_change(version)
+            }
+            Ok(fold) if fold.position() > position => self.report_divergence(source),
+            Ok(fold) if fold.position() == position && fold != self.fold => {
+                self.report_divergence(source)
             }
-            Ok(fold) if fold.position() > position => self.diverged(source),
-            Ok(fold) if fold.position() == position && fold != self.fold => self.diverged(source),
             Err(CheckpointError::UnknownRule(rule)) => self.stall(rule),
             Ok(_) | Err(_) => {
                 self.counts.refused += 1;
--- a/crates/swiftcart-core/src/feed/follow/serve.rs
+++ b/crates/swiftcart-core/src/feed/follow/serve.rs
@@ -1,42 +1,42 @@
-//! What the feed gives others: answers to pulls, and checkpoints for the log.
+//! Answers to pulls, and checkpoints for the log.
 
 use std::time::Duration;
 
-use super::super::replay_start::Log;
+use super::super::replay_start::LogBounds;
 use super::super::{FeedAction, PullAnswer};
 use super::Feed;
 use crate::{Checkpoint, Offset};
 
-/// Records after the cached state that make an answer to a pull take a newer one.
-const STATE_LAG: u64 = 64;
+/// Maximum number of records by which the cached checkpoint may be behind when it answers a pull.
+const MAX_CHECKPOINT_LAG: u64 = 64;
 
 impl Feed {
-    /// Answers the pull of another node whose next record is `from`.
+    /// Returns the answer to a pull of a node whose next record is `from`.
     pub fn answer(&mut self, from: Offset) -> PullAnswer {
         let next = self.fold.position();
-        match self.ring.from(from, self.settings.reply_bytes) {
+        match self.ring.read_from(from, self.settings.reply_bytes) {
             _ if from >= next => PullAnswer::Current,
             Some(entries) => PullAnswer::Entries { entries, next },
             None => self.answer_state(next),
         }
     }
 
-    /// Asks for a checkpoint when one is due for a reader of this rank.
+    /// Returns an action that appends a checkpoint if a checkpoint is due for a reader of this rank.
     ///
-    /// `now_ms` is the platform's clock; rank 0 goes first.
+    /// `now_ms` is the time of the platform's clock. The reader of rank 0 appends first.
     pub fn on_tick(&mut self, now_ms: u64, rank: usize) -> Option<FeedAction> {
         let retry = self.settings.checkpoint_retry;
         let since = |ms| Duration::from_millis(now_ms.saturating_sub(ms));
-        let log = Log {
-            first: self.first,
+        let log = LogBounds {
+            log_start: self.log_start,
             now_ms,
             position: self.fold.position(),
         };
-        match self.anchor {
+        match self.replay_start {
             _ if self.stalled.is_some() => None,
-            _ if self.asked_ms.is_some_and(|ms| since(ms) < retry) => None,
-            Some(anchor) if anchor.is_due(&self.settings, log, rank) => {
-                self.asked_ms = Some(now_ms);
+            _ if self.requested_ms.is_some_and(|ms| since(ms) < retry) => None,
+            Some(start) if start.is_due(&self.settings, log, rank) => {
+                self.requested_ms = Some(now_ms);
                 Some(FeedAction::AppendCheckpoint(self.fold.checkpoint()))
             }
             _ => None,
@@ -45,18 +45,18 @@
 
     fn answer_state(&mut self, next: Offset) -> PullAnswer {
         let bytes = self.settings.reply_bytes;
-        let is_near = |c: &Checkpoint| next.0.saturating_sub(c.position.0) <= STATE_LAG;
-        let cached = self.cache.take().filter(is_near);
-        let cached = cached.filter(|c| c.position == next || self.ring.at(c.position).is_some());
+        let is_near = |c: &Checkpoint| next.0.saturating_sub(c.position.0) <= MAX_CHECKPOINT_LAG;
+        let cached = self.cached_checkpoint.take().filter(is_near);
+        let cached = cached.filter(|c| c.position == next || self.ring.get(c.position).is_some());
         let checkpoint = cached.unwrap_or_else(|| self.fold.checkpoint());
-        self.cache = Some(checkpoint.clone());
+        self.cached_checkpoint = Some(checkpoint.clone());
         PullAnswer::State {
             entries: self
                 .ring
-                .from(checkpoint.position, bytes)
+                .read_from(checkpoint.position, bytes)
                 .unwrap_or_default(),
             checkpoint,
-            anchor: self.anchor,
+            replay_start: self.replay_start,
             next,
         }
     }
--- a/crates/swiftcart-core/src/feed/readiness_gate.rs
+++ b/crates/swiftcart-core/src/feed/readiness_gate.rs
@@ -1,4 +1,4 @@
-//! When a restarted node may serve: once it cannot be behind its earlier life.
+//! Gate that keeps a starting node from serving a version older than the one it served before.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,24 +7,25 @@
 
 use crate::{Instant, NodeId, Offset, Version};
 
-/// How long a peer has to answer a joiner.
+/// Time in which a peer has to answer a starting node.
 pub const FLOOR_REPLY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Peers that a joiner asks, at most.
+/// Maximum number of peers that a starting node queries.
 pub const MAX_QUERIED_PEERS: usize = 4096;
 
-/// How much longer than so far a start is expected to take. Starts of one mesh last from 0.2 s to
-/// 2 s, when 295 nodes share what the platform gives out; who comes back after the time so far meets
-/// half of them ready, after twice that most.
-const START_FACTOR: u32 = 2;
-/// The least time after which a caller comes back: what a start of a small mesh takes.
-const START_LEAST: Duration = Duration::from_millis(250);
-/// The longest one: callers that have 6 s come back within a third of that.
-const START_MOST: Duration = Duration::from_secs(2);
-
-/// Returns when a caller should come back to a node that started `uptime` ago and is not ready.
+/// Ratio of the retry delay to the uptime. When 295 nodes share the platform's read capacity, starts
+/// take from 0.2 s to 2 s. A caller that retries after one uptime finds half of the nodes ready, and
+/// after two uptimes most of them.
+const RETRY_UPTIME_FACTOR: u32 = 2;
+/// Minimum retry delay, which is the time that a start takes in a small mesh.
+const MIN_STARTUP_RETRY: Duration = Duration::from_millis(250);
+/// Maximum retry delay. A caller with a deadline of 6 s waits for at most a third of it.
+const MAX_STARTUP_RETRY: Duration = Duration::from_secs(2);
+
+/// Returns the delay after which a caller should retry at a node that started `uptime` ago and is not
+/// ready.
 ///
-/// A caller that comes back too soon has spent a try. With 0.25 s for all, callers of two further tries
-/// were gone before half of a large mesh was ready again.
+/// A retry that comes too early uses up one of the caller's attempts. With a fixed delay of 0.25 s,
+/// callers with two retries gave up before half of a large mesh was ready.
 ///
 /// # Examples
 ///
@@ -39,101 +40,103 @@
 #[must_use]
 pub fn startup_retry_after(uptime: Duration) -> Duration {
     uptime
-        .saturating_mul(START_FACTOR)
-        .clamp(START_LEAST, START_MOST)
+        .saturating_mul(RETRY_UPTIME_FACTOR)
+        .clamp(MIN_STARTUP_RETRY, MAX_STARTUP_RETRY)
 }
 
 quick_error! {
-    /// Tells why a joiner is not ready.
+    /// Reason why a starting node is not ready.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum NotReady {
-        /// The platform was not read yet and is not known to be out of reach.
+        /// The platform has not been read yet and is not known to be unreachable.
         PlatformUnread {
-            display("the platform was not read yet; wait for it")
+            display("configuration not read from the platform yet; wait for the first read")
         }
-        /// Records up to the end of the log are missing.
+        /// The node has not read up to the end that the log had after the start.
         BehindLog(position: Offset, head: Offset) {
-            display("read up to {position} of {head}; wait for the rest")
+            display("configuration read up to offset {position} of {head}; wait for the remaining records")
         }
-        /// Peers have time left to answer.
+        /// The platform is unreachable, and queried peers still have time to answer.
         AwaitingPeers(peers: usize) {
-            display("the platform is out of reach and {peers} peers have not answered; wait for them")
+            display("platform unreachable and {peers} peers have not answered; wait for their answers")
         }
-        /// No peer that is ready itself has answered.
+        /// The platform is unreachable, and no ready peer has answered.
         NoReadyPeer {
-            display("neither the platform nor a ready peer answers; check the network")
+            display("platform unreachable and no ready peer answered; check the network")
         }
-        /// A peer knows of a later version.
+        /// A peer has reported a greater version than the node has.
         BehindPeer(version: Version, floor: Version) {
-            display("at version {version}, below {floor} that a peer reports; wait for it")
+            display("version {version} is older than version {floor} reported by a peer; wait for the newer version")
         }
     }
 }
 
-/// Decides when a node that starts without state becomes ready; it then stays so.
+/// Gate that decides when a node that starts without state becomes ready.
+///
+/// A node that has become ready stays ready.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{ReadinessGate, NotReady, Offset, Version};
+/// use swiftcart_core::{NotReady, ReadinessGate, Offset, Version};
 ///
-/// let mut join = ReadinessGate::new();
+/// let mut gate = ReadinessGate::new();
 /// let now = Default::default();
-/// assert_eq!(join.ready(now, Offset(0), Version::NONE), Err(NotReady::PlatformUnread));
-/// join.on_log_end(Offset(2));
+/// assert_eq!(gate.ready(now, Offset(0), Version::NONE), Err(NotReady::PlatformUnread));
+/// gate.on_log_end(Offset(2));
 /// let behind = NotReady::BehindLog(Offset(0), Offset(2));
-/// assert_eq!(join.ready(now, Offset(0), Version::NONE), Err(behind));
-/// assert_eq!(join.ready(now, Offset(2), Version(1)), Ok(()));
+/// assert_eq!(gate.ready(now, Offset(0), Version::NONE), Err(behind));
+/// assert_eq!(gate.ready(now, Offset(2), Version(1)), Ok(()));
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct ReadinessGate {
     ready: bool,
-    head: Option<Offset>,
+    log_end: Option<Offset>,
     outage: bool,
-    peers: BTreeMap<NodeId, Asked>,
+    peers: BTreeMap<NodeId, PeerQuery>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Asked {
-    first: Instant,
-    last: Instant,
+struct PeerQuery {
+    first_sent: Instant,
+    last_sent: Instant,
     answer: Option<Version>,
 }
 
 impl ReadinessGate {
-    /// Creates the joiner that knows nothing.
+    /// Creates the gate of a node that has just started.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes the end of the platform's log; the first one after the start counts.
+    /// Records the end of the platform's log. Only the first call after the start has an effect.
     pub fn on_log_end(&mut self, next: Offset) {
-        self.head.get_or_insert(next);
+        self.log_end.get_or_insert(next);
     }
 
-    /// Notes that the platform cannot be read, or that the feed stalled on a later
-    /// rule, which makes peers' answers count.
+    /// Records that the platform cannot be read, or that the feed has stalled on an unknown rule. From
+    /// then on the answers of peers can make the node ready.
     pub const fn on_outage(&mut self) {
         self.outage = true;
     }
 
-    /// Returns the known peers that are to be asked now.
+    /// Returns the peers in `known` that have to be queried now.
     ///
-    /// Whoever did not answer, or is not ready itself, is asked again after
+    /// Peers that have not answered or are not ready themselves are queried again after
     /// [`FLOOR_REPLY_TIMEOUT`].
     pub fn peers_to_query(&mut self, now: Instant, known: &[NodeId]) -> Vec<NodeId> {
         let mut due = Vec::new();
         for id in known {
-            let has_room = self.peers.len() < MAX_QUERIED_PEERS;
+            let has_capacity = self.peers.len() < MAX_QUERIED_PEERS;
             match self.peers.get_mut(id) {
                 _ if self.ready => {}
-                Some(asked) if asked.is_due(now) => {
-                    asked.last = now;
+                Some(query) if query.is_due(now) => {
+                    query.last_sent = now;
                     due.push(*id);
                 }
-                None if has_room => {
-                    self.peers.insert(*id, Asked::new(now));
+                None if has_capacity => {
+                    self.peers.insert(*id, PeerQuery::new(now));
                     due.push(*id);
                 }
                 Some(_) | None => {}
@@ -142,20 +145,20 @@
         due
     }
 
-    /// Takes a peer's answer, see [`Witness::answer`](crate::Witness::answer).
+    /// Handles a peer's answer; see [`Witness::answer`](crate::Witness::answer).
     ///
-    /// An answer of a peer that was not asked is ignored.
+    /// Answers of peers that were not queried are ignored.
     pub fn on_peer_floor(&mut self, peer: NodeId, floor: Version) {
-        if let Some(asked) = self.peers.get_mut(&peer) {
-            asked.answer = asked.answer.max(Some(floor));
+        if let Some(query) = self.peers.get_mut(&peer) {
+            query.answer = query.answer.max(Some(floor));
         }
     }
 
-    /// Tells whether a node that is this far may serve.
+    /// Checks whether a node at this position and version may serve.
     ///
     /// # Errors
     ///
-    /// What the node still waits for.
+    /// Returns a [`NotReady`] with the condition that the node still waits for.
     pub fn ready(
         &mut self,
         now: Instant,
@@ -163,21 +166,21 @@
         version: Version,
     ) -> Result<(), NotReady> {
         if !self.ready {
-            self.judge(now, position, version)?;
+            self.check(now, position, version)?;
             self.ready = true;
         }
         Ok(())
     }
 
-    fn judge(&self, now: Instant, position: Offset, version: Version) -> Result<(), NotReady> {
+    fn check(&self, now: Instant, position: Offset, version: Version) -> Result<(), NotReady> {
         let waiting = self
             .peers
             .values()
-            .filter(|asked| asked.is_open(now))
+            .filter(|query| query.is_pending(now))
             .count();
-        let answers = self.peers.values().filter_map(|asked| asked.answer);
+        let answers = self.peers.values().filter_map(|query| query.answer);
         let floor = answers.max().unwrap_or_default();
-        match self.head {
+        match self.log_end {
             Some(head) if position >= head => Ok(()),
             Some(head) if !self.outage => Err(NotReady::BehindLog(position, head)),
             None if !self.outage => Err(NotReady::PlatformUnread),
@@ -189,21 +192,21 @@
     }
 }
 
-impl Asked {
+impl PeerQuery {
     const fn new(now: Instant) -> Self {
         Self {
-            first: now,
-            last: now,
+            first_sent: now,
+            last_sent: now,
             answer: None,
         }
     }
 
     fn is_due(&self, now: Instant) -> bool {
         let answered = self.answer.is_some_and(|version| version > Version::NONE);
-        !answered && now.since(self.last) >= FLOOR_REPLY_TIMEOUT
+        !answered && now.since(self.last_sent) >= FLOOR_REPLY_TIMEOUT
     }
 
-    fn is_open(&self, now: Instant) -> bool {
-        self.answer.is_none() && now.since(self.first) < FLOOR_REPLY_TIMEOUT
+    fn is_pending(&self, now: Instant) -> bool {
+        self.answer.is_none() && now.since(self.first_sent) < FLOOR_REPLY_TIMEOUT
     }
 }
--- a/crates/swiftcart-core/src/feed/replay_start.rs
+++ b/crates/swiftcart-core/src/feed/replay_start.rs
@@ -1,4 +1,4 @@
-//! When the next checkpoint is due.
+//! Schedule of the checkpoints that the feed appends to the log.
 
 use std::time::Duration;
 
@@ -7,50 +7,50 @@
 use super::FeedSettings;
 use crate::Offset;
 
-/// Ranks that wait longer than the one before; later ones wait like the last.
-const RANKS: u64 = 4;
-/// Each rank waits for this part of the first rank's limit longer.
-const RANK_PART: u64 = 8;
+/// Greatest rank that adds a delay; greater ranks wait equally long.
+const MAX_RANK: u64 = 4;
+/// Each rank waits longer than the previous rank by the limit divided by this number.
+const RANK_DELAY_DIVISOR: u64 = 8;
 
-/// The oldest record that a reader without state needs.
+/// Oldest record that a reader without state needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplayStart {
-    /// Its offset: the position of the last checkpoint, or 0 without one.
+    /// Offset of the record: the position of the last checkpoint, or 0 without a checkpoint.
     pub from: Offset,
-    /// When it was appended, in Unix milliseconds of the platform's clock.
+    /// Append time, in Unix milliseconds of the platform's clock.
     pub at_ms: u64,
 }
 
 impl ReplayStart {
-    /// Tells whether a reader of this rank appends a checkpoint now.
+    /// Returns `true` if a reader of this rank has to append a checkpoint now.
     ///
-    /// It is due when half of the retention is over, or when a joiner would have
-    /// to read many records. Readers of a greater rank wait longer, so that
-    /// usually only the first one appends; at the last rank's limit a quarter of
-    /// the retention is still left.
-    pub(super) fn is_due(self, settings: &FeedSettings, log: Log, rank: usize) -> bool {
-        let rank = u64::try_from(rank).unwrap_or(RANKS).min(RANKS);
-        let later = |limit: u64| limit.saturating_add(limit / RANK_PART * rank);
+    /// A checkpoint is due when this record has expired, when it is older than half of the retention
+    /// period, or when a starting node would have to read many records. Readers of a greater rank wait longer, so
+    /// that usually only the reader of rank 0 appends. At the limit of the last rank, a quarter of
+    /// the retention period is still left.
+    pub(super) fn is_due(self, settings: &FeedSettings, log: LogBounds, rank: usize) -> bool {
+        let rank = u64::try_from(rank).unwrap_or(MAX_RANK).min(MAX_RANK);
+        let delayed = |limit: u64| limit.saturating_add(limit / RANK_DELAY_DIVISOR * rank);
         let age = Duration::from_millis(log.now_ms.saturating_sub(self.at_ms));
-        let oldest = millis(settings.retention) / 2;
-        let records = log.position.0.saturating_sub(self.from.0);
-        log.first > self.from
-            || millis(age) >= later(oldest)
-            || records >= later(settings.checkpoint_records)
+        let max_age = millis(settings.retention) / 2;
+        let replay_records = log.position.0.saturating_sub(self.from.0);
+        log.log_start > self.from
+            || millis(age) >= delayed(max_age)
+            || replay_records >= delayed(settings.checkpoint_records)
     }
 }
 
-/// What a checkpoint's age is measured against.
+/// State of the log that determines whether a checkpoint is due.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Log {
-    /// The oldest kept record.
-    pub first: Offset,
-    /// The platform's clock.
+pub(super) struct LogBounds {
+    /// Offset of the oldest record in the log.
+    pub log_start: Offset,
+    /// Current time of the platform's clock, in Unix milliseconds.
     pub now_ms: u64,
-    /// The feed's own position.
+    /// Position of the feed.
     pub position: Offset,
 }
 
-fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/swiftcart-core/src/feed/ring.rs
+++ b/crates/swiftcart-core/src/feed/ring.rs
@@ -1,10 +1,10 @@
-//! The recent records that a node keeps for its peers.
+//! Ring buffer of recent records, kept to answer pulls of peers.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, Offset};
 
-/// Records without gaps, bounded by count and bytes; the oldest go first.
+/// Consecutive records, bounded by count and bytes. The oldest records are evicted first.
 #[derive(Debug, Clone)]
 pub(super) struct Ring {
     entries: VecDeque<Entry>,
@@ -27,8 +27,8 @@
         self.bytes += entry.body.len();
         self.entries.push_back(entry);
         while self.entries.len() > self.max_records || self.bytes > self.max_bytes {
-            let dropped = self.entries.pop_front();
-            self.bytes -= dropped.map_or(0, |entry| entry.body.len());
+            let evicted = self.entries.pop_front();
+            self.bytes -= evicted.map_or(0, |entry| entry.body.len());
         }
     }
 
@@ -37,19 +37,20 @@
         self.bytes = 0;
     }
 
-    pub fn at(&self, offset: Offset) -> Option<&Entry> {
+    pub fn get(&self, offset: Offset) -> Option<&Entry> {
         self.entries.get(self.index(offset)?)
     }
 
-    /// Returns the records from `from` on, up to about `bytes`, or `None` when
-    /// some of them are no longer kept.
-    pub fn from(&self, from: Offset, bytes: usize) -> Option<Vec<Entry>> {
+    /// Returns the records from offset `from` on, or `None` if the buffer does not hold `from`.
+    ///
+    /// The result ends with the record that reaches or exceeds `bytes`.
+    pub fn read_from(&self, from: Offset, bytes: usize) -> Option<Vec<Entry>> {
         let start = self.index(from)?;
-        let mut left = bytes;
+        let mut remaining = bytes;
         let fitting = self.entries.iter().skip(start).take_while(|entry| {
-            let fits = left > 0;
-            left = left.saturating_sub(entry.body.len());
-            fits
+            let has_capacity = remaining > 0;
+            remaining = remaining.saturating_sub(entry.body.len());
+            has_capacity
         });
         Some(fitting.cloned().collect())
     }
--- a/crates/swiftcart-core/src/feed/search.rs
+++ b/crates/swiftcart-core/src/feed/search.rs
@@ -1,55 +1,57 @@
-//! Where a reader that is far behind looks for a checkpoint in the log.
+//! Search for a checkpoint in the log, for readers that are far behind.
 
 use crate::Offset;
 
-/// How the reader goes on.
+/// State of a reader's search for a checkpoint.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Search {
-    /// It reads on from its own position.
+pub(super) enum CheckpointSearch {
+    /// No search is needed. The reader continues from its own position.
     #[default]
-    None,
-    /// It looks from here up to the end that it first saw, to save reads.
-    Near { at: Offset, end: Offset },
-    /// Records that it needs have expired: it looks at everything that is kept.
-    All { at: Offset },
-    /// Nothing was found near the end: it reads on from its own position.
+    Inactive,
+    /// The reader scans the last records of the log from `at` to `end`. This saves the reads of all
+    /// earlier records.
+    Recent { at: Offset, end: Offset },
+    /// The next record of the reader has expired. The reader scans the whole log from `at` on.
+    Full { at: Offset },
+    /// The last records hold no usable checkpoint. The reader continues from its own position.
     Failed,
 }
 
-impl Search {
-    /// Returns the search after a page told the log's bounds.
+impl CheckpointSearch {
+    /// Returns the search for a reader at `position` after a page was read. The page reports the oldest
+    /// offset `first` and the end `next` of the log.
     pub fn with_bounds(self, position: Offset, first: Offset, next: Offset, lookback: u64) -> Self {
-        let near = Offset(next.0.saturating_sub(lookback));
+        let recent_start = Offset(next.0.saturating_sub(lookback));
         match self {
-            _ if position >= first && position >= near => Self::None,
-            Self::None if near > first => Self::Near {
-                at: near,
+            _ if position >= first && position >= recent_start => Self::Inactive,
+            Self::Inactive if recent_start > first => Self::Recent {
+                at: recent_start,
                 end: next,
             },
-            Self::Near { at, end } if at < end => Self::Near {
+            Self::Recent { at, end } if at < end => Self::Recent {
                 at: at.max(first),
                 end,
             },
-            Self::All { at } if position < first => Self::All { at: at.max(first) },
-            _ if position < first => Self::All { at: first },
+            Self::Full { at } if position < first => Self::Full { at: at.max(first) },
+            _ if position < first => Self::Full { at: first },
             _ => Self::Failed,
         }
     }
 
-    /// Returns the offset to look at next, or `None` when it reads on.
-    pub const fn at(self) -> Option<Offset> {
+    /// Returns the next offset to scan, or `None` if the reader continues from its own position.
+    pub const fn scan_offset(self) -> Option<Offset> {
         match self {
-            Self::None | Self::Failed => None,
-            Self::Near { at, .. } | Self::All { at } => Some(at),
+            Self::Inactive | Self::Failed => None,
+            Self::Recent { at, .. } | Self::Full { at } => Some(at),
         }
     }
 
-    /// Returns the search after it looked at one record in vain.
-    pub const fn stepped(self) -> Self {
+    /// Returns the search after a record without a usable checkpoint.
+    pub const fn advanced(self) -> Self {
         match self {
-            Self::Near { at, end } => Self::Near { at: at.next(), end },
-            Self::All { at } => Self::All { at: at.next() },
-            Self::None | Self::Failed => self,
+            Self::Recent { at, end } => Self::Recent { at: at.next(), end },
+            Self::Full { at } => Self::Full { at: at.next() },
+            Self::Inactive | Self::Failed => self,
         }
     }
 }
--- a/crates/swiftcart-core/src/feed/settings.rs
+++ b/crates/swiftcart-core/src/feed/settings.rs
@@ -1,28 +1,28 @@
-//! The settings of a feed.
+//! Settings of a feed.
 
 use std::time::Duration;
 
-/// Bounds and intervals of a [`Feed`](crate::Feed).
+/// Limits and timeouts of a [`Feed`](crate::Feed).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct FeedSettings {
-    /// Recent records kept for peers, at most.
+    /// Maximum number of recent records kept for peers.
     pub ring_records: usize,
-    /// Bytes of the bodies of recent records kept for peers, at most.
+    /// Maximum total body size of the recent records kept for peers, in bytes.
     pub ring_bytes: usize,
-    /// Bytes of the bodies of one answer to a pull, at most; one record may exceed it.
+    /// Body size at which an answer to a pull ends, in bytes. The last record may exceed it.
     pub reply_bytes: usize,
-    /// How long the platform keeps a record.
+    /// Time for which the platform keeps a record.
     pub retention: Duration,
-    /// Records after the last checkpoint that make the next one due.
+    /// Number of records after the last checkpoint that makes the next checkpoint due.
     pub checkpoint_records: u64,
-    /// How long an appended checkpoint may take to come back from the log.
+    /// Time after which a checkpoint is appended again if it has not been read back from the log.
     pub checkpoint_retry: Duration,
-    /// How long a pull may take before another one starts.
+    /// Time after which another pull may start although the previous pull is unanswered.
     pub pull_timeout: Duration,
 }
 
 impl FeedSettings {
-    /// Creates the settings for a log with this retention.
+    /// Creates the default settings for a log with this retention period.
     #[must_use]
     pub const fn new(retention: Duration) -> Self {
         Self {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets how many recent records, and bytes of them, are kept for peers.
+    /// Sets the maximum number and total body size of the recent records kept for peers.
     #[must_use]
     pub const fn with_ring(mut self, records: usize, bytes: usize) -> Self {
         self.ring_records = records;
@@ -44,16 +44,18 @@
         self
     }
 
-    /// Sets after how many records the next checkpoint is due.
+    /// Sets the number of records after which the next checkpoint is due.
     #[must_use]
     pub const fn with_checkpoint(mut self, records: u64) -> Self {
         self.checkpoint_records = records;
         self
     }
 
-    /// Returns how far before the log's end a reader looks for a checkpoint.
+    /// Returns the number of records before the end of the log in which a reader searches for a
+    /// checkpoint.
     ///
-    /// Twice the records between checkpoints leaves time for one that is appended late.
+    /// The number is twice the checkpoint interval, so that the search still finds a
+    /// checkpoint if the next checkpoint is appended late.
     #[must_use]
     pub const fn lookback(&self) -> u64 {
         self.checkpoint_records.saturating_mul(2)
--- a/crates/swiftcart-core/src/feed/snapshot_feed.rs
+++ b/crates/swiftcart-core/src/feed/snapshot_feed.rs
@@ -1,4 +1,4 @@
-//! Follows versions that come as a whole, whoever brings them.
+//! State machine that follows complete configuration versions, from the platform or from peers.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,22 +7,22 @@
 use super::{FeedAction, PullAnswer, RecordSource};
 use crate::{Delta, Digest, Head, Instant, NodeId, Offset, Snapshot, Version};
 
-/// How long a pull may take before another one starts; a pull within a failure domain takes
-/// a few milliseconds, and a version has to be in force everywhere within two seconds.
-const PULL_TIME: Duration = Duration::from_millis(400);
+/// Time after which another pull may start although the previous pull is unanswered. A pull within a
+/// failure domain takes a few milliseconds, and every node has to enforce a version within two seconds.
+const PULL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Deltas that are kept for peers which missed some: what changes in about ten seconds of
-/// quick succession.
-const RECENT: usize = 16;
+/// Maximum number of recent deltas kept for peers that missed some versions. It covers about ten
+/// seconds of versions in quick succession.
+const MAX_RECENT_DELTAS: usize = 16;
 
-/// Edits in the kept deltas; a longer change is pulled as a whole.
-const RECENT_EDITS: usize = 1024;
+/// Maximum number of edits in the recent deltas. A peer that missed more edits pulls a snapshot.
+const MAX_RECENT_EDITS: usize = 1024;
 
-/// Follows a platform that judges versions itself, for one node.
+/// State of one node that follows a platform that validates versions itself.
 ///
-/// Only the newest version counts. A reader takes it from the platform and sends what has
-/// changed down the tree of its failure domain; who hears of a greater version otherwise,
-/// by an offer or by a probe, pulls what it lacks. It never moves to an older version.
+/// Only the newest version counts. A reader reads it from the platform and pushes the delta down the
+/// tree of its failure domain. A node that learns of a greater version from an offer or a probe pulls
+/// the missing deltas or a snapshot. The feed never moves to an older version.
 ///
 /// # Examples
 ///
@@ -30,33 +30,33 @@
 /// use swiftcart_core::{FeedAction, NodeId, Snapshot, SnapshotFeed, Table, Version};
 ///
 /// let me = NodeId(([10, 0, 0, 1], 7000).into());
-/// let mut snapshots = SnapshotFeed::new(me);
-/// let actions = snapshots.on_read(Snapshot::new(Version(7), Table::new()));
+/// let mut feed = SnapshotFeed::new(me);
+/// let actions = feed.on_read(Snapshot::new(Version(7), Table::new()));
 /// let delta = None;
-/// let spread = FeedAction::PushDelta { origin: me, delta };
-/// assert_eq!(actions, [spread, FeedAction::Applied(Version(7))]);
-/// assert_eq!(snapshots.on_read(Snapshot::new(Version(6), Table::new())), []);
+/// let push = FeedAction::PushDelta { origin: me, delta };
+/// assert_eq!(actions, [push, FeedAction::Applied(Version(7))]);
+/// assert_eq!(feed.on_read(Snapshot::new(Version(6), Table::new())), []);
 /// ```
 #[derive(Debug, Clone)]
 pub struct SnapshotFeed {
     me: NodeId,
     newest: Arc<Snapshot>,
     digest: Digest,
-    /// What led to the newest version, the oldest first and without gaps.
-    recent: VecDeque<Arc<Delta>>,
+    /// Consecutive deltas up to the newest version, oldest first.
+    recent_deltas: VecDeque<Arc<Delta>>,
     pull: Option<Pull>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Pull {
     peer: NodeId,
-    until: Instant,
-    /// The tree in which the version is offered on.
+    deadline: Instant,
+    /// Root of the push tree in which the pulled version is forwarded.
     origin: Option<NodeId>,
 }
 
 impl SnapshotFeed {
-    /// Creates the state of a node that knows nothing yet.
+    /// Creates the state of a node that has not received any version.
     #[must_use]
     pub fn new(me: NodeId) -> Self {
         let newest = Arc::new(Snapshot::default());
@@ -64,12 +64,12 @@
             me,
             digest: newest.digest(),
             newest,
-            recent: VecDeque::new(),
+            recent_deltas: VecDeque::new(),
             pull: None,
         }
     }
 
-    /// Returns the newest version that is known.
+    /// Returns the newest known version.
     #[must_use]
     pub const fn newest(&self) -> &Arc<Snapshot> {
         &self.newest
@@ -81,7 +81,7 @@
         self.digest
     }
 
-    /// Returns what probes tell other nodes.
+    /// Returns the version and short digest that probes announce to other nodes.
     #[must_use]
     pub fn head(&self) -> Head {
         Head {
@@ -90,23 +90,23 @@
         }
     }
 
-    /// Takes the version that the platform holds.
+    /// Handles a version that was read from the platform.
     pub fn on_read(&mut self, snapshot: Snapshot) -> Vec<FeedAction> {
         self.adopt(snapshot, RecordSource::Platform, Some(self.me))
     }
 
-    /// Takes the version that `peer` told of itself.
+    /// Handles the version that `peer` announced.
     pub fn on_head(&mut self, now: Instant, peer: NodeId, head: Head) -> Vec<FeedAction> {
         match head.position {
-            theirs if theirs > self.newest.version.0 => self.pull(now, peer, None),
-            theirs if theirs == self.newest.version.0 && head.digest != self.digest.short() => {
+            remote if remote > self.newest.version.0 => self.start_pull(now, peer, None),
+            remote if remote == self.newest.version.0 && head.digest != self.digest.short() => {
                 vec![FeedAction::Diverged(RecordSource::Peer(peer))]
             }
             _ => Vec::new(),
         }
     }
 
-    /// Takes the version that `peer` offers in the tree of `origin`.
+    /// Handles the version that `peer` offers in the tree of `origin`.
     pub fn on_offer(
         &mut self,
         now: Instant,
@@ -115,12 +115,12 @@
         head: Head,
     ) -> Vec<FeedAction> {
         match head.position > self.newest.version.0 {
-            true => self.pull(now, peer, Some(origin)),
+            true => self.start_pull(now, peer, Some(origin)),
             false => Vec::new(),
         }
     }
 
-    /// Takes a delta that `peer` sent down the tree of `origin`.
+    /// Handles a delta that `peer` pushed down the tree of `origin`.
     pub fn on_delta(
         &mut self,
         now: Instant,
@@ -132,14 +132,14 @@
             _ if delta.version() <= self.newest.version => Vec::new(),
             Ok(snapshot) => {
                 let digest = delta.digest();
-                self.take(snapshot, digest, Some(Arc::new(delta)), Some(origin))
+                self.install(snapshot, digest, Some(Arc::new(delta)), Some(origin))
             }
-            // A version was missed in between, or is on its way.
-            Err(_) => self.pull(now, peer, Some(origin)),
+            // A version in between was lost or has not arrived yet.
+            Err(_) => self.start_pull(now, peer, Some(origin)),
         }
     }
 
-    /// Takes the answer to a pull.
+    /// Handles the answer to a pull.
     pub fn on_pulled(&mut self, peer: NodeId, answer: PullAnswer) -> Vec<FeedAction> {
         let origin = self.end_pull(peer);
         match answer {
@@ -148,38 +148,43 @@
                 RecordSource::Peer(peer),
                 origin,
             ),
-            PullAnswer::Deltas(deltas) => self.take_all(deltas, origin),
-            // Records of a log, from a node with other settings, mean nothing here.
+            PullAnswer::Deltas(deltas) => self.apply_deltas(deltas, origin),
+            // Log records come from a node with different settings and cannot be applied here.
             PullAnswer::Current | PullAnswer::Entries { .. } | PullAnswer::State { .. } => {
                 Vec::new()
             }
         }
     }
 
-    /// Notes that a pull failed or was refused, so that the next one may start.
+    /// Ends a pull that failed or was refused, so that the next pull may start.
     pub fn on_pull_failed(&mut self, peer: NodeId) {
         self.end_pull(peer);
     }
 
-    /// Answers the pull of another node, which has the version `from`.
+    /// Returns the answer to a pull of a node that has the version `from`.
     #[must_use]
     pub fn answer(&self, from: Offset) -> PullAnswer {
         let from = Version(from.0);
-        let known = self.recent.iter().position(|delta| delta.base() == from);
-        match known {
+        let first_missing = self
+            .recent_deltas
+            .iter()
+            .position(|delta| delta.base() == from);
+        match first_missing {
             _ if self.newest.version <= from => PullAnswer::Current,
-            Some(first) => PullAnswer::Deltas(self.recent.iter().skip(first).cloned().collect()),
+            Some(first) => {
+                PullAnswer::Deltas(self.recent_deltas.iter().skip(first).cloned().collect())
+            }
             None => PullAnswer::Snapshot(Arc::clone(&self.newest)),
         }
     }
 
-    fn take_all(&mut self, deltas: Vec<Arc<Delta>>, origin: Option<NodeId>) -> Vec<FeedAction> {
+    fn apply_deltas(&mut self, deltas: Vec<Arc<Delta>>, origin: Option<NodeId>) -> Vec<FeedAction> {
         let mut actions = Vec::new();
         for delta in deltas {
             let Ok(snapshot) = delta.apply(&self.newest) else {
                 break;
             };
-            actions.extend(self.take(snapshot, delta.digest(), Some(delta), origin));
+            actions.extend(self.install(snapshot, delta.digest(), Some(delta), origin));
         }
         actions
     }
@@ -196,17 +201,17 @@
             std::cmp::Ordering::Equal if snapshot == *self.newest => Vec::new(),
             std::cmp::Ordering::Equal => vec![FeedAction::Diverged(source)],
             std::cmp::Ordering::Greater => {
-                let first = self.newest.version == Version::NONE;
+                let is_first = self.newest.version == Version::NONE;
                 let digest = snapshot.digest();
-                let change = || Delta::between(&self.newest, &snapshot, digest);
-                let delta = (!first).then(|| Arc::new(change()));
-                self.take(snapshot, digest, delta, origin)
+                let between = || Delta::between(&self.newest, &snapshot, digest);
+                let delta = (!is_first).then(|| Arc::new(between()));
+                self.install(snapshot, digest, delta, origin)
             }
         }
     }
 
-    /// Takes a greater version, and `delta` that led to it where there was one before.
-    fn take(
+    /// Installs a greater version. `delta` is the change from the previous version, if there was one.
+    fn install(
         &mut self,
         snapshot: Snapshot,
         digest: Digest,
@@ -216,35 +221,42 @@
         let version = snapshot.version;
         self.digest = digest;
         self.newest = Arc::new(snapshot);
-        self.keep(delta.as_ref());
-        let spread = origin.map(|origin| FeedAction::PushDelta { origin, delta });
+        self.retain_delta(delta.as_ref());
+        let push = origin.map(|origin| FeedAction::PushDelta { origin, delta });
         let applied = FeedAction::Applied(version);
-        spread.into_iter().chain([applied]).collect()
+        push.into_iter().chain([applied]).collect()
     }
 
-    fn keep(&mut self, delta: Option<&Arc<Delta>>) {
+    fn retain_delta(&mut self, delta: Option<&Arc<Delta>>) {
         match delta {
-            Some(delta) => self.recent.push_back(Arc::clone(delta)),
-            None => self.recent.clear(),
+            Some(delta) => self.recent_deltas.push_back(Arc::clone(delta)),
+            None => self.recent_deltas.clear(),
         }
         let edits = |recent: &VecDeque<Arc<Delta>>| -> usize {
             recent.iter().map(|delta| delta.edits()).sum()
         };
-        while self.recent.len() > RECENT || edits(&self.recent) > RECENT_EDITS {
-            self.recent.pop_front();
+        while self.recent_deltas.len() > MAX_RECENT_DELTAS
+            || edits(&self.recent_deltas) > MAX_RECENT_EDITS
+        {
+            self.recent_deltas.pop_front();
         }
     }
 
-    fn pull(&mut self, now: Instant, peer: NodeId, origin: Option<NodeId>) -> Vec<FeedAction> {
+    fn start_pull(
+        &mut self,
+        now: Instant,
+        peer: NodeId,
+        origin: Option<NodeId>,
+    ) -> Vec<FeedAction> {
         match &mut self.pull {
-            Some(open) if now < open.until => {
-                open.origin = open.origin.or(origin);
+            Some(pending) if now < pending.deadline => {
+                pending.origin = pending.origin.or(origin);
                 Vec::new()
             }
             pull => {
                 *pull = Some(Pull {
                     peer,
-                    until: now + PULL_TIME,
+                    deadline: now + PULL_TIMEOUT,
                     origin,
                 });
                 let from = Offset(self.newest.version.0);
--- a/crates/swiftcart-core/src/feed/tree.rs
+++ b/crates/swiftcart-core/src/feed/tree.rs
@@ -1,11 +1,11 @@
-//! The push tree and the ranking of members, both computed alike on every node.
+//! Push tree and ranking of members. Nodes with the same member list compute the same results.
 
 use crate::NodeId;
 
-/// Returns the members to which `me` passes on what `origin` has read.
+/// Returns the members to which `me` forwards the records that `origin` has read.
 ///
-/// The members form a complete tree in sorted order, turned so that `origin` is
-/// the root; nodes with the same member list agree on it without a message.
+/// The members form a complete tree in sorted order, rotated so that `origin` is the root. Nodes with
+/// the same member list build the same tree without exchanging messages.
 ///
 /// # Examples
 ///
@@ -18,26 +18,26 @@
 /// ```
 #[must_use]
 pub fn push_children(members: &[NodeId], origin: NodeId, me: NodeId, fanout: usize) -> Vec<NodeId> {
-    let (Ok(start) | Err(start)) = members.binary_search(&origin);
-    let (before, after) = members.split_at(start);
+    let (Ok(origin_index) | Err(origin_index)) = members.binary_search(&origin);
+    let (before, after) = members.split_at(origin_index);
     let others = after.iter().chain(before).filter(|id| **id != origin);
-    let order: Vec<_> = std::iter::once(origin).chain(others.copied()).collect();
-    let place = order.iter().position(|id| *id == me);
-    let first = place.map_or(order.len(), |i| i.saturating_mul(fanout).saturating_add(1));
-    order.into_iter().skip(first).take(fanout).collect()
+    let tree: Vec<_> = std::iter::once(origin).chain(others.copied()).collect();
+    let index = tree.iter().position(|id| *id == me);
+    let first = index.map_or(tree.len(), |i| i.saturating_mul(fanout).saturating_add(1));
+    tree.into_iter().skip(first).take(fanout).collect()
 }
 
 /// Returns `members` in the order of their rendezvous hash with `salt`.
 ///
-/// A member that comes or goes does not change the order of the others.
+/// A member that joins or leaves does not change the order of the other members.
 #[must_use]
 pub fn rank(members: &[NodeId], salt: &str) -> Vec<NodeId> {
     let mut ranked = members.to_vec();
-    ranked.sort_by_cached_key(|id| (score(*id, salt), *id));
+    ranked.sort_by_cached_key(|id| (rendezvous_hash(*id, salt), *id));
     ranked
 }
 
-fn score(id: NodeId, salt: &str) -> [u8; 32] {
+fn rendezvous_hash(id: NodeId, salt: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(salt.as_bytes());
     hasher.update(&[0]);
--- a/crates/swiftcart-core/src/feed/witness.rs
+++ b/crates/swiftcart-core/src/feed/witness.rs
@@ -1,13 +1,13 @@
-//! The witness: what other nodes reported before they put it in force.
+//! Witness that stores the versions that other nodes report before they enforce them.
 
 use std::collections::BTreeMap;
 
 use crate::{NodeId, Version};
 
-/// Nodes that a witness remembers; the one with the oldest version goes first.
+/// Maximum number of nodes that a witness stores. The node with the oldest version is evicted first.
 pub const MAX_WITNESSED_NODES: usize = 4096;
 
-/// Remembers the greatest version that each node reported.
+/// Store of the greatest version that each node has reported.
 ///
 /// # Examples
 ///
@@ -23,13 +23,13 @@
 pub struct Witness(BTreeMap<NodeId, Version>);
 
 impl Witness {
-    /// Creates a witness that knows nothing.
+    /// Creates a witness without reports.
     #[must_use]
     pub const fn new() -> Self {
         Self(BTreeMap::new())
     }
 
-    /// Takes a report; returns whether it is remembered and may be acknowledged.
+    /// Stores a report and returns `true` if it was kept and may be acknowledged.
     pub fn on_report(&mut self, node: NodeId, version: Version) -> bool {
         let known = self.0.entry(node).or_default();
         *known = version.max(*known);
@@ -41,17 +41,18 @@
         self.0.contains_key(&node)
     }
 
-    /// Returns the greatest version that `node` reported.
+    /// Returns the greatest version that `node` has reported.
     #[must_use]
     pub fn floor(&self, node: NodeId) -> Option<Version> {
         self.0.get(&node).copied()
     }
 
-    /// Answers a joiner that asks how far it was.
+    /// Returns the version that the starting node `node` must have reached before it serves.
     ///
-    /// `enforced` is the version in force here, or [`Version::NONE`] while this
-    /// node is not ready itself: two joiners must not vouch for each other. A
-    /// joiner catches up with a ready peer even when its own witnesses are lost.
+    /// `enforced` is the version that this node enforces, or [`Version::NONE`] while this node is not
+    /// ready itself, because two starting nodes must not confirm each other's version. Including
+    /// `enforced` makes a starting node catch up with a ready peer even if its own witnesses are
+    /// lost.
     #[must_use]
     pub fn answer(&self, node: NodeId, enforced: Version) -> Version {
         self.floor(node).unwrap_or_default().max(enforced)
--- a/crates/swiftcart-core/tests/feed.rs
+++ b/crates/swiftcart-core/tests/feed.rs
@@ -144,7 +144,7 @@
 #[case::a_little_behind(18, PullAnswer::Entries { entries: log(18..20), next: Offset(20) })]
 #[case::far_behind(2, PullAnswer::State {
     checkpoint: checkpoint_at(20),
-    anchor: Some(swiftcart_core::ReplayStart { from: Offset(0), at_ms: 0 }),
+    replay_start: Some(swiftcart_core::ReplayStart { from: Offset(0), at_ms: 0 }),
     entries: vec![],
     next: Offset(20),
 })]
@@ -160,7 +160,7 @@
     let mut feed = reader(2);
     let answer = PullAnswer::State {
         checkpoint: checkpoint_at(next),
-        anchor: None,
+        replay_start: None,
         entries: vec![],
         next: Offset(next),
     };
@@ -278,7 +278,7 @@
     let mut feed = reader(2);
     let answer = PullAnswer::State {
         checkpoint: other.fold().checkpoint(),
-        anchor: None,
+        replay_start: None,
         entries: vec![],
         next: Offset(5),
     };
