--- a/crates/swiftcart-core/src/feed/action.rs
+++ b/crates/swiftcart-core/src/feed/action.rs
@@ -46,7 +46,8 @@
     },
     /// The feed has advanced to this version.
     Applied(Version),
-    /// The next record needs this rule, which this release does not know. The version stays the same.
+    /// The next record needs this rule, which this release does not know. The version stays the
+    /// same.
     Stalled(u16),
     /// The source has a different state at the same position. The feed keeps its own state.
     Diverged(RecordSource),
--- a/crates/swiftcart-core/src/feed/follow.rs
+++ b/crates/swiftcart-core/src/feed/follow.rs
@@ -12,9 +12,9 @@
 
 /// State of one node that follows the log of configuration records.
 ///
-/// Records arrive in pages of the platform's log, in pushes and in answers to pulls. They may arrive
-/// in any order and any number of times. The feed never moves to an older position or to an older
-/// version.
+/// Records arrive in pages of the platform's log, in pushes and in answers to pulls. They may
+/// arrive in any order and any number of times. The feed never moves to an older position or to an
+/// older version.
 ///
 /// # Examples
 ///
@@ -49,8 +49,8 @@
 struct Pull {
     peer: NodeId,
     deadline: Instant,
-    /// Root of the push tree in which the pulled records are forwarded, if a push or an offer led to
-    /// the pull.
+    /// Root of the push tree in which the pulled records are forwarded, if a push or an offer led
+    /// to the pull.
     origin: Option<NodeId>,
 }
 
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Handles the stream position that `peer` offers in the tree of `origin`, in place of records that
-    /// are too long to push.
+    /// Handles the stream position that `peer` offers in the tree of `origin`, in place of records
+    /// that are too long to push.
     pub fn on_offer(
         &mut self,
         now: Instant,
@@ -213,7 +213,8 @@
         self.end_pull(peer);
     }
 
-    /// Folds the records that follow the current position and skips records that were folded before.
+    /// Folds the records that follow the current position and skips records that were folded
+    /// before.
     fn fold_all(
         &mut self,
         entries: Vec<Entry>,
--- a/crates/swiftcart-core/src/feed/follow/adopt.rs
+++ b/crates/swiftcart-core/src/feed/follow/adopt.rs
@@ -6,8 +6,8 @@
 use crate::{Body, Checkpoint, CheckpointError, Entry, Envelope, Fold};
 
 impl Feed {
-    /// Searches `entries` for a usable checkpoint and adopts it. A checkpoint is usable if the log still
-    /// holds all records after it.
+    /// Searches `entries` for a usable checkpoint and adopts it. A checkpoint is usable if the log
+    /// still holds all records after it.
     pub(super) fn scan_for_checkpoint(&mut self, entries: &[Entry]) -> Vec<FeedAction> {
         for entry in entries {
             if self.search.scan_offset() != Some(entry.offset) {
@@ -35,8 +35,9 @@
         Vec::new()
     }
 
-    /// Adopts a state that has a later position and no older version. A conflicting state is reported as
-    /// a divergence, a state with an unknown rule stalls the feed, and any other state is refused.
+    /// Adopts a state that has a later position and no older version. A conflicting state is
+    /// reported as a divergence, a state with an unknown rule stalls the feed, and any other state
+    /// is refused.
     pub(super) fn adopt(
         &mut self,
         checkpoint: &Checkpoint,
--- a/crates/swiftcart-core/src/feed/follow/serve.rs
+++ b/crates/swiftcart-core/src/feed/follow/serve.rs
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Returns an action that appends a checkpoint if a checkpoint is due for a reader of this rank.
+    /// Returns an action that appends a checkpoint if a checkpoint is due for a reader of this
+    /// rank.
     ///
     /// `now_ms` is the time of the platform's clock. The reader of rank 0 appends first.
     pub fn on_tick(&mut self, now_ms: u64, rank: usize) -> Option<FeedAction> {
--- a/crates/swiftcart-core/src/feed/readiness_gate.rs
+++ b/crates/swiftcart-core/src/feed/readiness_gate.rs
@@ -12,17 +12,17 @@
 /// Maximum number of peers that a starting node queries.
 pub const MAX_QUERIED_PEERS: usize = 4096;
 
-/// Ratio of the retry delay to the uptime. When 295 nodes share the platform's read capacity, starts
-/// take from 0.2 s to 2 s. A caller that retries after one uptime finds half of the nodes ready, and
-/// after two uptimes most of them.
+/// Ratio of the retry delay to the uptime. When 295 nodes share the platform's read capacity,
+/// starts take from 0.2 s to 2 s. A caller that retries after one uptime finds half of the nodes
+/// ready, and after two uptimes most of them.
 const RETRY_UPTIME_FACTOR: u32 = 2;
 /// Minimum retry delay, which is the time that a start takes in a small mesh.
 const MIN_STARTUP_RETRY: Duration = Duration::from_millis(250);
 /// Maximum retry delay. A caller with a deadline of 6 s waits for at most a third of it.
 const MAX_STARTUP_RETRY: Duration = Duration::from_secs(2);
 
-/// Returns the delay after which a caller should retry at a node that started `uptime` ago and is not
-/// ready.
+/// Returns the delay after which a caller should retry at a node that started `uptime` ago and is
+/// not ready.
 ///
 /// A retry that comes too early uses up one of the caller's attempts. With a fixed delay of 0.25 s,
 /// callers with two retries gave up before half of a large mesh was ready.
@@ -54,11 +54,11 @@
         }
         /// The node has not read up to the end that the log had after the start.
         BehindLog(position: Offset, head: Offset) {
-            display("configuration read up to offset {position} of {head}; wait for the remaining records")
+            display("configuration read up to offset {position} of {head}; wait for the rest")
         }
         /// The platform is unreachable, and queried peers still have time to answer.
         AwaitingPeers(peers: usize) {
-            display("platform unreachable and {peers} peers have not answered; wait for their answers")
+            display("platform unreachable, no answer from {peers} peers yet; wait for them")
         }
         /// The platform is unreachable, and no ready peer has answered.
         NoReadyPeer {
@@ -66,7 +66,7 @@
         }
         /// A peer has reported a greater version than the node has.
         BehindPeer(version: Version, floor: Version) {
-            display("version {version} is older than version {floor} reported by a peer; wait for the newer version")
+            display("version {version} is older than {floor} of a peer; wait for the newer version")
         }
     }
 }
@@ -115,8 +115,8 @@
         self.log_end.get_or_insert(next);
     }
 
-    /// Records that the platform cannot be read, or that the feed has stalled on an unknown rule. From
-    /// then on the answers of peers can make the node ready.
+    /// Records that the platform cannot be read, or that the feed has stalled on an unknown rule.
+    /// From then on the answers of peers can make the node ready.
     pub const fn on_outage(&mut self) {
         self.outage = true;
     }
--- a/crates/swiftcart-core/src/feed/replay_start.rs
+++ b/crates/swiftcart-core/src/feed/replay_start.rs
@@ -24,10 +24,10 @@
 impl ReplayStart {
     /// Returns `true` if a reader of this rank has to append a checkpoint now.
     ///
-    /// A checkpoint is due when this record has expired, when it is older than half of the retention
-    /// period, or when a starting node would have to read many records. Readers of a greater rank wait longer, so
-    /// that usually only the reader of rank 0 appends. At the limit of the last rank, a quarter of
-    /// the retention period is still left.
+    /// A checkpoint is due when this record has expired, when it is older than half of the
+    /// retention period, or when a starting node would have to read many records. Readers of a
+    /// greater rank wait longer, so that usually only the reader of rank 0 appends. At the limit of
+    /// the last rank, a quarter of the retention period is still left.
     pub(super) fn is_due(self, settings: &FeedSettings, log: LogBounds, rank: usize) -> bool {
         let rank = u64::try_from(rank).unwrap_or(MAX_RANK).min(MAX_RANK);
         let delayed = |limit: u64| limit.saturating_add(limit / RANK_DELAY_DIVISOR * rank);
--- a/crates/swiftcart-core/src/feed/search.rs
+++ b/crates/swiftcart-core/src/feed/search.rs
@@ -18,8 +18,8 @@
 }
 
 impl CheckpointSearch {
-    /// Returns the search for a reader at `position` after a page was read. The page reports the oldest
-    /// offset `first` and the end `next` of the log.
+    /// Returns the search for a reader at `position` after a page was read. The page reports the
+    /// oldest offset `first` and the end `next` of the log.
     pub fn with_bounds(self, position: Offset, first: Offset, next: Offset, lookback: u64) -> Self {
         let recent_start = Offset(next.0.saturating_sub(lookback));
         match self {
--- a/crates/swiftcart-core/src/feed/snapshot_feed.rs
+++ b/crates/swiftcart-core/src/feed/snapshot_feed.rs
@@ -7,8 +7,9 @@
 use super::{FeedAction, PullAnswer, RecordSource};
 use crate::{Delta, Digest, Head, Instant, NodeId, Offset, Snapshot, Version};
 
-/// Time after which another pull may start although the previous pull is unanswered. A pull within a
-/// failure domain takes a few milliseconds, and every node has to enforce a version within two seconds.
+/// Time after which another pull may start although the previous pull is unanswered. A pull within
+/// a failure domain takes a few milliseconds, and every node has to enforce a version within two
+/// seconds.
 const PULL_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Maximum number of recent deltas kept for peers that missed some versions. It covers about ten
@@ -20,9 +21,9 @@
 
 /// State of one node that follows a platform that validates versions itself.
 ///
-/// Only the newest version counts. A reader reads it from the platform and pushes the delta down the
-/// tree of its failure domain. A node that learns of a greater version from an offer or a probe pulls
-/// the missing deltas or a snapshot. The feed never moves to an older version.
+/// Only the newest version counts. A reader reads it from the platform and pushes the delta down
+/// the tree of its failure domain. A node that learns of a greater version from an offer or a probe
+/// pulls the missing deltas or a snapshot. The feed never moves to an older version.
 ///
 /// # Examples
 ///
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Installs a greater version. `delta` is the change from the previous version, if there was one.
+    /// Installs a greater version. `delta` is the change from the previous version, if there was
+    /// one.
     fn install(
         &mut self,
         snapshot: Snapshot,
--- a/crates/swiftcart-core/src/feed/tree.rs
+++ b/crates/swiftcart-core/src/feed/tree.rs
@@ -4,8 +4,8 @@
 
 /// Returns the members to which `me` forwards the records that `origin` has read.
 ///
-/// The members form a complete tree in sorted order, rotated so that `origin` is the root. Nodes with
-/// the same member list build the same tree without exchanging messages.
+/// The members form a complete tree in sorted order, rotated so that `origin` is the root. Nodes
+/// with the same member list build the same tree without exchanging messages.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/feed/witness.rs
+++ b/crates/swiftcart-core/src/feed/witness.rs
@@ -4,7 +4,8 @@
 
 use crate::{NodeId, Version};
 
-/// Maximum number of nodes that a witness stores. The node with the oldest version is evicted first.
+/// Maximum number of nodes that a witness stores. The node with the oldest version is evicted
+/// first.
 pub const MAX_WITNESSED_NODES: usize = 4096;
 
 /// Store of the greatest version that each node has reported.
@@ -49,10 +50,10 @@
 
     /// Returns the version that the starting node `node` must have reached before it serves.
     ///
-    /// `enforced` is the version that this node enforces, or [`Version::NONE`] while this node is not
-    /// ready itself, because two starting nodes must not confirm each other's version. Including
-    /// `enforced` makes a starting node catch up with a ready peer even if its own witnesses are
-    /// lost.
+    /// `enforced` is the version that this node enforces, or [`Version::NONE`] while this node is
+    /// not ready itself, because two starting nodes must not confirm each other's version.
+    /// Including `enforced` makes a starting node catch up with a ready peer even if its own
+    /// witnesses are lost.
     #[must_use]
     pub fn answer(&self, node: NodeId, enforced: Version) -> Version {
         self.floor(node).unwrap_or_default().max(enforced)
--- a/crates/swiftcart-core/src/wire.rs
+++ b/crates/swiftcart-core/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: datagrams, state pulls, and the sealed form in which they travel.
+//! Messages between nodes: datagrams, state pulls, and their authenticated encoding.
 
 mod datagram;
 mod seal;
--- a/crates/swiftcart-core/src/wire/datagram.rs
+++ b/crates/swiftcart-core/src/wire/datagram.rs
@@ -1,4 +1,4 @@
-//! The messages that fit into one datagram.
+//! Messages that fit into one datagram.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,29 +7,30 @@
     Version,
 };
 
-/// Numbers a probe; the acknowledgement repeats it.
+/// Sequence number of a probe. The acknowledgement repeats it.
 pub type Seq = u32;
 
-/// Tells how far a node has read the configuration stream.
+/// Position of a node in the configuration stream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Head {
-    /// The offset that the node reads next.
+    /// Offset that the node reads next, or the newest version if the platform validates versions
+    /// itself.
     pub position: u64,
-    /// The short digest of the state up to there.
+    /// Short digest of the state at this position.
     pub digest: u64,
 }
 
-/// Tells one thing about one node.
+/// Gossip update about one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberUpdate {
-    /// Everything that is known of a node.
+    /// Complete member entry of a node.
     Entry(Member),
-    /// Only its liveness, for receivers that know the rest.
+    /// Liveness of a node, for receivers that already have its member entry.
     Status(Status),
 }
 
 impl MemberUpdate {
-    /// Returns the node that the news is about.
+    /// Returns the node that the update is about.
     #[must_use]
     pub const fn id(&self) -> NodeId {
         match self {
@@ -39,117 +40,125 @@
     }
 }
 
-/// Tells the liveness of a node without its addresses, which saves bytes.
+/// Liveness of a node. Without the node's addresses, it takes fewer bytes than a member entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Status {
-    /// The node.
+    /// Identifier of the node.
     pub id: NodeId,
-    /// The order of this news among all news of the node.
+    /// Incarnation that orders this update among all updates about the node.
     pub incarnation: Incarnation,
-    /// Whether the node is believed alive.
+    /// Liveness in this incarnation.
     pub liveness: Liveness,
 }
 
-/// What every probe and every acknowledgement carries.
+/// Payload of every probe and every acknowledgement.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's place in the configuration stream.
+    /// Position of the sender in the configuration stream.
     pub head: Head,
-    /// The hash of the sender's member list.
+    /// Hash of the sender's member list.
     pub hash: u32,
-    /// What the sender passes on of other nodes and itself.
+    /// Updates about the sender and other nodes.
     pub news: Vec<MemberUpdate>,
 }
 
-/// A message between two nodes.
+/// Message between two nodes.
 ///
-/// Postcard writes a variant as its position in this list: new variants go to the
-/// end, and a change of an existing one needs a new [`WIRE_FORMAT`](crate::FORMAT).
+/// Postcard encodes a variant as its position in this list. New variants are therefore added at the
+/// end, and a change to an existing variant needs a new [`WIRE_FORMAT`](crate::WIRE_FORMAT).
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Asks the receiver for an [`Datagram::Ack`].
+    /// Asks the receiver for a [`Datagram::Ack`].
     Probe {
-        /// Repeated in the answer.
+        /// Sequence number, which the answer repeats.
         seq: Seq,
-        /// The sender's state.
+        /// Payload of the sender.
         beat: Heartbeat,
     },
-    /// Answers a probe.
+    /// Answers a [`Datagram::Probe`].
     Ack {
-        /// The probe's number.
+        /// Sequence number of the probe.
         seq: Seq,
-        /// The sender's state.
+        /// Payload of the sender.
         beat: Heartbeat,
     },
-    /// Asks the receiver to probe `target` in the sender's place.
+    /// Asks the receiver to probe `target` on behalf of the sender.
     ProbeFor {
-        /// The sender's own number; the relayed answer repeats it.
+        /// Sequence number of the sender, which the relayed answer repeats.
         seq: Seq,
-        /// The node that did not answer the sender.
+        /// Node that did not answer the sender.
         target: NodeId,
     },
-    /// Tells that `target` has answered the receiver's [`Datagram::ProbeFor`].
+    /// Reports that `target` has answered the probe that the receiver's [`Datagram::ProbeFor`]
+    /// requested.
     AckFor {
-        /// The number in the request.
+        /// Sequence number of the request.
         seq: Seq,
-        /// The node that answered.
+        /// Node that answered.
         target: NodeId,
     },
-    /// Passes on news outside a probe.
+    /// Carries updates outside of probes.
     Gossip {
-        /// The news.
+        /// Updates about the sender and other nodes.
         news: Vec<MemberUpdate>,
     },
-    /// Carries new records of the configuration stream down the tree.
+    /// Carries new records or a delta of the configuration stream down the push tree.
     Push {
-        /// The reader that read them from the platform.
+        /// Reader that read the records or the version from the platform. It is the root of the
+        /// tree.
         origin: NodeId,
-        /// The encoded records.
+        /// Encoded records or an encoded delta.
         entries: Vec<u8>,
     },
-    /// Reports a version to a witness before the sender puts it in force.
+    /// Reports a version to a witness before the sender enforces it.
     Report {
-        /// The version.
+        /// Reported version.
         version: Version,
     },
-    /// Confirms that the sender remembers the reported version.
+    /// Confirms that the sender has stored the reported version.
     ReportAck {
-        /// The version.
+        /// Reported version.
         version: Version,
     },
-    /// Asks for the greatest version that the receiver knows the sender to have reported.
+    /// Asks for the version that the sender must have reached before it serves.
     FloorAsk,
     /// Answers a [`Datagram::FloorAsk`].
     FloorReply {
-        /// The greatest version, or [`Version::NONE`].
+        /// The greater of the version that the asking node had reported and the version that the
+        /// answering node enforces, or [`Version::NONE`].
         version: Version,
     },
-    /// Tells that the sender stops by itself.
+    /// Announces that the sender shuts down in an orderly way.
     Leave {
-        /// The incarnation that ends.
+        /// Incarnation of the sender that ends.
         incarnation: Incarnation,
     },
-    /// Stands in a [`Datagram::Push`]'s place when the records are too long for a datagram.
+    /// Replaces a [`Datagram::Push`] when the records or the delta are too long for a datagram.
     Offer {
-        /// The reader that read them from the platform.
+        /// Reader that read the records or the version from the platform. It is the root of the
+        /// tree.
         origin: NodeId,
-        /// The sender's place in the configuration stream; the receiver pulls up to it.
+        /// Position of the sender in the configuration stream. The receiver pulls up to this
+        /// position.
         head: Head,
     },
-    /// Tells which requests were running when backend servers ended, and which are harmless; the
-    /// release before does not know this, and drops it.
+    /// Reports which requests were running when backend servers crashed, and which requests are
+    /// harmless. The previous release does not know this variant and drops it.
     Findings(Findings),
-    /// Tells of roll-outs; the release before does not know this, and drops it.
+    /// Carries messages about rollouts. The previous release does not know this variant and drops
+    /// it.
     Rollouts(RolloutMessage),
-    /// Tells what client accounts have sent and may send; the release before does not know this,
-    /// and drops it.
+    /// Carries the usage and the grants of client accounts. The previous release does not know this
+    /// variant and drops it.
     Quotas(QuotaMessage),
-    /// Tells which failure domains are drained; the release before does not know this, and drops it.
+    /// Reports which failure domains are drained. The previous release does not know this variant
+    /// and drops it.
     Drains(DrainMessage),
 }
 
 impl Datagram {
-    /// Returns the sender's place in the configuration stream, when the message carries one.
+    /// Returns the sender's position in the configuration stream if the message is a probe or an
+    /// acknowledgement.
     #[must_use]
     pub const fn head(&self) -> Option<Head> {
         match self {
--- a/crates/swiftcart-core/src/wire/seal.rs
+++ b/crates/swiftcart-core/src/wire/seal.rs
@@ -1,4 +1,4 @@
-//! The sealed form of a datagram: format number, keyed tag, body.
+//! Authenticated encoding of a message: format number, keyed tag, body.
 
 use std::fmt;
 
@@ -9,47 +9,48 @@
 use super::Datagram;
 use crate::NodeId;
 
-/// The number of the datagram format that this release writes and reads.
+/// Number of the message format that this release writes and reads.
 pub const WIRE_FORMAT: u8 = 1;
 
-/// The greatest length of a sealed datagram in bytes; it fits a common path MTU.
+/// Maximum length of a sealed datagram in bytes, which fits a common path MTU.
 pub const MAX_DATAGRAM_LEN: usize = 1200;
 
-/// The bytes in front of the body: the format number and the tag.
+/// Length of the format number and the tag in front of the body, in bytes.
 pub const SEAL_LEN: usize = 1 + TAG_LEN;
 
 const TAG_LEN: usize = 16;
 const KEY_CONTEXT: &str = "swiftcart 2026 mesh datagram key";
 
 quick_error! {
-    /// Tells why a datagram was not sealed or not opened.
+    /// Error of sealing or opening a message.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
     pub enum WireError {
-        /// The datagram ends within its seal.
+        /// The message ends before its body.
         Truncated(len: usize) {
-            display("datagram of {len} bytes ends before byte {SEAL_LEN}: check the network path")
+            display("message truncated: {len} of at least {SEAL_LEN} bytes; check the network path")
         }
-        /// The tag does not fit: another key, or changed on the way.
+        /// The authentication tag does not match because the sender has another key or the message
+        /// was changed in transit.
         Forged {
-            display("datagram's tag does not fit: give all nodes the same mesh key")
+            display("authentication tag does not match; configure the same mesh key on all nodes")
         }
-        /// The sender is a newer release.
+        /// The sender runs a newer release.
         NewerFormat(format: u8) {
-            display("datagram of format {format}, this release reads {WIRE_FORMAT}: update this node")
+            display("message format {format} is newer than format {WIRE_FORMAT}; upgrade this node")
         }
-        /// The tag fits and the body cannot be read.
+        /// The body cannot be decoded although its tag is valid, or cannot be encoded.
         Malformed {
-            display("datagram's body cannot be read: check the sender's release")
+            display("message body cannot be decoded; check the release of the sender")
         }
-        /// The datagram is longer than any that a node sends.
+        /// The message exceeds the maximum length.
         Oversize(len: usize, max: usize) {
-            display("message of {len} bytes, at most {max}: send less in one message")
+            display("message of {len} bytes exceeds the limit of {max} bytes; split the message")
         }
     }
 }
 
 impl WireError {
-    /// Returns the reason's name in metrics.
+    /// Returns the metric label of the error.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -62,7 +63,7 @@
     }
 }
 
-/// The secret that all nodes of one mesh share.
+/// Secret key that all nodes of one mesh share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct MeshKey([u8; 32]);
 
@@ -79,7 +80,7 @@
         Self(blake3::derive_key(KEY_CONTEXT, secret.as_bytes()))
     }
 
-    fn tag(&self, kind: Kind, body: &[u8]) -> [u8; TAG_LEN] {
+    fn tag(&self, kind: MessageKind, body: &[u8]) -> [u8; TAG_LEN] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(kind.prefix());
         hasher.update(body);
@@ -90,20 +91,21 @@
 }
 
 impl fmt::Debug for MeshKey {
-    /// Hides the secret, so that no log holds it.
+    /// Writes a placeholder, so that the secret does not appear in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("MeshKey(..)")
     }
 }
 
-/// Separates the tags of datagrams and pulls, so that neither passes for the other.
+/// Kind of a message. The tag covers the kind, so that a datagram is not accepted as a state pull
+/// or the other way around.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum MessageKind {
     Datagram,
     Sync,
 }
 
-impl Kind {
+impl MessageKind {
     const fn prefix(self) -> &'static [u8] {
         match self {
             Self::Datagram => &[WIRE_FORMAT],
@@ -112,10 +114,10 @@
     }
 }
 
-/// Seals and opens messages of one kind up to a length.
+/// Encoder and decoder for messages of one kind up to a maximum length.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Frame {
-    kind: Kind,
+    kind: MessageKind,
     max: usize,
 }
 
@@ -132,7 +134,7 @@
 }
 
 impl Frame {
-    pub const fn new(kind: Kind, max: usize) -> Self {
+    pub const fn new(kind: MessageKind, max: usize) -> Self {
         Self { kind, max }
     }
 
@@ -168,7 +170,7 @@
             [format, ..] if *format < WIRE_FORMAT => Err(WireError::Forged),
             [_, rest @ ..] if rest.len() >= TAG_LEN => {
                 let (tag, body) = rest.split_at(TAG_LEN);
-                match same(tag, &key.tag(self.kind, body)) {
+                match constant_time_eq(tag, &key.tag(self.kind, body)) {
                     true => decode(body),
                     false => Err(WireError::Forged),
                 }
@@ -196,19 +198,19 @@
 ///
 /// Returns [`WireError::Oversize`] when the result is longer than [`MAX_DATAGRAM_LEN`].
 pub fn seal(datagram: &Datagram, from: NodeId, key: &MeshKey) -> Result<Vec<u8>, WireError> {
-    Frame::new(Kind::Datagram, MAX_DATAGRAM_LEN).seal(datagram, from, key)
+    Frame::new(MessageKind::Datagram, MAX_DATAGRAM_LEN).seal(datagram, from, key)
 }
 
 /// Checks and decodes a datagram and returns its sender.
 ///
-/// The sender is the node that the body names; the tag proves only that the
-/// datagram comes from a holder of the key.
+/// The sender is the node that the body names. The tag proves only that the datagram comes from a
+/// holder of the key.
 ///
 /// # Errors
 ///
-/// Returns a [`WireError`] for every input that [`seal`] cannot have made with `key`.
+/// Returns a [`WireError`] for every input that [`seal`] cannot have produced with `key`.
 pub fn open(sealed: &[u8], key: &MeshKey) -> Result<(NodeId, Datagram), WireError> {
-    Frame::new(Kind::Datagram, MAX_DATAGRAM_LEN).open(sealed, key)
+    Frame::new(MessageKind::Datagram, MAX_DATAGRAM_LEN).open(sealed, key)
 }
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<(NodeId, T), WireError> {
@@ -218,7 +220,7 @@
     }
 }
 
-/// Compares without stopping at the first difference, which would leak the tag.
-fn same(a: &[u8], b: &[u8]) -> bool {
-    a.len() == b.len() && a.iter().zip(b).fold(0, |sum, (x, y)| sum | (x ^ y)) == 0
+/// Compares in constant time. A comparison that stops at the first difference would leak the tag.
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
+    a.len() == b.len() && a.iter().zip(b).fold(0, |diff, (x, y)| diff | (x ^ y)) == 0
 }
--- a/crates/swiftcart-core/src/wire/sync.rs
+++ b/crates/swiftcart-core/src/wire/sync.rs
@@ -1,57 +1,59 @@
-//! The messages of state pulls, which travel over a stream and may be long.
+//! Messages of state pulls, which are sent over a stream and may be longer than a datagram.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::seal::{Frame, Kind};
+use super::seal::{Frame, MessageKind};
 use super::{MeshKey, WireError};
 use crate::{CompactSnapshot, Member, NodeId, Offset, PullAnswer};
 
-/// The greatest length of a sealed message of a state pull in bytes.
+/// Maximum length of a sealed message of a state pull in bytes.
 pub const MAX_SYNC_LEN: usize = 8 << 20;
 
-/// Asks another node for state.
+/// Request for state of another node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum SyncRequest {
-    /// Asks for records of the configuration stream.
+    /// Requests records, deltas or a snapshot of the configuration stream.
     Feed {
-        /// The offset of the next record that the asker folds.
+        /// Offset of the next record that the requesting node folds, or its version if the platform
+        /// validates versions itself.
         from: Offset,
     },
-    /// Asks for entries of the member list.
+    /// Requests entries of the member list.
     Members {
-        /// The hashes of the asker's list, part by part.
+        /// Hash of each bucket of the requesting node's list.
         buckets: Vec<u32>,
     },
-    /// Asks for the newest whole version with its place at the platform; the release before does not
-    /// know this, and answers nothing.
+    /// Requests the newest complete version with its offset in the platform's storage. The previous
+    /// release does not know this variant and does not answer.
     Whole,
 }
 
-/// Answers a [`SyncRequest`].
+/// Answer to a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncReply {
     /// Answers [`SyncRequest::Feed`].
     Feed(PullAnswer),
-    /// Answers [`SyncRequest::Members`] with the entries of the parts that differ.
+    /// Answers [`SyncRequest::Members`] with the entries of the buckets that differ.
     Members(Vec<Member>),
-    /// The node serves too many pulls at the moment.
+    /// The node is at its limit of concurrent pulls or of pulls per second.
     Busy {
-        /// When the asker should come back, in milliseconds.
+        /// Delay before the requesting node should retry, in milliseconds.
         retry_ms: u32,
     },
     /// Answers [`SyncRequest::Whole`].
     Whole(PositionedSnapshot),
 }
 
-/// A whole version, and where the platform's versions go on behind it.
+/// Complete version with its offset in the platform's storage.
 ///
-/// Who gets it looks behind that place, and knows by a few bytes whether it is the newest one.
+/// The receiver reads from the offset [`next`](Self::next) and needs only a few bytes to determine
+/// whether the version is the newest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PositionedSnapshot {
-    /// The place behind the version.
+    /// Offset after the version in the platform's storage.
     pub next: u64,
-    /// The version.
+    /// Version in its compact form.
     pub compact: CompactSnapshot,
 }
 
@@ -65,17 +67,17 @@
     from: NodeId,
     key: &MeshKey,
 ) -> Result<Vec<u8>, WireError> {
-    Frame::new(Kind::Sync, MAX_SYNC_LEN).seal(message, from, key)
+    Frame::new(MessageKind::Sync, MAX_SYNC_LEN).seal(message, from, key)
 }
 
 /// Checks and decodes a message of a state pull and returns its sender.
 ///
 /// # Errors
 ///
-/// Returns a [`WireError`] for every input that [`seal_sync`] cannot have made with `key`.
+/// Returns a [`WireError`] for every input that [`seal_sync`] cannot have produced with `key`.
 pub fn open_sync<T: DeserializeOwned>(
     sealed: &[u8],
     key: &MeshKey,
 ) -> Result<(NodeId, T), WireError> {
-    Frame::new(Kind::Sync, MAX_SYNC_LEN).open(sealed, key)
+    Frame::new(MessageKind::Sync, MAX_SYNC_LEN).open(sealed, key)
 }
