--- a/crates/swiftcart-core/src/feed/action.rs
+++ b/crates/swiftcart-core/src/feed/action.rs
@@ -32,14 +32,14 @@
 pub enum FeedAction {
     /// Send the records to this node's children in the tree of `origin`.
     Push {
-        /// The reader at the root of the tree.
+        /// Reader at the root of the tree.
         origin: NodeId,
         /// Records without gaps.
         entries: Vec<Entry>,
     },
     /// Ask `peer` for the records from offset `from` on; see [`PullAnswer`].
     Pull {
-        /// The node with the greater position.
+        /// Node with the greater position.
         peer: NodeId,
         /// Offset of the next record to fold.
         from: Offset,
@@ -49,17 +49,18 @@
     /// The next record needs this rule, which this release does not know. The version stays the
     /// same.
     Stalled(u16),
-    /// The source has a different state at the same position. The feed keeps its own state.
+    /// The source has a different state at the same position, or an older version at a later
+    /// position. The feed keeps its own state.
     Diverged(RecordSource),
-    /// The log no longer starts at offset 0 and holds no usable checkpoint. The state has to come
-    /// from a peer.
+    /// The log starts at this offset, which is not 0, and holds no usable checkpoint. The state has
+    /// to come from a peer.
     NoStart(Offset),
     /// Append this checkpoint to the log.
     AppendCheckpoint(Checkpoint),
     /// Send the delta to this node's children in the tree of `origin`, or offer them the version
     /// when there is no delta or the delta is too long for a datagram.
     PushDelta {
-        /// The reader at the root of the tree.
+        /// Reader at the root of the tree.
         origin: NodeId,
         /// Change from the previous version, or `None` if this node had no previous version.
         delta: Option<Arc<Delta>>,
--- a/crates/swiftcart-core/tests/feed_converge.rs
+++ b/crates/swiftcart-core/tests/feed_converge.rs
@@ -1,4 +1,4 @@
-//! Feeds that exchange records in any order end with one state and never move back.
+//! Feeds that exchange records in any order converge to one state and never move back.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     Publish(u32),
     Read { node: usize, limit: usize },
     Head { from: usize, to: usize },
-    Deliver { message: Index, again: bool },
+    Deliver { message: Index, duplicate: bool },
     Drop(Index),
     Restart(usize),
     Tick { node: usize, rank: usize },
@@ -39,7 +39,7 @@
         6 => (0..9_u32).prop_map(Step::Publish),
         4 => (node(), 1..6_usize).prop_map(|(node, limit)| Step::Read { node, limit }),
         6 => (node(), node()).prop_map(|(from, to)| Step::Head { from, to }),
-        10 => deliver.prop_map(|(message, again)| Step::Deliver { message, again }),
+        10 => deliver.prop_map(|(message, duplicate)| Step::Deliver { message, duplicate }),
         2 => any::<Index>().prop_map(Step::Drop),
         1 => node().prop_map(Step::Restart),
         2 => (node(), 0..3_usize).prop_map(|(node, rank)| Step::Tick { node, rank }),
@@ -47,8 +47,8 @@
     ]
 }
 
-/// A log whose records expire, and messages that may get lost, doubled or late.
-struct World {
+/// Simulation of a log whose records expire and of messages that may be lost, duplicated or late.
+struct Simulation {
     log: Vec<Entry>,
     first: usize,
     now_ms: u64,
@@ -67,7 +67,7 @@
     Feed::new(id(node), settings)
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             log: Vec::new(),
@@ -97,7 +97,7 @@
         let publish = Publish {
             id: PublishId(self.log.len() as u128),
             author: "op".into(),
-            base: newest.expect("some feeds").fold().version(),
+            base: newest.expect("at least one feed").fold().version(),
             edits: vec![Edit {
                 key: RowKey::Service(ServiceName::new("a")),
                 row: Some(Row::Service(limits)),
@@ -117,10 +117,10 @@
         let end = self.log.len().min(start + limit);
         let (first, next) = (Offset(self.first as u64), Offset(self.log.len() as u64));
         let page = self.log[start..end].to_vec();
-        self.run(node, |feed| feed.on_page(first, next, page));
+        self.handle(node, |feed| feed.on_page(first, next, page));
     }
 
-    fn run(&mut self, node: usize, event: impl FnOnce(&mut Feed) -> Vec<FeedAction>) {
+    fn handle(&mut self, node: usize, event: impl FnOnce(&mut Feed) -> Vec<FeedAction>) {
         let before = (
             self.feeds[node].fold().position(),
             self.feeds[node].fold().version(),
@@ -132,31 +132,32 @@
         );
         assert!(
             after.0 >= before.0 && after.1 >= before.1,
-            "{before:?} to {after:?}"
+            "feed moved back from {before:?} to {after:?}"
         );
         for action in actions {
-            self.act(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: FeedAction) {
+    fn perform(&mut self, node: usize, action: FeedAction) {
         let members: Vec<_> = (0..NODES).map(id).collect();
-        let place = |id| {
+        let index_of = |id| {
             members
                 .iter()
                 .position(|member| *member == id)
-                .expect("a member")
+                .expect("the node is a member")
         };
         match action {
             FeedAction::Push { origin, entries } => {
                 for child in push_children(&members, origin, id(node), 2) {
                     let entries = entries.clone();
                     self.messages
-                        .push((node, place(child), Message::Push { origin, entries }));
+                        .push((node, index_of(child), Message::Push { origin, entries }));
                 }
             }
             FeedAction::Pull { peer, from } => {
-                self.messages.push((node, place(peer), Message::Pull(from)));
+                self.messages
+                    .push((node, index_of(peer), Message::Pull(from)));
             }
             FeedAction::AppendCheckpoint(checkpoint) => self.append(Body::Checkpoint(checkpoint)),
             FeedAction::Applied(_) | FeedAction::NoStart(_) => {}
@@ -170,14 +171,14 @@
         let now = Instant::from_millis(self.now_ms);
         match message {
             Message::Push { origin, entries } => {
-                self.run(to, |feed| feed.on_push(now, id(from), origin, entries));
+                self.handle(to, |feed| feed.on_push(now, id(from), origin, entries));
             }
             Message::Pull(offset) => {
                 let answer = self.feeds[to].answer(offset);
                 self.messages.push((to, from, Message::Answer(answer)));
             }
             Message::Answer(answer) => {
-                self.run(to, |feed| feed.on_pull_reply(now, id(from), answer));
+                self.handle(to, |feed| feed.on_pull_reply(now, id(from), answer));
             }
         }
     }
@@ -189,16 +190,16 @@
             Step::Read { node, limit } => self.read(node, limit),
             Step::Head { from, to } => {
                 let head = self.feeds[from].head();
-                self.run(to, |feed| feed.on_head(now, id(from), head));
+                self.handle(to, |feed| feed.on_head(now, id(from), head));
             }
             Step::Deliver { .. } | Step::Drop(_) if self.messages.is_empty() => {}
-            Step::Deliver { message, again } => {
+            Step::Deliver { message, duplicate } => {
                 let index = message.index(self.messages.len());
-                let sent = match again {
+                let delivered = match duplicate {
                     true => self.messages[index].clone(),
                     false => self.messages.swap_remove(index),
                 };
-                self.deliver(sent);
+                self.deliver(delivered);
             }
             Step::Drop(message) => {
                 self.messages
@@ -207,7 +208,7 @@
             Step::Restart(node) => self.feeds[node] = feed(node),
             Step::Tick { node, rank } => {
                 let now_ms = self.now_ms;
-                self.run(node, |feed| {
+                self.handle(node, |feed| {
                     feed.on_tick(now_ms, rank).into_iter().collect()
                 });
             }
@@ -218,21 +219,22 @@
         }
     }
 
-    /// Tells whether anything that still exists leads to the end of the log.
+    /// Returns `true` if a feed or a checkpoint in the log still allows reading to the end of the
+    /// log.
     fn is_recoverable(&self) -> bool {
         let first = Offset(self.first as u64);
-        let kept = |entry: &Entry| match Envelope::decode(&entry.body).map(|e| e.body) {
+        let is_usable = |entry: &Entry| match Envelope::decode(&entry.body).map(|e| e.body) {
             Ok(Body::Checkpoint(checkpoint)) => checkpoint.position >= first,
             _ => false,
         };
         self.feeds
             .iter()
             .any(|feed| feed.fold().position() >= first)
-            || self.log[self.first..].iter().any(kept)
+            || self.log[self.first..].iter().any(is_usable)
     }
 
-    /// Lets the network heal; only node 0 reads the platform.
-    fn heal(&mut self) {
+    /// Runs 100 rounds in which no message is lost. Only node 0 reads the platform.
+    fn run_without_loss(&mut self) {
         for round in 0..100 {
             self.now_ms += 2_001;
             self.read(0, 10);
@@ -257,15 +259,15 @@
 
     #[test]
     fn feeds_converge_to_the_fold_of_the_log(steps in prop::collection::vec(step(), 1..150)) {
-        let mut world = World::new();
-        steps.into_iter().for_each(|step| world.step(&step));
-        prop_assume!(world.is_recoverable());
-        world.heal();
+        let mut simulation = Simulation::new();
+        steps.into_iter().for_each(|step| simulation.step(&step));
+        prop_assume!(simulation.is_recoverable());
+        simulation.run_without_loss();
         let mut fold = Fold::new();
-        for entry in &world.log {
-            fold.apply(entry).expect("the next offset");
+        for entry in &simulation.log {
+            fold.apply(entry).expect("offsets are consecutive");
         }
-        for feed in &world.feeds {
+        for feed in &simulation.feeds {
             prop_assert_eq!(feed.fold(), &fold);
             prop_assert_eq!(feed.counts().diverged, 0);
         }
--- a/crates/swiftcart-core/tests/wire.rs
+++ b/crates/swiftcart-core/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams travel whole or are refused with a type; no input panics.
+//! Datagrams open unchanged or are refused with a typed error. No input causes a panic.
 
 use std::net::SocketAddr;
 
@@ -64,21 +64,21 @@
 #[case::floor_reply(Datagram::FloorReply { version: Version::NONE })]
 #[case::offer(Datagram::Offer { origin: node(1), head: beat().head })]
 #[case::leave(Datagram::Leave { incarnation: Incarnation(5) })]
-fn a_sealed_datagram_opens_to_itself(#[case] datagram: Datagram) {
+fn a_sealed_datagram_opens_unchanged(#[case] datagram: Datagram) {
     let sealed = seal(&datagram, node(1), &key()).unwrap();
     assert_eq!(open(&sealed, &key()), Ok((node(1), datagram)));
 }
 
 #[rstest]
 #[case::empty(|_: &mut Vec<u8>| Vec::new(), WireError::Truncated(0))]
-#[case::seal_cut(|s: &mut Vec<u8>| s[..16].to_vec(), WireError::Truncated(16))]
-#[case::body_cut(|s: &mut Vec<u8>| s[..s.len() - 1].to_vec(), WireError::Forged)]
+#[case::truncated_seal(|s: &mut Vec<u8>| s[..16].to_vec(), WireError::Truncated(16))]
+#[case::truncated_body(|s: &mut Vec<u8>| s[..s.len() - 1].to_vec(), WireError::Forged)]
 #[case::bit_flipped(|s: &mut Vec<u8>| { s[20] ^= 1; s.clone() }, WireError::Forged)]
 #[case::tag_flipped(|s: &mut Vec<u8>| { s[16] ^= 128; s.clone() }, WireError::Forged)]
 #[case::older_format(|s: &mut Vec<u8>| { s[0] = 0; s.clone() }, WireError::Forged)]
 #[case::newer_format(|s: &mut Vec<u8>| { s[0] = 2; s.clone() }, WireError::NewerFormat(2))]
 #[case::too_long(|s: &mut Vec<u8>| { s.resize(1201, 0); s.clone() }, WireError::Oversize(1201, MAX_DATAGRAM_LEN))]
-fn a_damaged_datagram_is_refused_with_its_reason(
+fn a_damaged_datagram_is_refused_with_the_matching_error(
     #[case] damage: fn(&mut Vec<u8>) -> Vec<u8>,
     #[case] reason: WireError,
 ) {
@@ -87,14 +87,14 @@
 }
 
 #[test]
-fn a_datagram_under_another_key_is_forged() {
+fn a_datagram_with_another_key_is_refused_as_forged() {
     let sealed = seal(&Datagram::FloorAsk, node(1), &key()).unwrap();
     let other = MeshKey::from_secret("two");
     assert_eq!(open(&sealed, &other), Err(WireError::Forged));
 }
 
 #[test]
-fn a_message_that_does_not_fit_is_not_sealed() {
+fn an_oversized_message_is_not_sealed() {
     let push = Datagram::Push {
         origin: node(1),
         entries: vec![0; 1200],
@@ -105,8 +105,8 @@
     );
 }
 
-/// Seals any body under the mesh key, as a faulty or newer peer may.
-fn signed(body: &[u8]) -> Vec<u8> {
+/// Seals any body with the mesh key, as a faulty or newer peer might.
+fn sealed_with_mesh_key(body: &[u8]) -> Vec<u8> {
     let bytes = blake3::derive_key("swiftcart 2026 mesh datagram key", b"one");
     let mut hasher = blake3::Hasher::new_keyed(&bytes);
     hasher.update(&[WIRE_FORMAT]).update(body);
@@ -117,14 +117,17 @@
 #[rstest]
 #[case::no_body(&[])]
 #[case::unknown_variant(&[0, 127, 0, 0, 1, 80, 200])]
-#[case::rest_after_the_message(&[0, 127, 0, 0, 1, 80, 8, 0])]
+#[case::trailing_byte(&[0, 127, 0, 0, 1, 80, 8, 0])]
 #[case::huge_length(&[0, 127, 0, 0, 1, 80, 4, 255, 255, 255, 255, 15])]
-fn an_authentic_body_that_is_no_datagram_is_malformed(#[case] body: &[u8]) {
-    assert_eq!(open(&signed(body), &key()), Err(WireError::Malformed));
+fn an_authentic_body_that_is_not_a_datagram_is_malformed(#[case] body: &[u8]) {
+    assert_eq!(
+        open(&sealed_with_mesh_key(body), &key()),
+        Err(WireError::Malformed)
+    );
 }
 
 #[test]
-fn a_key_does_not_show_in_logs() {
+fn debug_output_hides_the_mesh_key() {
     assert_eq!(format!("{:?}", key()), "MeshKey(..)");
 }
 
@@ -138,7 +141,7 @@
 
     #[test]
     fn arbitrary_authentic_bodies_never_panic(body in prop::collection::vec(any::<u8>(), 0..1183)) {
-        if let Ok((from, datagram)) = open(&signed(&body), &key()) {
+        if let Ok((from, datagram)) = open(&sealed_with_mesh_key(&body), &key()) {
             let again = seal(&datagram, from, &key()).unwrap();
             prop_assert_eq!(open(&again, &key()), Ok((from, datagram)));
         }
@@ -146,10 +149,10 @@
 }
 
 #[test]
-fn a_pull_opens_to_itself_and_never_passes_for_a_datagram() {
-    let ask = SyncRequest::Feed { from: Offset(7) };
-    let sealed = seal_sync(&ask, node(1), &key()).unwrap();
-    assert_eq!(open_sync(&sealed, &key()), Ok((node(1), ask)));
+fn a_state_pull_opens_unchanged_and_is_not_accepted_as_a_datagram() {
+    let request = SyncRequest::Feed { from: Offset(7) };
+    let sealed = seal_sync(&request, node(1), &key()).unwrap();
+    assert_eq!(open_sync(&sealed, &key()), Ok((node(1), request)));
     assert_eq!(open(&sealed, &key()), Err(WireError::Forged));
     let datagram = seal(&Datagram::FloorAsk, node(1), &key()).unwrap();
     let opened = open_sync::<SyncRequest>(&datagram, &key());
--- a/crates/swiftcart-core/tests/wire_releases.rs
+++ b/crates/swiftcart-core/tests/wire_releases.rs
@@ -1,7 +1,7 @@
-//! Nodes of two releases beside each other read what the other one writes.
+//! Nodes of two consecutive releases can read each other's messages.
 //!
-//! The bytes were written by the release before this one. A later release may add variants
-//! at the end of an enum; these bytes stay.
+//! The recorded bytes were written by the previous release. A later release may add variants at the
+//! end of an enum, but must not change these bytes.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
@@ -15,12 +15,12 @@
 
 const PROBE: &str = "0148515e44f1ad25e4ef70c26c9354f393000a010007b03b000c0cffffffffffffffffff01630200000a010007b03b000a010007bf3b000a010007b043000a010007ac43056e6f72746580d8c1a28c34000107626f6f6b696e67000a010007b4430b160201fa0101000a010007b13b0701";
 const PUSH: &str = "01122a406d0f38024320d999eb5c440fe2000a010007b03b05000a0100070143030575e6cbb6212023b98e2063f961dc95417799c83133057284e08795cc2becd71f0101112f2f612e6578616d706c652f637265772f07626f6f6b696e670101050000";
-const FEED: &str = "014021a4dba73745206a3b1fe264fca9cb000a010007b03b0009";
-const ASK: &str = "01bf27480d2bab470611bda92e37104f1b000a010007b03b0103010203";
-const SNAPSHOT: &str = "010eac72f4adf735a6092d17e159614680000a010007b03b000305020007626f6f6b696e670000000001112f2f612e6578616d706c652f637265772f07626f6f6b696e67010501112f2f612e6578616d706c652f637265772f0102dc0bf4030100";
-const MEMBERS: &str = "010a6ca15287e16ae3a1469ef197deab50000a010007b03b0101000a010007b03b000a010007bf3b000a010007b043000a010007ac43056e6f72746580d8c1a28c34000107626f6f6b696e67000a010007b4430b160201fa01";
-const BUSY: &str = "01b9cba44cfe8735c9e5eb512e914d6656000a010007b03b0228";
-const DELTAS: &str = "011400b20cd6cc152d8360ccf3633baf27000a010007b03b000401030575e6cbb6212023b98e2063f961dc95417799c83133057284e08795cc2becd71f0101112f2f612e6578616d706c652f637265772f07626f6f6b696e670101050000";
+const FEED_REQUEST: &str = "014021a4dba73745206a3b1fe264fca9cb000a010007b03b0009";
+const MEMBERS_REQUEST: &str = "01bf27480d2bab470611bda92e37104f1b000a010007b03b0103010203";
+const SNAPSHOT_REPLY: &str = "010eac72f4adf735a6092d17e159614680000a010007b03b000305020007626f6f6b696e670000000001112f2f612e6578616d706c652f637265772f07626f6f6b696e67010501112f2f612e6578616d706c652f637265772f0102dc0bf4030100";
+const MEMBERS_REPLY: &str = "010a6ca15287e16ae3a1469ef197deab50000a010007b03b0101000a010007b03b000a010007bf3b000a010007b043000a010007ac43056e6f72746580d8c1a28c34000107626f6f6b696e67000a010007b4430b160201fa01";
+const BUSY_REPLY: &str = "01b9cba44cfe8735c9e5eb512e914d6656000a010007b03b0228";
+const DELTAS_REPLY: &str = "011400b20cd6cc152d8360ccf3633baf27000a010007b03b000401030575e6cbb6212023b98e2063f961dc95417799c83133057284e08795cc2becd71f0101112f2f612e6578616d706c652f637265772f07626f6f6b696e670101050000";
 
 fn node(port: u16) -> NodeId {
     NodeId(SocketAddr::from(([10, 1, 0, 7], port)))
@@ -107,38 +107,53 @@
 #[rstest]
 #[case::probe(probe(), PROBE)]
 #[case::push(Datagram::Push { origin: node(1), entries: postcard::to_stdvec(&delta()).unwrap() }, PUSH)]
-fn a_datagram_of_the_release_before(#[case] datagram: Datagram, #[case] recorded: &str) {
+fn datagrams_are_compatible_with_the_previous_release(
+    #[case] datagram: Datagram,
+    #[case] recorded: &str,
+) {
     let sealed = seal(&datagram, node(7600), &key()).unwrap();
     assert_eq!(
         hex(&sealed),
         recorded,
-        "what the release before has to read"
+        "the previous release must be able to read the message"
     );
     assert_eq!(open(&bytes(recorded), &key()), Ok((node(7600), datagram)));
 }
 
 #[rstest]
-#[case::members(SyncReply::Members(vec![member()]), MEMBERS)]
-#[case::snapshot(SyncReply::Feed(PullAnswer::Snapshot(Arc::new(snapshot(5)))), SNAPSHOT)]
-#[case::deltas(SyncReply::Feed(PullAnswer::Deltas(vec![Arc::new(delta())])), DELTAS)]
-#[case::busy(SyncReply::Busy { retry_ms: 40 }, BUSY)]
-fn an_answer_of_the_release_before(#[case] reply: SyncReply, #[case] recorded: &str) {
-    same(reply, recorded);
+#[case::members(SyncReply::Members(vec![member()]), MEMBERS_REPLY)]
+#[case::snapshot(
+    SyncReply::Feed(PullAnswer::Snapshot(Arc::new(snapshot(5)))),
+    SNAPSHOT_REPLY
+)]
+#[case::deltas(SyncReply::Feed(PullAnswer::Deltas(vec![Arc::new(delta())])), DELTAS_REPLY)]
+#[case::busy(SyncReply::Busy { retry_ms: 40 }, BUSY_REPLY)]
+fn sync_replies_are_compatible_with_the_previous_release(
+    #[case] reply: SyncReply,
+    #[case] recorded: &str,
+) {
+    assert_compatible(reply, recorded);
 }
 
 #[rstest]
-#[case::feed(SyncRequest::Feed { from: Offset(9) }, FEED)]
-#[case::members(SyncRequest::Members { buckets: vec![1, 2, 3] }, ASK)]
-fn a_question_of_the_release_before(#[case] request: SyncRequest, #[case] recorded: &str) {
-    same(request, recorded);
+#[case::feed(SyncRequest::Feed { from: Offset(9) }, FEED_REQUEST)]
+#[case::members(SyncRequest::Members { buckets: vec![1, 2, 3] }, MEMBERS_REQUEST)]
+fn sync_requests_are_compatible_with_the_previous_release(
+    #[case] request: SyncRequest,
+    #[case] recorded: &str,
+) {
+    assert_compatible(request, recorded);
 }
 
-fn same<T: Serialize + DeserializeOwned + PartialEq + Debug>(message: T, recorded: &str) {
+fn assert_compatible<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    message: T,
+    recorded: &str,
+) {
     let sealed = seal_sync(&message, node(7600), &key()).unwrap();
     assert_eq!(
         hex(&sealed),
         recorded,
-        "what the release before has to read"
+        "the previous release must be able to read the message"
     );
     let (from, opened) = open_sync::<T>(&bytes(recorded), &key()).unwrap();
     assert_eq!((from, opened), (node(7600), message));
