--- a/crates/swiftcart-core/src/feed.rs
+++ b/crates/swiftcart-core/src/feed.rs
@@ -3,10 +3,10 @@
 mod action;
 mod enforcement_gate;
 mod follow;
+mod log_scan;
 mod readiness_gate;
 mod replay_start;
 mod ring;
-mod search;
 mod settings;
 mod snapshot_feed;
 mod tree;
--- a/crates/swiftcart-core/src/feed/follow.rs
+++ b/crates/swiftcart-core/src/feed/follow.rs
@@ -3,8 +3,8 @@
 mod adopt;
 mod serve;
 
+use super::log_scan::LogScan;
 use super::ring::Ring;
-use super::search::CheckpointSearch;
 use super::{FeedAction, FeedCounts, FeedSettings, PullAnswer, RecordSource, ReplayStart};
 use crate::{
     Agreement, Checkpoint, Entry, Fold, FoldError, Head, Instant, NodeId, Offset, Verdict, Version,
@@ -36,7 +36,7 @@
     fold: Fold,
     ring: Ring,
     log_start: Offset,
-    search: CheckpointSearch,
+    scan: LogScan,
     replay_start: Option<ReplayStart>,
     stalled: Option<u16>,
     pull: Option<Pull>,
@@ -64,7 +64,7 @@
             fold: Fold::new(),
             ring: Ring::new(settings.ring_records, settings.ring_bytes),
             log_start: Offset(0),
-            search: CheckpointSearch::Inactive,
+            scan: LogScan::Inactive,
             replay_start: None,
             stalled: None,
             pull: None,
@@ -83,7 +83,7 @@
     /// Returns the offset from which to read the platform's log next.
     #[must_use]
     pub fn from(&self) -> Offset {
-        self.search.scan_offset().unwrap_or(self.fold.position())
+        self.scan.scan_offset().unwrap_or(self.fold.position())
     }
 
     /// Returns the stream position that probes announce to other nodes.
@@ -114,16 +114,14 @@
         self.log_start = self.log_start.max(first);
         let position = self.fold.position();
         let lookback = self.settings.lookback();
-        self.search = self
-            .search
+        self.scan = self
+            .scan
             .with_bounds(position, self.log_start, next, lookback);
         let mut actions = self.scan_for_checkpoint(&entries);
-        match self.search {
-            CheckpointSearch::Full { at } if at >= next => {
-                actions.push(FeedAction::NoStart(self.log_start))
-            }
-            CheckpointSearch::Recent { .. } | CheckpointSearch::Full { .. } => {}
-            CheckpointSearch::Inactive | CheckpointSearch::Failed => {
+        match self.scan {
+            LogScan::Full { at } if at >= next => actions.push(FeedAction::NoStart(self.log_start)),
+            LogScan::Recent { .. } | LogScan::Full { .. } => {}
+            LogScan::Inactive | LogScan::Failed => {
                 actions.extend(self.fold_all(entries, RecordSource::Platform, Some(self.me)));
             }
         }
--- a/crates/swiftcart-core/src/feed/follow/adopt.rs
+++ b/crates/swiftcart-core/src/feed/follow/adopt.rs
@@ -1,19 +1,19 @@
 //! Adoption of a state, from the log or from a peer.
 
-use super::super::search::CheckpointSearch;
+use super::super::log_scan::LogScan;
 use super::super::{FeedAction, RecordSource, ReplayStart};
 use super::Feed;
 use crate::{Body, Checkpoint, CheckpointError, Entry, Envelope, Fold};
 
 impl Feed {
-    /// Searches `entries` for a usable checkpoint and adopts it. A checkpoint is usable if the log
+    /// Scans `entries` for a usable checkpoint and adopts it. A checkpoint is usable if the log
     /// still holds all records after it.
     pub(super) fn scan_for_checkpoint(&mut self, entries: &[Entry]) -> Vec<FeedAction> {
         for entry in entries {
-            if self.search.scan_offset() != Some(entry.offset) {
+            if self.scan.scan_offset() != Some(entry.offset) {
                 continue;
             }
-            self.search = self.search.advanced();
+            self.scan = self.scan.advanced();
             let Ok(Body::Checkpoint(checkpoint)) = Envelope::decode(&entry.body).map(|e| e.body)
             else {
                 continue;
@@ -49,7 +49,7 @@
             Ok(fold) if fold.position() > position && fold.version() >= version => {
                 self.fold = fold;
                 self.ring.clear();
-                self.search = CheckpointSearch::Inactive;
+                self.scan = LogScan::Inactive;
                 self.stalled = None;
                 self.replay_start = replay_start.or(self.replay_start);
                 self.counts.adopted += 1;
--- a/crates/swiftcart-core/src/feed/search.rs
+++ b/crates/swiftcart-core/src/feed/log_scan.rs
@@ -1,11 +1,11 @@
-//! Search for a checkpoint in the log, for readers that are far behind.
+//! Scan for a checkpoint in the log, for readers that are far behind.
 
 use crate::Offset;
 
-/// State of a reader's search for a checkpoint.
+/// State of a reader's scan for a checkpoint.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(super) enum CheckpointSearch {
-    /// No search is needed. The reader continues from its own position.
+pub(super) enum LogScan {
+    /// No scan is needed. The reader continues from its own position.
     #[default]
     Inactive,
     /// The reader scans the last records of the log from `at` to `end`. This saves the reads of all
@@ -17,8 +17,8 @@
     Failed,
 }
 
-impl CheckpointSearch {
-    /// Returns the search for a reader at `position` after a page was read. The page reports the
+impl LogScan {
+    /// Returns the scan of a reader at `position` after a page was read. The page reports the
     /// oldest offset `first` and the end `next` of the log.
     pub fn with_bounds(self, position: Offset, first: Offset, next: Offset, lookback: u64) -> Self {
         let recent_start = Offset(next.0.saturating_sub(lookback));
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns the search after a record without a usable checkpoint.
+    /// Returns the scan after a record without a usable checkpoint.
     pub const fn advanced(self) -> Self {
         match self {
             Self::Recent { at, end } => Self::Recent { at: at.next(), end },
--- a/crates/swiftcart-core/src/feed/settings.rs
+++ b/crates/swiftcart-core/src/feed/settings.rs
@@ -51,11 +51,11 @@
         self
     }
 
-    /// Returns the number of records before the end of the log in which a reader searches for a
+    /// Returns the number of records before the end of the log in which a reader scans for a
     /// checkpoint.
     ///
-    /// The number is twice the checkpoint interval, so that the search still finds a
-    /// checkpoint if the next checkpoint is appended late.
+    /// The number is twice the checkpoint interval, so that the scan still finds a checkpoint
+    /// if the next checkpoint is appended late.
     #[must_use]
     pub const fn lookback(&self) -> u64 {
         self.checkpoint_records.saturating_mul(2)
--- a/crates/swiftcart-core/src/wire/datagram.rs
+++ b/crates/swiftcart-core/src/wire/datagram.rs
@@ -128,7 +128,7 @@
         /// answering node enforces, or [`Version::NONE`].
         version: Version,
     },
-    /// Announces that the sender shuts down in an orderly way.
+    /// Announces a graceful shutdown of the sender.
     Leave {
         /// Incarnation of the sender that ends.
         incarnation: Incarnation,
