--- a/crates/swiftcart-core/src/member/dissemination.rs
+++ b/crates/swiftcart-core/src/member/dissemination.rs
@@ -6,7 +6,8 @@
 
 use super::{Action, ApplyOutcome, Membership};
 use crate::{
-    Backend, Beat, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId, Readiness, Status,
+    Backend, Heartbeat, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId, Readiness,
+    Status,
 };
 
 /// Minimum interval between two rounds of urgent updates.
@@ -146,14 +147,14 @@
     ///
     /// The beat begins with the status of `to` unless `to` is alive, so that `to` can refute it, or
     /// with the own entry if `to` is unknown.
-    pub(super) fn beat(&mut self, to: NodeId, mut first: Vec<MemberUpdate>) -> Beat {
+    pub(super) fn beat(&mut self, to: NodeId, mut first: Vec<MemberUpdate>) -> Heartbeat {
         match self.list.get(to) {
             Some(m) if m.liveness != Liveness::Alive => first.insert(0, status_of(m)),
             Some(_) => {}
             None if first.is_empty() => first.push(MemberUpdate::Entry(self.me.clone())),
             None => {}
         }
-        Beat {
+        Heartbeat {
             head: self.head,
             hash: self.list.hash(),
             news: self.select_updates(to, first),
--- a/crates/swiftcart-core/src/member/membership.rs
+++ b/crates/swiftcart-core/src/member/membership.rs
@@ -14,8 +14,8 @@
     ProbeKind, RelayedProbe, UpdateQueue,
 };
 use crate::{
-    Backend, Beat, Datagram, Head, Incarnation, Instant, Liveness, Member, MemberUpdate, NodeId,
-    Pace,
+    Backend, Datagram, Head, Heartbeat, Incarnation, Instant, Liveness, Member, MemberUpdate,
+    NodeId, Pace,
 };
 
 /// Number of seeds that are probed at once, since some nodes in a directory may have stopped.
@@ -347,7 +347,7 @@
     /// Returns the answer to a probe.
     ///
     /// The answer contains the own entry if the sender is unknown or sent its own entry.
-    fn answer_probe(&mut self, now: Instant, from: NodeId, beat: Beat) -> Beat {
+    fn answer_probe(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Heartbeat {
         // A node that probes this node while it is alone has the member list that this node lacks.
         self.synced = self.merged || (self.synced && !self.is_alone());
         let own_entry = |u: &MemberUpdate| u.id() == from && matches!(u, MemberUpdate::Entry(_));
@@ -360,7 +360,7 @@
     }
 
     /// Processes a beat and returns the updates that its sender lacks.
-    fn process_beat(&mut self, now: Instant, from: NodeId, beat: Beat) -> Vec<MemberUpdate> {
+    fn process_beat(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Vec<MemberUpdate> {
         let replies = self.apply_all(now, beat.news);
         self.compare_hash(now, from, beat.hash);
         replies
--- a/crates/swiftcart-core/tests/member.rs
+++ b/crates/swiftcart-core/tests/member.rs
@@ -319,9 +319,9 @@
                 Action::Send(to, Datagram::Probe { seq, .. }) => {
                     *probes.entry(to).or_insert(0) += 1;
                     answer(to).map(|news| {
-                        let beat = Beat {
+                        let beat = Heartbeat {
                             news,
-                            ..Beat::default()
+                            ..Heartbeat::default()
                         };
                         (to, Datagram::Ack { seq, beat })
                     })
@@ -410,17 +410,17 @@
         ..Member::new(id(2), domain(0), Incarnation(1))
     };
     membership.merge(now, vec![entry]);
-    let beat = Beat::default();
+    let beat = Heartbeat::default();
     let actions = membership.on_datagram(now, id(2), Datagram::Probe { seq: 9, beat });
     let status = Status {
         id: id(2),
         incarnation: Incarnation(1),
         liveness,
     };
-    let beat = Beat {
+    let beat = Heartbeat {
         hash: membership.hash(),
         news: vec![MemberUpdate::Status(status)],
-        ..Beat::default()
+        ..Heartbeat::default()
     };
     assert_eq!(
         actions,
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -18,7 +18,7 @@
     BalanceSettings, Balancer, CallResult, Candidate, Identity, Instant, MeshRetryBudget, NodeId,
     Outcome, Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal, RefusalHistory,
     RetryBudget, RetrySettings, RetryState, RetryTarget, RouteProfiles, ServiceEntry, SlotSearch,
-    ToldNotices, Version, start_wait,
+    ToldNotices, Version, startup_retry_after,
 };
 
 use tokio::task::JoinError;
@@ -166,7 +166,7 @@
             Phase::Ready | Phase::Leaving | Phase::Finishing => {}
             Phase::Stopping => return Err(Reason::Stopping.into()),
             Phase::NoConfig | Phase::BelowFloor | Phase::NoMembers => {
-                let wait = start_wait(now.elapsed());
+                let wait = startup_retry_after(now.elapsed());
                 return Err(Refusal::new(Reason::NotReady).with_retry(wait).into());
             }
         }
