--- a/crates/swiftcart-core/src/account/directory.rs
+++ b/crates/swiftcart-core/src/account/directory.rs
@@ -8,7 +8,7 @@
 
 /// What a request's key tells.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Identity {
+pub struct ResolvedAccount {
     /// The account.
     pub name: AccountName,
     /// Names it between nodes.
@@ -30,14 +30,14 @@
 ///
 /// let account = Account::new().with_key(KeyHash::of(b"3f9c"));
 /// let accounts = Accounts::new(&Table::new().with_account("harbour", account));
-/// let found = accounts.holder(KeyHash::of(b"3f9c")).map(|account| account.name.as_str());
+/// let found = accounts.account_by_key(KeyHash::of(b"3f9c")).map(|account| account.name.as_str());
 /// assert_eq!(found, Some("harbour"));
-/// assert_eq!(accounts.holder(KeyHash::of(b"other")), None);
+/// assert_eq!(accounts.account_by_key(KeyHash::of(b"other")), None);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Accounts {
-    by_key: HashMap<KeyHash, Arc<Identity>>,
-    by_tag: HashMap<AccountTag, Arc<Identity>>,
+    by_key: HashMap<KeyHash, Arc<ResolvedAccount>>,
+    by_tag: HashMap<AccountTag, Arc<ResolvedAccount>>,
 }
 
 impl Accounts {
@@ -59,7 +59,7 @@
 
     /// Returns the account that has a key.
     #[must_use]
-    pub fn holder(&self, key: KeyHash) -> Option<&Arc<Identity>> {
+    pub fn account_by_key(&self, key: KeyHash) -> Option<&Arc<ResolvedAccount>> {
         self.by_key.get(&key)
     }
 
@@ -70,7 +70,7 @@
     }
 
     fn add(&mut self, name: &AccountName, account: &Account, homes: Option<&Homes>) {
-        let identity = Arc::new(Identity {
+        let identity = Arc::new(ResolvedAccount {
             name: name.clone(),
             tag: AccountTag::new(name),
             quota: account.quota,
--- a/crates/swiftcart-core/src/account/ledger.rs
+++ b/crates/swiftcart-core/src/account/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{AccountTag, Admittance, Quota, Usage};
+use super::{AccountTag, AdmissionRatio, Quota, Usage};
 use crate::{Instant, NodeId};
 
 /// The time over which arrivals are averaged.
@@ -56,7 +56,7 @@
 impl QuotaBounds {
     /// Returns the requests in a window beyond those that the quota allows.
     #[must_use]
-    pub fn beyond(&self, quota: Quota) -> f64 {
+    pub fn tolerance(&self, quota: Quota) -> f64 {
         let allowed = f64::from(quota.rate) * self.window.as_secs_f64() + f64::from(quota.burst);
         self.overage * allowed + self.slack
     }
@@ -73,7 +73,7 @@
 /// ```
 /// use std::time::Duration;
 /// use swiftcart_core::{
-///     AccountTag, Admittance, Instant, NodeId, Quota, QuotaBounds, QuotaLedger, Usage,
+///     AccountTag, AdmissionRatio, Instant, NodeId, Quota, QuotaBounds, QuotaLedger, Usage,
 /// };
 ///
 /// let bounds = QuotaBounds { window: Duration::from_secs(5), overage: 0.1, slack: 20.0 };
@@ -83,8 +83,8 @@
 /// let usage =
 ///     Usage { account: AccountTag(7), arrived: 90, admitted: 90, counted_ms: 0, epoch: 1 };
 /// let now = Instant::from_millis(0);
-/// let answer = ledger.hear(now, node, &usage, quota);
-/// assert!(answer.permille < Admittance::ALL);
+/// let answer = ledger.receive(now, node, &usage, quota);
+/// assert!(answer.permille < AdmissionRatio::ALL);
 /// # Ok::<(), std::net::AddrParseError>(())
 /// ```
 #[derive(Debug, Clone)]
@@ -137,12 +137,18 @@
     }
 
     /// Takes over the part of all nodes that this one reaches; the others may be adding up too.
-    pub fn set_reach(&mut self, part: f64) {
+    pub fn set_reachable_share(&mut self, part: f64) {
         self.reach = part.clamp(0.0, 1.0);
     }
 
     /// Takes in what a node has counted, and returns what it is to admit.
-    pub fn hear(&mut self, now: Instant, from: NodeId, usage: &Usage, quota: Quota) -> Admittance {
+    pub fn receive(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        usage: &Usage,
+        quota: Quota,
+    ) -> AdmissionRatio {
         let reach = self.reach;
         let book = self.books.entry(usage.account);
         let book = book.or_insert_with(|| Book::new(now, quota));
@@ -150,7 +156,7 @@
         book.pass(now, reach);
         book.count(now, from, usage);
         book.decide(reach, self.bounds);
-        Admittance {
+        AdmissionRatio {
             account: usage.account,
             permille: book.permille,
         }
@@ -158,7 +164,7 @@
 
     /// Returns what all nodes are to be told now: of accounts that are limited, and of those that no
     /// longer are.
-    pub fn reminders(&mut self, now: Instant) -> Vec<Admittance> {
+    pub fn limit_updates(&mut self, now: Instant) -> Vec<AdmissionRatio> {
         let (reach, bounds) = (self.reach, self.bounds);
         self.books.retain(|_, book| book.forget(now));
         let mut due = Vec::new();
@@ -166,12 +172,12 @@
             let before = book.permille;
             book.pass(now, reach);
             book.decide(reach, bounds);
-            let limited = book.permille < Admittance::ALL;
-            let eased = before < Admittance::ALL && !limited;
-            let begins = limited && before == Admittance::ALL;
+            let limited = book.permille < AdmissionRatio::ALL;
+            let eased = before < AdmissionRatio::ALL && !limited;
+            let begins = limited && before == AdmissionRatio::ALL;
             if eased || begins || (limited && now.since(book.reminded) >= REMIND) {
                 book.reminded = now;
-                due.push(Admittance {
+                due.push(AdmissionRatio {
                     account: *account,
                     permille: book.permille,
                 });
@@ -192,7 +198,7 @@
             at: now,
             part: 1.0,
             decided: now,
-            permille: Admittance::ALL,
+            permille: AdmissionRatio::ALL,
             reminded: now,
             nodes: BTreeMap::new(),
         }
@@ -242,7 +248,7 @@
     fn decide(&mut self, reach: f64, bounds: QuotaBounds) {
         let (rate, arriving) = (self.rate(reach), self.arriving());
         let excess = (arriving - rate).max(0.0);
-        let tolerated = TOLERATED * reach * bounds.beyond(self.quota);
+        let tolerated = TOLERATED * reach * bounds.tolerance(self.quota);
         let kept = (LAG.as_secs_f64() * excess).min(KEPT_BACK * f64::from(self.quota.burst));
         let floor = kept - tolerated;
         let allowed = rate + (self.tokens - floor) / EASE.as_secs_f64();
@@ -251,7 +257,7 @@
         let most = (self.part * RISE.powf(gone)).max(LEAST_RISE);
         self.decided = self.at;
         self.part = part.min(most).min(1.0);
-        self.permille = (self.part * f64::from(Admittance::ALL)) as u16;
+        self.permille = (self.part * f64::from(AdmissionRatio::ALL)) as u16;
     }
 
     fn rate(&self, reach: f64) -> f64 {
--- a/crates/swiftcart-core/src/account/meter.rs
+++ b/crates/swiftcart-core/src/account/meter.rs
@@ -5,8 +5,8 @@
 
 use rand::Rng;
 
-use super::{AccountTag, Admittance, Quota, Usage};
-use crate::rate::Promises;
+use super::{AccountTag, AdmissionRatio, Quota, Usage};
+use crate::rate::RetryScheduler;
 use crate::{Instant, RateShare, Reason, Refusal};
 
 /// The longest time for which a count is kept back.
@@ -35,7 +35,7 @@
 
 /// Tells whether a request can still be answered within its target.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Timing {
+pub enum RequestTiming {
     /// It can.
     #[default]
     InTime,
@@ -54,15 +54,15 @@
 ///
 /// ```
 /// use rand::{SeedableRng, rngs::SmallRng};
-/// use swiftcart_core::{AccountTag, Admittance, Instant, Quota, QuotaMeter, Timing};
+/// use swiftcart_core::{AccountTag, AdmissionRatio, Instant, Quota, QuotaMeter, RequestTiming};
 ///
 /// let (now, account) = (Instant::from_millis(0), AccountTag(7));
 /// let quota = Quota { rate: 10, burst: 10 };
 /// let mut rng = SmallRng::seed_from_u64(1);
 /// let mut meter = QuotaMeter::new(1);
-/// assert!(meter.ask(now, account, quota, Timing::InTime, &mut rng).is_ok());
-/// meter.hear(now, Admittance { account, permille: 0 });
-/// assert!(meter.ask(now, account, quota, Timing::InTime, &mut rng).is_err());
+/// assert!(meter.admit(now, account, quota, RequestTiming::InTime, &mut rng).is_ok());
+/// meter.receive(now, AdmissionRatio { account, permille: 0 });
+/// assert!(meter.admit(now, account, quota, RequestTiming::InTime, &mut rng).is_err());
 /// ```
 #[derive(Debug, Clone)]
 pub struct QuotaMeter {
@@ -90,7 +90,7 @@
     equal: RateShare,
     quota: Quota,
     nodes: usize,
-    promises: Promises,
+    promises: RetryScheduler,
 }
 
 /// The counts that were told last, and when.
@@ -126,19 +126,19 @@
     /// # Errors
     ///
     /// [`Reason::OverQuota`] with the time after which the account may send again.
-    pub fn ask<R: Rng + ?Sized>(
+    pub fn admit<R: Rng + ?Sized>(
         &mut self,
         now: Instant,
         account: AccountTag,
         quota: Quota,
-        timing: Timing,
+        timing: RequestTiming,
         rng: &mut R,
     ) -> Result<(), Refusal> {
         let (nodes, epoch) = (self.nodes, self.epoch);
         let counts = self.accounts.entry(account);
         let counts = counts.or_insert_with(|| Counts::new(now, epoch, quota, nodes));
         counts.share(now, quota, nodes);
-        let in_vain = timing == Timing::Late && counts.is_limited(now);
+        let in_vain = timing == RequestTiming::Late && counts.is_limited(now);
         counts.arrived += u64::from(!in_vain);
         self.untold.insert(account);
         match !in_vain && counts.admits(now, rng) {
@@ -155,7 +155,7 @@
     }
 
     /// Gives back the part of a request that was admitted and did not run.
-    pub fn give_back(&mut self, account: AccountTag) {
+    pub fn cancel_admission(&mut self, account: AccountTag) {
         if let Some(counts) = self.accounts.get_mut(&account) {
             counts.admitted = counts.admitted.saturating_sub(1);
             self.untold.insert(account);
@@ -163,10 +163,10 @@
     }
 
     /// Takes in what the ledger of an account allows.
-    pub fn hear(&mut self, now: Instant, admittance: Admittance) {
+    pub fn receive(&mut self, now: Instant, admittance: AdmissionRatio) {
         let (nodes, epoch) = (self.nodes, self.epoch);
         // An account that sends nothing here is limited before its first request comes.
-        let limited = admittance.permille < Admittance::ALL;
+        let limited = admittance.permille < AdmissionRatio::ALL;
         if limited {
             let counts = self.accounts.entry(admittance.account);
             counts.or_insert_with(|| Counts::new(now, epoch, Quota::default(), nodes));
@@ -238,7 +238,7 @@
             equal: RateShare::new(now).with_rate(now, quota.rate, nodes),
             quota,
             nodes,
-            promises: Promises::new(now),
+            promises: RetryScheduler::new(now),
         }
     }
 
--- a/crates/swiftcart-core/src/account/usage.rs
+++ b/crates/swiftcart-core/src/account/usage.rs
@@ -5,7 +5,7 @@
 use super::AccountName;
 
 /// The most entries of one message, so that it fits a datagram.
-pub const USAGE_ENTRIES: usize = 24;
+pub const MAX_USAGE_ENTRIES: usize = 24;
 
 /// Names an account by a hash, the same at every node.
 #[derive(
@@ -43,14 +43,14 @@
 
 /// Tells which part of an account's requests a node admits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Admittance {
+pub struct AdmissionRatio {
     /// The account.
     pub account: AccountTag,
     /// The part, in thousandths.
     pub permille: u16,
 }
 
-impl Admittance {
+impl AdmissionRatio {
     /// Everything is admitted.
     pub const ALL: u16 = 1000;
 
@@ -67,5 +67,5 @@
     /// What the sender has counted.
     Usage(Vec<Usage>),
     /// What the receiver is to admit.
-    Admit(Vec<Admittance>),
+    Admit(Vec<AdmissionRatio>),
 }
--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -21,7 +21,7 @@
 
 use rand::Rng;
 
-use crate::rate::Promises;
+use crate::rate::RetryScheduler;
 use crate::{CallResult, Instant, Limits, Load, Pace, Reason, Refusal, Sample, ServerRate};
 pub use admission_state::AdmissionState;
 pub use egress_limiter::EgressLimiter;
@@ -97,7 +97,7 @@
     /// Current queueing delay of the instance's link.
     link_delay: Duration,
     targets: TargetEstimator,
-    promises: Promises,
+    promises: RetryScheduler,
     /// Requests displaced from the queue by more urgent requests and not yet returned.
     displaced: Vec<Refused>,
 }
@@ -120,7 +120,7 @@
             egress_limiter: EgressLimiter::new(settings.link),
             link_delay: Duration::ZERO,
             targets: TargetEstimator::default(),
-            promises: Promises::new(now),
+            promises: RetryScheduler::new(now),
             displaced: Vec::new(),
         }
     }
--- a/crates/swiftcart-core/src/admission/throttle.rs
+++ b/crates/swiftcart-core/src/admission/throttle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use crate::{Instant, ServerRate};
 
 /// Time over which an unused rate accumulates, in seconds.
@@ -19,7 +19,7 @@
 /// server may sustain a much lower rate than the rate at which it completes requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub(super) struct Throttle {
-    bucket: Option<Bucket>,
+    bucket: Option<TokenBucket>,
 }
 
 impl Throttle {
@@ -29,7 +29,7 @@
             let rate = rate.per_second().max(MIN_RATE_PER_SEC);
             let burst = (rate * BURST_SECS).max(1.0);
             let tokens = self.bucket.map_or(1.0, |mut old| old.tokens(now));
-            Bucket::new(now, rate, burst, tokens.min(burst))
+            TokenBucket::new(now, rate, burst, tokens.min(burst))
         });
     }
 
--- a/crates/swiftcart-core/src/balance/pick_requirements.rs
+++ b/crates/swiftcart-core/src/balance/pick_requirements.rs
@@ -11,7 +11,7 @@
 /// use swiftcart_core::{Payload, PickRequirements};
 ///
 /// let requirements = PickRequirements::from(Payload::Heavy);
-/// assert!(requirements.regions.is_everywhere());
+/// assert!(requirements.regions.is_unrestricted());
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct PickRequirements {
--- a/crates/swiftcart-core/src/drain.rs
+++ b/crates/swiftcart-core/src/drain.rs
@@ -11,7 +11,7 @@
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct DrainPlace(pub u64);
+pub struct DrainPosition(pub u64);
 
 /// Tells whether a failure domain is drained.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -19,7 +19,7 @@
     /// The failure domain.
     pub domain: FailureDomain,
     /// Its place.
-    pub place: DrainPlace,
+    pub place: DrainPosition,
     /// Whether its backend servers get nothing from now on, or requests again.
     pub drained: bool,
 }
@@ -28,14 +28,14 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct DrainList {
     /// The last place that the list covers.
-    pub place: DrainPlace,
+    pub place: DrainPosition,
     /// The orders.
     pub orders: Vec<DrainOrder>,
 }
 
 /// What the platform tells of drained failure domains.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DrainNews {
+pub enum DrainUpdate {
     /// One order.
     Order(DrainOrder),
     /// Everything that stands at one place.
@@ -50,7 +50,7 @@
     /// Whether the sender asks for everything that the receiver knows.
     pub asks: bool,
     /// The last place up to which the sender knows every order that stands.
-    pub place: DrainPlace,
+    pub place: DrainPosition,
     /// Orders.
     pub orders: Vec<DrainOrder>,
 }
@@ -60,10 +60,10 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{DrainOrder, DrainPlace, Drains, FailureDomain};
+/// use swiftcart_core::{DrainOrder, DrainPosition, Drains, FailureDomain};
 ///
 /// let sur = FailureDomain::new("sur");
-/// let order = |place, drained| DrainOrder { domain: sur.clone(), place: DrainPlace(place), drained };
+/// let order = |place, drained| DrainOrder { domain: sur.clone(), place: DrainPosition(place), drained };
 /// let mut drains = Drains::new();
 /// assert!(drains.take(&order(7, true)));
 /// assert!(drains.is_drained(&sur));
@@ -74,13 +74,13 @@
 pub struct Drains {
     orders: BTreeMap<FailureDomain, Standing>,
     /// The last place that a list covered: an order up to there that is not known was taken back.
-    covered: DrainPlace,
+    covered: DrainPosition,
 }
 
 /// The newest order for one failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Standing {
-    place: DrainPlace,
+    place: DrainPosition,
     drained: bool,
 }
 
@@ -90,7 +90,7 @@
     pub const fn new() -> Self {
         Self {
             orders: BTreeMap::new(),
-            covered: DrainPlace(0),
+            covered: DrainPosition(0),
         }
     }
 
@@ -110,7 +110,7 @@
 
     /// Tells whether any failure domain is drained.
     #[must_use]
-    pub fn is_any(&self) -> bool {
+    pub fn any_drained(&self) -> bool {
         self.orders.values().any(|standing| standing.drained)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Takes what another node knows; returns whether anything is new.
-    pub fn hear(&mut self, message: &DrainMessage) -> bool {
+    pub fn merge(&mut self, message: &DrainMessage) -> bool {
         let list = DrainList {
             place: message.place,
             orders: message.orders.clone(),
--- a/crates/swiftcart-core/src/homes.rs
+++ b/crates/swiftcart-core/src/homes.rs
@@ -96,7 +96,7 @@
 
     /// Tells whether a request may be sent everywhere.
     #[must_use]
-    pub const fn is_everywhere(&self) -> bool {
+    pub const fn is_unrestricted(&self) -> bool {
         self.0.is_none()
     }
 
--- a/crates/swiftcart-core/src/rate.rs
+++ b/crates/swiftcart-core/src/rate.rs
@@ -10,14 +10,14 @@
 const BURST_SECS: f64 = 0.2;
 
 /// The longest time after which a caller is asked to come back.
-pub const LONGEST_RETRY: Duration = Duration::from_secs(30);
+pub const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 
 /// Spreads the times at which refused callers come back by up to this share.
 const JITTER: f64 = 0.25;
 
 /// Holds tokens that flow in at a rate and are taken one by one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Bucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -55,8 +55,8 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateShare {
-    bucket: Option<Bucket>,
-    promises: Promises,
+    bucket: Option<TokenBucket>,
+    promises: RetryScheduler,
 }
 
 /// Gives callers that were refused a time to come back, each a later one.
@@ -64,12 +64,12 @@
 /// Counts the callers that were sent away and are expected back, and lets the
 /// count run down at the rate at which they can be served.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Promises {
+pub(crate) struct RetryScheduler {
     open: f64,
     at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub(crate) const fn new(now: Instant, rate: f64, burst: f64, tokens: f64) -> Self {
         Self {
             rate,
@@ -129,7 +129,7 @@
     pub const fn new(now: Instant) -> Self {
         Self {
             bucket: None,
-            promises: Promises::new(now),
+            promises: RetryScheduler::new(now),
         }
     }
 
@@ -146,9 +146,11 @@
     pub fn split(&mut self, now: Instant, rate: u32, guards: usize) {
         let share = f64::from(rate) / guards.max(1) as f64;
         let burst = (share * BURST_SECS).max(1.0);
-        let mut old = self.bucket.unwrap_or(Bucket::new(now, share, burst, 1.0));
+        let mut old = self
+            .bucket
+            .unwrap_or(TokenBucket::new(now, share, burst, 1.0));
         old.refill(now);
-        let new = Bucket::new(now, share, burst, old.tokens.min(burst));
+        let new = TokenBucket::new(now, share, burst, old.tokens.min(burst));
         self.bucket = (rate > 0).then_some(new);
     }
 
@@ -170,7 +172,7 @@
     }
 }
 
-impl Promises {
+impl RetryScheduler {
     pub(crate) const fn new(now: Instant) -> Self {
         Self { open: 0.0, at: now }
     }
@@ -183,7 +185,7 @@
         rate: f64,
         rng: &mut R,
     ) -> Duration {
-        let longest = LONGEST_RETRY.as_secs_f64();
+        let longest = MAX_RETRY_DELAY.as_secs_f64();
         let rate = rate.max(1.0 / longest);
         let gone = now.since(self.at).as_secs_f64();
         self.at = self.at.max(now);
--- a/crates/swiftcart-core/src/retry.rs
+++ b/crates/swiftcart-core/src/retry.rs
@@ -4,7 +4,7 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use crate::{Deadline, HOP_ALLOWANCE, Instant, NodeId, Outcome, Reason};
 
 /// Maximum number of attempts of one call over all levels of the call chain.
@@ -306,7 +306,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     share: f64,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 impl RetryBudget {
@@ -315,7 +315,7 @@
     pub const fn new(now: Instant, settings: RetrySettings) -> Self {
         Self {
             share: settings.share,
-            bucket: Bucket::new(now, settings.floor, settings.burst, settings.burst),
+            bucket: TokenBucket::new(now, settings.floor, settings.burst, settings.burst),
         }
     }
 
--- a/crates/swiftcart-core/src/warmup.rs
+++ b/crates/swiftcart-core/src/warmup.rs
@@ -52,10 +52,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{HandOvers, Instant};
+/// use swiftcart_core::{DispatchWindow, Instant};
 ///
 /// let now = Instant::from_millis(2_000);
-/// let mut handed = HandOvers::new(Instant::from_millis(0));
+/// let mut handed = DispatchWindow::new(Instant::from_millis(0));
 /// assert_eq!(handed.wait(now, 2), None);
 /// handed.note(now);
 /// handed.note(now + Duration::from_millis(100));
@@ -63,7 +63,7 @@
 /// assert_eq!(handed.wait(now + Duration::from_millis(1_100), 2), None);
 /// ```
 #[derive(Debug, Clone)]
-pub struct HandOvers {
+pub struct DispatchWindow {
     /// Since when this process counts; what was handed over before is not known.
     since: Instant,
     times: VecDeque<Instant>,
@@ -72,7 +72,7 @@
 /// The hand-overs that are remembered at most; more than a cold backend server bears in a second.
 const REMEMBERED: usize = 512;
 
-impl HandOvers {
+impl DispatchWindow {
     /// Creates a count that begins now.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
@@ -114,7 +114,7 @@
 
 /// What is known of what a cold backend server bears.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum ColdRule {
+pub enum ColdStartLimit {
     /// Nothing: no version is known yet.
     #[default]
     Unknown,
@@ -130,14 +130,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use swiftcart_core::{ColdBounds, ColdRule, ColdStart, Instant, Warmup};
+/// use swiftcart_core::{ColdBounds, ColdStartLimit, ColdStart, Instant, Warmup};
 ///
 /// let second = |n| Instant::new(Duration::from_secs(n));
 /// let bounds = ColdBounds { overage: 1.5, slack: 8.0 };
 /// let mut warmup = Warmup::new(second(0), bounds);
-/// warmup.announced(second(5));
+/// warmup.set_cold_until(second(5));
 /// assert!(warmup.take(second(2)).is_err(), "what it bears is not known");
-/// warmup.set_rule(ColdRule::Limited(ColdStart { rate: 14, lasts_ms: 3_000 }));
+/// warmup.set_cold_limit(ColdStartLimit::Limited(ColdStart { rate: 14, lasts_ms: 3_000 }));
 /// let handed = (0..40).filter(|_| warmup.take(second(2)).is_ok()).count();
 /// assert_eq!(handed, 21);
 /// assert!(warmup.take(second(6)).is_ok(), "it is warm");
@@ -145,8 +145,8 @@
 #[derive(Debug, Clone)]
 pub struct Warmup {
     bounds: ColdBounds,
-    rule: ColdRule,
-    handed: HandOvers,
+    rule: ColdStartLimit,
+    handed: DispatchWindow,
     /// Until when the backend server says that it is cold.
     until: Instant,
     /// Until when it may be cold without having said so.
@@ -159,28 +159,28 @@
     pub const fn new(now: Instant, bounds: ColdBounds) -> Self {
         Self {
             bounds,
-            rule: ColdRule::Unknown,
-            handed: HandOvers::new(now),
+            rule: ColdStartLimit::Unknown,
+            handed: DispatchWindow::new(now),
             until: now,
             unsure: now,
         }
     }
 
     /// Takes over what a cold backend server of the service bears.
-    pub fn set_rule(&mut self, rule: ColdRule) {
+    pub fn set_cold_limit(&mut self, rule: ColdStartLimit) {
         self.rule = rule;
     }
 
     /// Takes over until when the backend server says that it is cold.
-    pub fn announced(&mut self, until: Instant) {
+    pub fn set_cold_until(&mut self, until: Instant) {
         self.until = until;
         self.unsure = Instant::default();
     }
 
     /// Takes the backend server for cold until it says something, for the time of a start at most: it
     /// had nothing to do.
-    pub fn doubt(&mut self, now: Instant) {
-        if let ColdRule::Limited(cold) = self.rule {
+    pub fn assume_cold(&mut self, now: Instant) {
+        if let ColdStartLimit::Limited(cold) = self.rule {
             self.unsure = now + Duration::from_millis(cold.lasts_ms.into());
         }
     }
@@ -188,7 +188,7 @@
     /// Tells whether the backend server bears less than usual.
     #[must_use]
     pub fn is_cold(&self, now: Instant) -> bool {
-        self.is_cooled(now) && matches!(self.rule, ColdRule::Limited(_))
+        self.is_cooled(now) && matches!(self.rule, ColdStartLimit::Limited(_))
     }
 
     /// Tells whether a request may be handed over now.
@@ -199,9 +199,9 @@
     pub fn may_enter(&mut self, now: Instant) -> Result<(), Refusal> {
         let wait = match self.rule {
             _ if !self.is_cooled(now) => None,
-            ColdRule::Unlimited => None,
-            ColdRule::Unknown => Some(UNKNOWN),
-            ColdRule::Limited(cold) => self.handed.wait(now, self.bounds.most(cold)),
+            ColdStartLimit::Unlimited => None,
+            ColdStartLimit::Unknown => Some(UNKNOWN),
+            ColdStartLimit::Limited(cold) => self.handed.wait(now, self.bounds.most(cold)),
         };
         match wait {
             Some(wait) => Err(Refusal::new(Reason::Warming).with_retry(wait)),
@@ -216,7 +216,7 @@
     /// The same as [`may_enter`](Self::may_enter).
     pub fn take(&mut self, now: Instant) -> Result<(), Refusal> {
         self.may_enter(now)?;
-        if self.rule != ColdRule::Unlimited {
+        if self.rule != ColdStartLimit::Unlimited {
             self.handed.note(now);
         }
         Ok(())
--- a/crates/swiftcart-core/tests/drain.rs
+++ b/crates/swiftcart-core/tests/drain.rs
@@ -7,9 +7,9 @@
     FailureDomain::new("sur")
 }
 
-fn order(place: u64, drained: bool) -> DrainNews {
-    let (domain, place) = (sur(), DrainPlace(place));
-    DrainNews::Order(DrainOrder {
+fn order(place: u64, drained: bool) -> DrainUpdate {
+    let (domain, place) = (sur(), DrainPosition(place));
+    DrainUpdate::Order(DrainOrder {
         domain,
         place,
         drained,
@@ -17,22 +17,22 @@
 }
 
 /// Everything up to `place`, where the orders at `standing` have not been taken back.
-fn list(place: u64, standing: &[u64]) -> DrainNews {
+fn list(place: u64, standing: &[u64]) -> DrainUpdate {
     let orders = standing.iter().map(|place| DrainOrder {
         domain: sur(),
-        place: DrainPlace(*place),
+        place: DrainPosition(*place),
         drained: true,
     });
-    DrainNews::List(DrainList {
-        place: DrainPlace(place),
+    DrainUpdate::List(DrainList {
+        place: DrainPosition(place),
         orders: orders.collect(),
     })
 }
 
-fn take(drains: &mut Drains, news: &DrainNews) -> bool {
+fn take(drains: &mut Drains, news: &DrainUpdate) -> bool {
     match news {
-        DrainNews::Order(order) => drains.take(order),
-        DrainNews::List(list) => drains.take_list(list),
+        DrainUpdate::Order(order) => drains.take(order),
+        DrainUpdate::List(list) => drains.take_list(list),
     }
 }
 
@@ -48,7 +48,7 @@
 #[case::an_order_of_before_behind_a_list_without_it(&[list(9, &[]), order(3, true)], false)]
 #[case::one_that_a_list_after_its_end_lacks(&[order(2, false), list(4, &[]), order(3, true)], false)]
 #[case::an_older_order_behind_a_list(&[order(3, true), list(9, &[]), order(7, true)], false)]
-fn a_domain_is_drained_after(#[case] news: &[DrainNews], #[case] expected: bool) {
+fn a_domain_is_drained_after(#[case] news: &[DrainUpdate], #[case] expected: bool) {
     let mut drains = Drains::new();
     for news in news {
         take(&mut drains, news);
@@ -61,8 +61,8 @@
     let (mut one, mut other) = (Drains::new(), Drains::new());
     take(&mut one, &order(3, true));
     take(&mut other, &list(9, &[]));
-    assert!(!other.hear(&one.message()));
-    assert!(one.hear(&other.message()));
+    assert!(!other.merge(&one.message()));
+    assert!(one.merge(&other.message()));
     assert!(!one.is_drained(&sur()) && !other.is_drained(&sur()));
 }
 
@@ -74,7 +74,7 @@
         digest: 5,
         ..DrainMessage::default()
     };
-    assert!(!drains.hear(&word));
+    assert!(!drains.merge(&word));
     assert!(drains.is_drained(&sur()));
 }
 
@@ -86,7 +86,7 @@
         order(10, true),
         order(12, false),
     ];
-    let digest = |heard: &[DrainNews]| {
+    let digest = |heard: &[DrainUpdate]| {
         let mut drains = Drains::new();
         for news in heard {
             take(&mut drains, news);
--- a/crates/swiftcart-core/tests/quota.rs
+++ b/crates/swiftcart-core/tests/quota.rs
@@ -10,7 +10,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rstest::rstest;
-use swiftcart_core::{AccountTag, Admittance, Instant, Quota, QuotaMeter, Reason, Timing};
+use swiftcart_core::{
+    AccountTag, AdmissionRatio, Instant, Quota, QuotaMeter, Reason, RequestTiming,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 const TIME: Duration = Duration::from_secs(25);
@@ -83,7 +85,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let times = (0..10_000).step_by(10).map(Instant::from_millis);
     let admitted = times.filter(|now| {
-        let asked = meter.ask(*now, ACCOUNT, quota, Timing::InTime, &mut rng);
+        let asked = meter.admit(*now, ACCOUNT, quota, RequestTiming::InTime, &mut rng);
         meter.due(*now);
         asked.is_ok()
     });
@@ -112,7 +114,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut meter = QuotaMeter::new(1);
     let start = Instant::from_millis(0);
-    let first = meter.ask(start, ACCOUNT, quota, Timing::InTime, &mut rng);
+    let first = meter.admit(start, ACCOUNT, quota, RequestTiming::InTime, &mut rng);
     assert!(first.is_ok());
     meter.set_nodes(10);
     let admitted = alone(&mut meter, quota);
@@ -123,7 +125,10 @@
 fn told(permille: u16) -> QuotaMeter {
     let mut meter = QuotaMeter::new(1);
     let account = ACCOUNT;
-    meter.hear(Instant::from_millis(0), Admittance { account, permille });
+    meter.receive(
+        Instant::from_millis(0),
+        AdmissionRatio { account, permille },
+    );
     meter
 }
 
@@ -136,19 +141,19 @@
 fn a_refusal_tells_each_caller_a_later_time() {
     let (mut meter, mut rng) = (told(0), SmallRng::seed_from_u64(1));
     let now = Instant::from_millis(0);
-    let mut ask = || meter.ask(now, ACCOUNT, TEN, Timing::InTime, &mut rng);
-    let (first, second) = (ask().unwrap_err(), ask().unwrap_err());
+    let mut admit = || meter.admit(now, ACCOUNT, TEN, RequestTiming::InTime, &mut rng);
+    let (first, second) = (admit().unwrap_err(), admit().unwrap_err());
     assert_eq!(first.reason, Reason::OverQuota);
     assert!(first.retry_after < second.retry_after);
 }
 
 #[rstest]
-#[case::an_account_that_is_not_limited(Admittance::ALL, true)]
+#[case::an_account_that_is_not_limited(AdmissionRatio::ALL, true)]
 #[case::a_limited_account(990, false)]
 fn a_request_that_is_too_late_is_admitted_for(#[case] permille: u16, #[case] expected: bool) {
     let (mut meter, mut rng) = (told(permille), SmallRng::seed_from_u64(1));
     let now = Instant::from_millis(0);
-    let mut ask = |timing| meter.ask(now, ACCOUNT, TEN, timing, &mut rng).is_ok();
-    assert_eq!(ask(Timing::Late), expected);
-    assert!(ask(Timing::InTime));
+    let mut admit = |timing| meter.admit(now, ACCOUNT, TEN, timing, &mut rng).is_ok();
+    assert_eq!(admit(RequestTiming::Late), expected);
+    assert!(admit(RequestTiming::InTime));
 }
--- a/crates/swiftcart-core/tests/support/quota.rs
+++ b/crates/swiftcart-core/tests/support/quota.rs
@@ -6,8 +6,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use swiftcart_core::{
-    AccountTag, Admittance, Instant, NodeId, Quota, QuotaBounds, QuotaLedger, QuotaMeter, Timing,
-    Usage,
+    AccountTag, AdmissionRatio, Instant, NodeId, Quota, QuotaBounds, QuotaLedger, QuotaMeter,
+    RequestTiming, Usage,
 };
 
 pub const ACCOUNT: AccountTag = AccountTag(7);
@@ -79,12 +79,12 @@
 /// What is allowed in a window.
 pub fn bound(quota: Quota) -> usize {
     let whole = f64::from(quota.rate) * BOUNDS.window.as_secs_f64() + f64::from(quota.burst);
-    (whole + BOUNDS.beyond(quota)) as usize
+    (whole + BOUNDS.tolerance(quota)) as usize
 }
 
 enum Message {
     Usage(Vec<Usage>),
-    Admit(Vec<Admittance>),
+    Admit(Vec<AdmissionRatio>),
 }
 
 struct Post {
@@ -155,11 +155,11 @@
                 false => self.rng.random_range(0..self.load.nodes),
             };
             let quota = self.quota(at);
-            let asked = self.meters[node].ask(
+            let asked = self.meters[node].admit(
                 Instant::new(at),
                 ACCOUNT,
                 quota,
-                Timing::InTime,
+                RequestTiming::InTime,
                 &mut self.rng,
             );
             self.outcome.asked += 1;
@@ -175,7 +175,7 @@
             if !list.is_empty() {
                 self.send(now, node, self.ledger_of(node, now), Message::Usage(list));
             }
-            let due = self.ledgers[node].reminders(now);
+            let due = self.ledgers[node].limit_updates(now);
             if due.is_empty() {
                 continue;
             }
@@ -223,31 +223,31 @@
         for post in due {
             match post.message {
                 Message::Usage(list) => {
-                    self.set_reach(post.to, now);
+                    self.set_reachable_share(post.to, now);
                     let ledger = &mut self.ledgers[post.to];
                     let from = node_id(post.from);
                     let answers = list
                         .iter()
-                        .map(|usage| ledger.hear(now, from, usage, quota));
+                        .map(|usage| ledger.receive(now, from, usage, quota));
                     let answers = answers.collect();
                     self.send(now, post.to, post.from, Message::Admit(answers));
                 }
                 Message::Admit(list) => {
                     for admittance in list {
-                        self.meters[post.to].hear(now, admittance);
+                        self.meters[post.to].receive(now, admittance);
                     }
                 }
             }
         }
     }
 
-    fn set_reach(&mut self, node: usize, now: Instant) {
+    fn set_reachable_share(&mut self, node: usize, now: Instant) {
         let part = match (self.ledger_of(self.load.nodes - 1, now), node) {
             (0, _) => 1.0,
             (_, 0) => 1.0 / 3.0,
             _ => 2.0 / 3.0,
         };
-        self.ledgers[node].set_reach(part);
+        self.ledgers[node].set_reachable_share(part);
     }
 
     fn kill(&mut self, at: Duration) {
--- a/crates/swiftcart-core/tests/warmup.rs
+++ b/crates/swiftcart-core/tests/warmup.rs
@@ -41,8 +41,8 @@
 #[case::asked_every_thirty_seven(37)]
 fn no_second_holds_more_than_it_bears(#[case] step: usize) {
     let mut warmup = Warmup::new(at(0), BOUNDS);
-    warmup.set_rule(ColdRule::Limited(COLD));
-    warmup.announced(at(60_000));
+    warmup.set_cold_limit(ColdStartLimit::Limited(COLD));
+    warmup.set_cold_until(at(60_000));
     let times = play(&mut warmup, 2_000, 20_000, step);
     // 14 x 1.5 + 8 is what the users' pages allow.
     assert!(most(&times) <= 29, "{}", most(&times));
@@ -54,13 +54,13 @@
 }
 
 #[rstest]
-#[case::whose_rule_is_not_known(ColdRule::Unknown, 0)]
-#[case::that_bears_as_much_as_any(ColdRule::Unlimited, 100)]
-#[case::that_bears_little(ColdRule::Limited(COLD), 21)]
-fn of_a_hundred_at_once_a_cold_one_gets(#[case] rule: ColdRule, #[case] expected: usize) {
+#[case::whose_rule_is_not_known(ColdStartLimit::Unknown, 0)]
+#[case::that_bears_as_much_as_any(ColdStartLimit::Unlimited, 100)]
+#[case::that_bears_little(ColdStartLimit::Limited(COLD), 21)]
+fn of_a_hundred_at_once_a_cold_one_gets(#[case] rule: ColdStartLimit, #[case] expected: usize) {
     let mut warmup = Warmup::new(at(0), BOUNDS);
-    warmup.set_rule(rule);
-    warmup.announced(at(60_000));
+    warmup.set_cold_limit(rule);
+    warmup.set_cold_until(at(60_000));
     let taken = (0..100).filter(|_| warmup.take(at(2_000)).is_ok()).count();
     assert_eq!(taken, expected);
 }
@@ -68,8 +68,8 @@
 #[test]
 fn a_guard_that_has_just_started_hands_nothing_over() {
     let mut warmup = Warmup::new(at(0), BOUNDS);
-    warmup.set_rule(ColdRule::Limited(COLD));
-    warmup.announced(at(60_000));
+    warmup.set_cold_limit(ColdStartLimit::Limited(COLD));
+    warmup.set_cold_until(at(60_000));
     let refusal = warmup.take(at(400)).unwrap_err();
     assert_eq!(refusal.reason, Reason::Warming);
     assert!(refusal.retry_after.is_some());
@@ -79,9 +79,9 @@
 #[test]
 fn a_second_in_which_it_turns_cold_counts_what_came_before() {
     let mut warmup = Warmup::new(at(0), BOUNDS);
-    warmup.set_rule(ColdRule::Limited(COLD));
+    warmup.set_cold_limit(ColdStartLimit::Limited(COLD));
     let mut times = play(&mut warmup, 2_000, 2_500, 25);
-    warmup.announced(at(60_000));
+    warmup.set_cold_until(at(60_000));
     times.extend(play(&mut warmup, 2_500, 3_500, 1));
     assert!(most(&times) <= 29, "{}", most(&times));
 }
@@ -89,11 +89,11 @@
 #[test]
 fn one_whose_domain_was_taken_back_counts_as_cold_until_it_says_otherwise() {
     let mut warmup = Warmup::new(at(0), BOUNDS);
-    warmup.set_rule(ColdRule::Limited(COLD));
-    warmup.doubt(at(10_000));
+    warmup.set_cold_limit(ColdStartLimit::Limited(COLD));
+    warmup.assume_cold(at(10_000));
     assert!(warmup.is_cold(at(10_500)));
     assert!(!warmup.is_cold(at(13_500)), "a start takes no longer");
-    warmup.doubt(at(20_000));
-    warmup.announced(at(20_100));
+    warmup.assume_cold(at(20_000));
+    warmup.set_cold_until(at(20_100));
     assert!(!warmup.is_cold(at(20_200)), "it said that it is warm");
 }
--- a/crates/swiftcart-node/src/admin/announce.rs
+++ b/crates/swiftcart-node/src/admin/announce.rs
@@ -102,7 +102,9 @@
     }
     if heard.is_accepted() {
         let warmup = Duration::from_millis(found.warmup_ms.into());
-        shared.warmup.with(|state| state.announced(now + warmup));
+        shared
+            .warmup
+            .with(|state| state.set_cold_until(now + warmup));
         let until = Instant::now() + Duration::from_millis(plain.ttl_ms);
         shared.expiry.send_replace(Some(until));
         show(shared, Some(&plain.into()), heard.is_new_process());
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -8,8 +8,8 @@
 use hyper::body::Body;
 use slog::{error, info};
 use swiftcart_core::{
-    Backend, CallResult, ColdRule, Limits, Load, NodeId, Notice, Pace, ProcessNotice, Readiness,
-    Reason, Refusal, ServerRate, ServiceEntry, Version,
+    Backend, CallResult, ColdStartLimit, Limits, Load, NodeId, Notice, Pace, ProcessNotice,
+    Readiness, Reason, Refusal, ServerRate, ServiceEntry, Version,
 };
 
 use super::admissions::Slot;
@@ -382,11 +382,13 @@
         let view = self.shared.view.load();
         let cold = view.cold_start(upstream.service());
         let rule = match cold {
-            _ if view.version() == Version::NONE => ColdRule::Unknown,
-            Some(cold) => ColdRule::Limited(cold),
-            None => ColdRule::Unlimited,
+            _ if view.version() == Version::NONE => ColdStartLimit::Unknown,
+            Some(cold) => ColdStartLimit::Limited(cold),
+            None => ColdStartLimit::Unlimited,
         };
-        self.shared.warmup.with(|warmup| warmup.set_rule(rule));
+        self.shared
+            .warmup
+            .with(|warmup| warmup.set_cold_limit(rule));
         let entry = view.service(upstream.service().as_str());
         let limits = entry.map_or(Limits::default(), ServiceEntry::limits);
         let guards: Vec<NodeId> = entry
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -15,10 +15,10 @@
 use hyper::body::{Body, Incoming};
 use slog::error;
 use swiftcart_core::{
-    BalanceSettings, Balancer, CallResult, Candidate, Identity, Instant, MeshRetryBudget, NodeId,
-    Outcome, Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal, RefusalHistory,
-    RetryBudget, RetrySettings, RetryState, RetryTarget, RouteProfiles, ServiceEntry, SlotSearch,
-    ToldNotices, Version, start_wait,
+    BalanceSettings, Balancer, CallResult, Candidate, Instant, MeshRetryBudget, NodeId, Outcome,
+    Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal, RefusalHistory,
+    ResolvedAccount, RetryBudget, RetrySettings, RetryState, RetryTarget, RouteProfiles,
+    ServiceEntry, SlotSearch, ToldNotices, Version, start_wait,
 };
 
 use tokio::task::JoinError;
@@ -210,7 +210,7 @@
     async fn serve(
         &self,
         mut call: Call,
-        account: Option<Arc<Identity>>,
+        account: Option<Arc<ResolvedAccount>>,
         entry: &ServiceEntry,
         original: &Original,
     ) -> Result<Response<Answer>, Failed> {
@@ -261,7 +261,7 @@
             let Some(pick) = pick else {
                 let shortage = entry
                     .shortage()
-                    .unwrap_or(match call.regions.is_everywhere() {
+                    .unwrap_or(match call.regions.is_unrestricted() {
                         true => Reason::NotReady,
                         false => Reason::NoHome,
                     });
--- a/crates/swiftcart-node/src/calls/ingress/account.rs
+++ b/crates/swiftcart-node/src/calls/ingress/account.rs
@@ -6,7 +6,9 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue};
 use slog::info;
-use swiftcart_core::{Access, Accounts, Identity, KeyHash, Outcome, QuotaMeter, Reason, Refusal};
+use swiftcart_core::{
+    Access, Accounts, KeyHash, Outcome, QuotaMeter, Reason, Refusal, ResolvedAccount,
+};
 
 use super::log::ms;
 use super::{Failed, Ingress};
@@ -23,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Admitted<'a> {
     shared: &'a Shared,
-    account: Arc<Identity>,
+    account: Arc<ResolvedAccount>,
 }
 
 impl Admitted<'_> {
@@ -31,7 +33,7 @@
     pub(super) fn settle<T>(self, result: &Result<T, Failed>) {
         match result {
             Err(failed) if failed.refusal.reason.outcome() == Outcome::NotRun => {
-                self.shared.quotas.give_back(&self.account);
+                self.shared.quotas.cancel_admission(&self.account);
             }
             _ => {}
         }
@@ -51,18 +53,19 @@
         head: &mut Parts,
         accounts: &Accounts,
         access: Access,
-    ) -> Result<Option<Arc<Identity>>, Reason> {
+    ) -> Result<Option<Arc<ResolvedAccount>>, Reason> {
         if accounts.is_empty() {
             return Ok(None);
         }
         let settings = &self.shared.settings;
         let given = credentials(&head.headers, &settings.headers.scheme);
-        let holder = given.and_then(|key| accounts.holder(KeyHash::of(key)).cloned());
+        let account_by_key =
+            given.and_then(|key| accounts.account_by_key(KeyHash::of(key)).cloned());
         let is_keyless = !head.headers.contains_key(AUTHORIZATION);
         let origin = Origin::noted(&head.extensions);
         let is_own = origin.is_some_and(|origin| origin.is_at(settings.listen.calls.ip()));
         head.headers.remove(AUTHORIZATION);
-        match (holder, access) {
+        match (account_by_key, access) {
             (Some(account), _) => {
                 if let Some(name) = &settings.headers.account {
                     let value = HeaderValue::from_str(account.name.as_str());
@@ -85,7 +88,7 @@
     pub(super) fn admit(
         &self,
         call: &mut Call,
-        account: Option<Arc<Identity>>,
+        account: Option<Arc<ResolvedAccount>>,
     ) -> Result<Option<Admitted<'_>>, Refusal> {
         let Some(account) = account else {
             return Ok(None);
@@ -95,7 +98,7 @@
         }
         let now = self.shared.clock.now();
         let timing = call.timing(self.balancer().mean_pace());
-        let asked = self.shared.quotas.ask(now, &account, timing);
+        let asked = self.shared.quotas.admit(now, &account, timing);
         asked.inspect_err(|refusal| self.log_quota(call, &account, *refusal))?;
         Ok(Some(Admitted {
             shared: &self.shared,
@@ -106,7 +109,7 @@
 
 impl Ingress {
     /// Logs a request beyond a quota, with what decided.
-    fn log_quota(&self, call: &Call, account: &Identity, refusal: Refusal) {
+    fn log_quota(&self, call: &Call, account: &ResolvedAccount, refusal: Refusal) {
         let now = self.shared.clock.now();
         let Some(log) = self.shared.call_log.failed(now) else {
             return;
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -9,7 +9,7 @@
 use swiftcart_core::{
     AdmissionRequest, AllowedRegions, Attempt, BodyPrint, CallerPrint, Deadline, Fingerprint,
     HeadFields, HeadPrint, Instant, Payload, Priority, QueueWait, Reason, RequestClass,
-    RequestPrint, ResponseLength, RouteProfile, RouteTag, Routed, Timing,
+    RequestPrint, RequestTiming, ResponseLength, RouteProfile, RouteTag, Routed,
 };
 
 use super::headers::{
@@ -230,14 +230,14 @@
     /// Tells whether the request can still be answered within its target, of which a call
     /// typically takes a share.
     #[must_use]
-    pub fn timing(&self, typical: f64) -> Timing {
+    pub fn timing(&self, typical: f64) -> RequestTiming {
         let is_late = |terms: CallTerms| {
             let left = terms.target().saturating_sub(terms.age());
             left <= terms.target().mul_f64(typical.clamp(0.0, 1.0))
         };
         match self.terms.is_some_and(is_late) {
-            true => Timing::Late,
-            false => Timing::InTime,
+            true => RequestTiming::Late,
+            false => RequestTiming::InTime,
         }
     }
 
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -4,7 +4,7 @@
 
 use slog::info;
 use swiftcart_core::{
-    Datagram, DrainMessage, DrainNews, Drains, Instant, Member, NodeId, Readiness,
+    Datagram, DrainMessage, DrainUpdate, Drains, Instant, Member, NodeId, Readiness,
 };
 
 use super::control_loop::Control;
@@ -31,13 +31,13 @@
 
 impl Control {
     /// Takes orders that were read from the platform.
-    pub(super) fn take_drains(&mut self, now: Instant, news: &[DrainNews]) {
+    pub(super) fn take_drains(&mut self, now: Instant, news: &[DrainUpdate]) {
         let drains = &mut self.draining.drains;
         let mut changed = false;
         for news in news {
             changed |= match news {
-                DrainNews::Order(order) => drains.take(order),
-                DrainNews::List(list) => drains.take_list(list),
+                DrainUpdate::Order(order) => drains.take(order),
+                DrainUpdate::List(list) => drains.take_list(list),
             };
         }
         if changed {
@@ -80,7 +80,7 @@
     /// Takes what another node tells of drained failure domains, and answers what it asks.
     pub(super) fn on_drains(&mut self, now: Instant, from: NodeId, message: &DrainMessage) {
         let drains = &mut self.draining.drains;
-        let changed = drains.hear(message);
+        let changed = drains.merge(message);
         let differs = drains.digest() != message.digest;
         if (message.asks && !drains.is_empty()) || (message.orders.is_empty() && differs) {
             let answer = DrainMessage {
@@ -102,7 +102,7 @@
         members: impl Iterator<Item = &'a Member>,
     ) -> Option<Vec<Member>> {
         let drains = &self.draining.drains;
-        if !drains.is_any() {
+        if !drains.any_drained() {
             return None;
         }
         let members = members.cloned().map(|mut member| {
@@ -123,7 +123,7 @@
         let drained = self.draining.drains.is_drained(domain);
         let before = self.shared.drained.send_replace(drained);
         if before && !drained {
-            self.shared.warmup.with(|warmup| warmup.doubt(now));
+            self.shared.warmup.with(|warmup| warmup.assume_cold(now));
         }
         for order in &self.draining.drains.message().orders {
             info!(self.shared.logger, ""; "event" => Event::Drain, "domain" => %order.domain,
--- a/crates/swiftcart-node/src/control/quotas.rs
+++ b/crates/swiftcart-node/src/control/quotas.rs
@@ -5,8 +5,8 @@
 
 use slog::info;
 use swiftcart_core::{
-    AccountTag, Admittance, Datagram, Instant, NodeId, QuotaBounds, QuotaLedger, QuotaMessage,
-    USAGE_ENTRIES, Usage, rank,
+    AccountTag, AdmissionRatio, Datagram, Instant, MAX_USAGE_ENTRIES, NodeId, QuotaBounds,
+    QuotaLedger, QuotaMessage, Usage, rank,
 };
 
 use super::control_loop::Control;
@@ -93,34 +93,34 @@
                 self.admit(now, &answers);
                 continue;
             }
-            for part in list.chunks(USAGE_ENTRIES) {
+            for part in list.chunks(MAX_USAGE_ENTRIES) {
                 let message = QuotaMessage::Usage(part.to_vec());
                 self.net.send(node, &Datagram::Quotas(message));
             }
         }
     }
 
-    fn add_up(&mut self, now: Instant, from: NodeId, list: &[Usage]) -> Vec<Admittance> {
+    fn add_up(&mut self, now: Instant, from: NodeId, list: &[Usage]) -> Vec<AdmissionRatio> {
         let view = self.shared.view.load();
         let ledger = &mut self.accounting.ledger;
         let limited = list.iter().filter_map(|usage| {
             // An account without a quota is not counted any more.
             let quota = view.accounts().quota(usage.account)?;
-            Some(ledger.hear(now, from, usage, quota))
+            Some(ledger.receive(now, from, usage, quota))
         });
         limited.collect()
     }
 
-    fn admit(&self, now: Instant, list: &[Admittance]) {
+    fn admit(&self, now: Instant, list: &[AdmissionRatio]) {
         self.shared.quotas.with(|meter| {
             for admittance in list {
-                meter.hear(now, *admittance);
+                meter.receive(now, *admittance);
             }
         });
     }
 
     fn remind(&mut self, now: Instant) {
-        let due = self.accounting.ledger.reminders(now);
+        let due = self.accounting.ledger.limit_updates(now);
         if due.is_empty() {
             return;
         }
@@ -130,7 +130,7 @@
         let others: Vec<NodeId> = others
             .filter(|id| *id != me && self.membership.routable(*id))
             .collect();
-        for part in due.chunks(USAGE_ENTRIES) {
+        for part in due.chunks(MAX_USAGE_ENTRIES) {
             let message = Datagram::Quotas(QuotaMessage::Admit(part.to_vec()));
             for id in &others {
                 self.net.send(*id, &message);
@@ -140,10 +140,10 @@
     }
 
     /// Logs which accounts are limited from now on, and which no longer.
-    fn log_limits(&mut self, due: &[Admittance]) {
-        for Admittance { account, permille } in due {
+    fn log_limits(&mut self, due: &[AdmissionRatio]) {
+        for AdmissionRatio { account, permille } in due {
             let before = self.accounting.limited.get(account).copied();
-            let limited = *permille < Admittance::ALL;
+            let limited = *permille < AdmissionRatio::ALL;
             if before.is_some() == limited {
                 continue;
             }
@@ -178,7 +178,7 @@
         }
         let nodes = (reached + others).max(1);
         let part = reached as f64 / nodes as f64;
-        self.accounting.ledger.set_reach(part);
+        self.accounting.ledger.set_reachable_share(part);
         self.shared.quotas.with(|meter| meter.set_nodes(nodes));
     }
 
--- a/crates/swiftcart-node/src/edge.rs
+++ b/crates/swiftcart-node/src/edge.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    DrainNews, Memo, NodeId, OrderId, Release, RequestPrint, RolloutOrder, ServiceName, Snapshot,
+    DrainUpdate, Memo, NodeId, OrderId, Release, RequestPrint, RolloutOrder, ServiceName, Snapshot,
     Version,
 };
 use swiftcart_platform::PlatformError;
@@ -63,7 +63,7 @@
     }
 
     /// Takes what reads have brought of drained failure domains since the last call.
-    fn drains(&self) -> Vec<DrainNews> {
+    fn drains(&self) -> Vec<DrainUpdate> {
         Vec::new()
     }
 }
--- a/crates/swiftcart-node/src/quotas.rs
+++ b/crates/swiftcart-node/src/quotas.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, PoisonError};
 
 use rand::Rng;
-use swiftcart_core::{Identity, Instant, QuotaMeter, Refusal, Timing};
+use swiftcart_core::{Instant, QuotaMeter, Refusal, RequestTiming, ResolvedAccount};
 
 use crate::calls::with_rng;
 
@@ -27,20 +27,25 @@
     ///
     /// # Errors
     ///
-    /// The refusal of [`QuotaMeter::ask`].
-    pub fn ask(&self, now: Instant, account: &Identity, timing: Timing) -> Result<(), Refusal> {
+    /// The refusal of [`QuotaMeter::admit`].
+    pub fn admit(
+        &self,
+        now: Instant,
+        account: &ResolvedAccount,
+        timing: RequestTiming,
+    ) -> Result<(), Refusal> {
         match account.quota {
             Some(quota) => {
-                with_rng(|rng| self.with(|meter| meter.ask(now, account.tag, quota, timing, rng)))
+                with_rng(|rng| self.with(|meter| meter.admit(now, account.tag, quota, timing, rng)))
             }
             None => Ok(()),
         }
     }
 
     /// Gives back the part of a request that did not run.
-    pub fn give_back(&self, account: &Identity) {
+    pub fn cancel_admission(&self, account: &ResolvedAccount) {
         if account.quota.is_some() {
-            self.with(|meter| meter.give_back(account.tag));
+            self.with(|meter| meter.cancel_admission(account.tag));
         }
     }
 
