--- a/crates/swiftcart-core/src/account/meter.rs
+++ b/crates/swiftcart-core/src/account/meter.rs
@@ -19,9 +19,9 @@
 /// Quota per node up to which the rate of an account counts as low, in requests per second.
 const LOW_RATE_PER_NODE: f64 = 2.0;
 
-/// Interval between the reports of a limited account, multiplied by the number of nodes in the
-/// mesh. The account's ledger then receives about 300 reports per second, whatever the size of the
-/// mesh.
+/// Interval between the reports of a limited account, per node of the mesh. A node waits this time
+/// multiplied by the number of nodes. The account's ledger then receives about 300 reports per
+/// second, whatever the size of the mesh.
 const LIMITED_REPORT_INTERVAL: Duration = Duration::from_millis(3);
 
 /// Time without a reply after which the ledger counts as unreachable. The timeout tolerates the
