--- a/crates/swiftcart-core/src/account/directory.rs
+++ b/crates/swiftcart-core/src/account/directory.rs
@@ -1,4 +1,4 @@
-//! The accounts of one version, ready to be found by their keys.
+//! Lookup of the accounts of one configuration version by API key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,22 +6,22 @@
 use super::{Account, AccountName, AccountTag, KeyHash, Quota};
 use crate::{AllowedRegions, Homes, Priority, Table};
 
-/// What a request's key tells.
+/// Account that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Identity {
-    /// The account.
+pub struct ResolvedAccount {
+    /// Name of the account.
     pub name: AccountName,
-    /// Names it between nodes.
+    /// Identifier of the account in messages between nodes.
     pub tag: AccountTag,
-    /// What it may send; `None` sets no limit.
+    /// Request quota; `None` sets no limit.
     pub quota: Option<Quota>,
-    /// The rank of its requests, in place of their routes'.
+    /// Priority of the account's requests, which overrides the priority of their routes.
     pub priority: Option<Priority>,
-    /// Where its requests may be run.
+    /// Regions in which the account's requests may run.
     pub regions: AllowedRegions,
 }
 
-/// Finds accounts by key or by tag.
+/// Directory of accounts by API key and by tag.
 ///
 /// # Examples
 ///
@@ -30,14 +30,14 @@
 ///
 /// let account = Account::new().with_key(KeyHash::of(b"3f9c"));
 /// let accounts = Accounts::new(&Table::new().with_account("harbour", account));
-/// let found = accounts.holder(KeyHash::of(b"3f9c")).map(|account| account.name.as_str());
+/// let found = accounts.account_by_key(KeyHash::of(b"3f9c")).map(|account| account.name.as_str());
 /// assert_eq!(found, Some("harbour"));
-/// assert_eq!(accounts.holder(KeyHash::of(b"other")), None);
+/// assert_eq!(accounts.account_by_key(KeyHash::of(b"other")), None);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Accounts {
-    by_key: HashMap<KeyHash, Arc<Identity>>,
-    by_tag: HashMap<AccountTag, Arc<Identity>>,
+    by_key: HashMap<KeyHash, Arc<ResolvedAccount>>,
+    by_tag: HashMap<AccountTag, Arc<ResolvedAccount>>,
 }
 
 impl Accounts {
@@ -51,26 +51,26 @@
         accounts
     }
 
-    /// Tells whether the configuration has no accounts, and so asks for no keys.
+    /// Returns `true` if the configuration has no accounts and therefore requires no API keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_tag.is_empty()
     }
 
-    /// Returns the account that has a key.
+    /// Returns the account that an API key belongs to.
     #[must_use]
-    pub fn holder(&self, key: KeyHash) -> Option<&Arc<Identity>> {
+    pub fn account_by_key(&self, key: KeyHash) -> Option<&Arc<ResolvedAccount>> {
         self.by_key.get(&key)
     }
 
-    /// Returns the quota of the account with this tag, where it has one.
+    /// Returns the quota of the account with this tag, if the account has a quota.
     #[must_use]
     pub fn quota(&self, tag: AccountTag) -> Option<Quota> {
         self.by_tag.get(&tag)?.quota
     }
 
     fn add(&mut self, name: &AccountName, account: &Account, homes: Option<&Homes>) {
-        let identity = Arc::new(Identity {
+        let identity = Arc::new(ResolvedAccount {
             name: name.clone(),
             tag: AccountTag::new(name),
             quota: account.quota,
