--- a/crates/swiftcart-core/src/balance.rs
+++ b/crates/swiftcart-core/src/balance.rs
@@ -221,7 +221,7 @@
             let since = known.then_some(now);
             // Slow start counts from the discovery, even while the backend server takes no requests
             // yet.
-            for id in ids.iter().chain(entry.waiting()) {
+            for id in ids.iter().chain(entry.warming()) {
                 let peer = self.peers.entry(*id);
                 let peer = peer.or_insert_with(|| Peer::new(now, service, since));
                 peer.service = service;
@@ -230,7 +230,7 @@
             for candidate in candidates() {
                 if let Some(peer) = self.peers.get_mut(&candidate.id) {
                     peer.apply_announcement(now, candidate.pace);
-                    peer.domain = Some(candidate.domain).filter(|_| !candidate.is_near());
+                    peer.domain = Some(candidate.domain).filter(|_| !candidate.in_same_domain());
                 }
             }
             self.groups.push(ids);
--- a/crates/swiftcart-core/src/balance/selection.rs
+++ b/crates/swiftcart-core/src/balance/selection.rs
@@ -114,7 +114,7 @@
         if all.is_empty() {
             return None;
         }
-        let near = all.iter().filter(|c| c.is_near()).count();
+        let near = all.iter().filter(|c| c.in_same_domain()).count();
         // A long body stays in its failure domain.
         let all = match (near, self.requirements.payload) {
             (0, Payload::Heavy) => return None,
@@ -124,7 +124,7 @@
         let others = entry
             .candidates()
             .iter()
-            .filter(|c| near == 0 || c.is_near());
+            .filter(|c| near == 0 || c.in_same_domain());
         let share = CANARY_LOAD * all.len() as f64 / others.count().max(1) as f64;
         if rng.random::<f64>() >= share.min(MAX_CANARY_SHARE) {
             return None;
@@ -271,7 +271,7 @@
 
     /// Returns `true` if the candidate's failure domain is considered unreachable.
     fn is_unreachable(&self, candidate: &Candidate) -> bool {
-        !candidate.is_near()
+        !candidate.in_same_domain()
             && self
                 .balancer
                 .unreachable
--- a/crates/swiftcart-core/src/view.rs
+++ b/crates/swiftcart-core/src/view.rs
@@ -3,8 +3,8 @@
 mod entry;
 mod key;
 mod locality;
+mod prefix_tree;
 mod routes;
-mod segment;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 
 /// Tells where a request goes and how it is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Routed<'a> {
+pub struct RouteMatch<'a> {
     /// The service that was chosen.
     pub entry: &'a ServiceEntry,
     /// How the request is treated; without one its method decides.
@@ -166,10 +166,10 @@
         host: Option<&str>,
         path: &str,
         rng: &mut R,
-    ) -> Result<Routed<'_>, Reason> {
+    ) -> Result<RouteMatch<'_>, Reason> {
         let choice = self.routes.find(host, path).ok_or(Reason::NoRoute)?;
         let entry = self.services.get(choice.pick(&self.services, rng)?);
-        Ok(Routed {
+        Ok(RouteMatch {
             entry: entry.ok_or(Reason::NoBackend)?,
             policy: choice.policy(),
             route: choice.route(),
--- a/crates/swiftcart-core/src/view/entry.rs
+++ b/crates/swiftcart-core/src/view/entry.rs
@@ -54,8 +54,8 @@
 impl Candidate {
     /// Tells whether it is in the failure domain of the view's node.
     #[must_use]
-    pub fn is_near(&self) -> bool {
-        self.distance == Distance::Near
+    pub fn in_same_domain(&self) -> bool {
+        self.distance == Distance::SameDomain
     }
 }
 
@@ -72,7 +72,7 @@
     /// Those that are tried, the own failure domain first.
     tried: Vec<Candidate>,
     /// Those that are known and take no work yet.
-    waiting: Vec<NodeId>,
+    warming: Vec<NodeId>,
     own: Option<Candidate>,
     known: usize,
 }
@@ -86,7 +86,7 @@
             near: 0,
             regional: 0,
             tried: Vec::new(),
-            waiting: Vec::new(),
+            warming: Vec::new(),
             own: None,
             known: 0,
         }
@@ -136,8 +136,8 @@
 
     /// Returns the nodes whose backend servers take no work yet.
     #[must_use]
-    pub fn waiting(&self) -> &[NodeId] {
-        &self.waiting
+    pub fn warming(&self) -> &[NodeId] {
+        &self.warming
     }
 
     /// Returns the node's own backend server when it is of this service and takes work.
@@ -148,7 +148,7 @@
 
     /// Returns why no candidate is there, or `None` when one is.
     #[must_use]
-    pub const fn shortage(&self) -> Option<Reason> {
+    pub const fn unavailable_reason(&self) -> Option<Reason> {
         match (self.ready.len(), self.known) {
             (0, 0) => Some(Reason::NoBackend),
             (0, _) => Some(Reason::NotReady),
@@ -166,7 +166,7 @@
         self.known += 1;
         match backend.readiness {
             Readiness::Ready | Readiness::OnTrial => {}
-            Readiness::Warming => return self.waiting.push(member.id),
+            Readiness::Warming => return self.warming.push(member.id),
             Readiness::Draining => return,
         }
         let candidate = Candidate {
@@ -184,8 +184,8 @@
         if member.id == me {
             self.own = Some(candidate);
         }
-        self.near += usize::from(candidate.is_near());
-        self.regional += usize::from(candidate.distance != Distance::Remote);
+        self.near += usize::from(candidate.in_same_domain());
+        self.regional += usize::from(candidate.distance != Distance::OtherRegion);
         self.ready.push(candidate);
     }
 
--- a/crates/swiftcart-core/src/view/locality.rs
+++ b/crates/swiftcart-core/src/view/locality.rs
@@ -27,11 +27,11 @@
 pub enum Distance {
     /// In its failure domain.
     #[default]
-    Near,
+    SameDomain,
     /// In another failure domain of its region.
-    Far,
+    SameRegion,
     /// In another region.
-    Remote,
+    OtherRegion,
 }
 
 /// The place of a node among failure domains and regions.
@@ -46,9 +46,9 @@
 ///     .map(|(domain, region)| (domain.clone(), Region::new(region)))
 ///     .into();
 /// let here = Locality::new(&gyor).with_regions(&regions);
-/// assert_eq!(here.distance(&gyor), Distance::Near);
-/// assert_eq!(here.distance(&pecs), Distance::Far);
-/// assert_eq!(here.distance(&szeged), Distance::Remote);
+/// assert_eq!(here.distance(&gyor), Distance::SameDomain);
+/// assert_eq!(here.distance(&pecs), Distance::SameRegion);
+/// assert_eq!(here.distance(&szeged), Distance::OtherRegion);
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Locality<'a> {
@@ -77,9 +77,9 @@
     #[must_use]
     pub fn distance(&self, domain: &FailureDomain) -> Distance {
         match (self.named(self.domain), self.named(domain)) {
-            _ if domain == self.domain => Distance::Near,
-            (Some(here), Some(there)) if here != there => Distance::Remote,
-            _ => Distance::Far,
+            _ if domain == self.domain => Distance::SameDomain,
+            (Some(here), Some(there)) if here != there => Distance::OtherRegion,
+            _ => Distance::SameRegion,
         }
     }
 }
--- a/crates/swiftcart-core/src/view/segment.rs
+++ b/crates/swiftcart-core/src/view/prefix_tree.rs
@@ -11,34 +11,34 @@
 /// 1.9 kB for each of 2,500 routes; a list of the right length leaves 0.3 kB of them, and a node
 /// holds two versions while it goes from one to the next.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Segment {
+pub(super) struct PrefixNode {
     /// In the order of their names.
     children: Vec<Child>,
     /// Of the prefix itself and all below it.
-    choice: Option<Box<Choice>>,
+    choice: Option<Box<WeightedTargets>>,
     /// Of what is below the prefix only.
-    below: Option<Box<Choice>>,
+    below: Option<Box<WeightedTargets>>,
 }
 
 /// A node with the path segment that leads to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Child {
     name: Box<str>,
-    segment: Segment,
+    segment: PrefixNode,
 }
 
 /// Tells what a prefix with a slash at its end takes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Slash {
+pub(super) enum TrailingSlash {
     /// The path without that slash too.
     Optional,
     /// Only paths that have it.
-    Needed,
+    Required,
 }
 
 /// The weighted services of one prefix.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Choice {
+pub(super) struct WeightedTargets {
     targets: Vec<Target>,
     /// How the requests of the prefix are treated, where the configuration says so.
     policy: Option<Policy>,
@@ -56,23 +56,23 @@
     weight: u32,
 }
 
-impl Segment {
+impl PrefixNode {
     /// Returns the choice of `prefix`, which is empty when it was not there yet.
-    pub(super) fn insert(&mut self, prefix: &str, slash: Slash) -> &mut Choice {
+    pub(super) fn insert(&mut self, prefix: &str, slash: TrailingSlash) -> &mut WeightedTargets {
         let mut at = self;
         let path = prefix.trim_end_matches('/');
         for name in segments(path) {
             at = at.child(name);
         }
         let place = match slash {
-            Slash::Needed if !path.is_empty() && prefix.ends_with('/') => &mut at.below,
-            Slash::Needed | Slash::Optional => &mut at.choice,
+            TrailingSlash::Required if !path.is_empty() && prefix.ends_with('/') => &mut at.below,
+            TrailingSlash::Required | TrailingSlash::Optional => &mut at.choice,
         };
         place.get_or_insert_default()
     }
 
     /// Returns the choice of the longest prefix that takes `path`.
-    pub(super) fn find(&self, path: &str) -> Option<&Choice> {
+    pub(super) fn find(&self, path: &str) -> Option<&WeightedTargets> {
         let path = path.split_once('?').map_or(path, |(path, _)| path);
         let mut best = self.choice.as_deref();
         let mut at = self;
@@ -118,7 +118,7 @@
     }
 }
 
-impl Choice {
+impl WeightedTargets {
     /// Sets the name of the prefix.
     pub(super) const fn set_route(&mut self, route: RouteKey) {
         self.route = route;
@@ -181,12 +181,12 @@
         rng: &mut R,
     ) -> Result<usize, Reason> {
         let fits = |target: &&Target| match services.get(target.place()) {
-            Some(entry) => self.policy.is_some() || entry.shortage().is_none(),
+            Some(entry) => self.policy.is_some() || entry.unavailable_reason().is_none(),
             None => false,
         };
         let total: u64 = self.targets.iter().filter(fits).map(Target::share).sum();
         if total == 0 {
-            return Err(self.shortage(services));
+            return Err(self.unavailable_reason(services));
         }
         let mut point = match self.targets.as_slice() {
             [_] => 0,
@@ -202,9 +202,9 @@
     }
 
     /// Returns why no service can be chosen; backend servers that are not ready say most.
-    fn shortage(&self, services: &[ServiceEntry]) -> Reason {
+    fn unavailable_reason(&self, services: &[ServiceEntry]) -> Reason {
         let entries = self.targets.iter().filter_map(|t| services.get(t.place()));
-        let mut shortages = entries.filter_map(ServiceEntry::shortage);
+        let mut shortages = entries.filter_map(ServiceEntry::unavailable_reason);
         let first = shortages.next();
         match shortages.find(|reason| *reason == Reason::NotReady) {
             Some(reason) => reason,
--- a/crates/swiftcart-core/src/view/routes.rs
+++ b/crates/swiftcart-core/src/view/routes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::segment::{Choice, Segment, Slash};
+use super::prefix_tree::{PrefixNode, TrailingSlash, WeightedTargets};
 use crate::{
     Accounts, AllowedRegions, ColdStart, Limits, Policies, RequestLimits, RouteKey, ServiceName,
     Snapshot, Table, Version,
@@ -17,9 +17,9 @@
     /// The services in name order.
     services: Vec<(ServiceName, Limits)>,
     /// The routes of any host.
-    root: Segment,
+    root: PrefixNode,
     /// The routes of one host each.
-    hosts: BTreeMap<Box<str>, Segment>,
+    hosts: BTreeMap<Box<str>, PrefixNode>,
     requests: Option<RequestLimits>,
     accounts: Accounts,
     cold_starts: BTreeMap<ServiceName, ColdStart>,
@@ -104,19 +104,19 @@
     }
 
     /// Returns the choice of the longest prefix; those of a host go before those of any.
-    pub(super) fn find(&self, host: Option<&str>, path: &str) -> Option<&Choice> {
+    pub(super) fn find(&self, host: Option<&str>, path: &str) -> Option<&WeightedTargets> {
         let own = host.and_then(|host| self.hosts.get(without_port(host)));
         let own = own.and_then(|segment| segment.find(path));
         own.or_else(|| self.root.find(path))
     }
 
-    fn choice(&mut self, prefix: &str) -> &mut Choice {
+    fn choice(&mut self, prefix: &str) -> &mut WeightedTargets {
         match split_host(prefix) {
             Some((host, path)) => {
                 let segment = self.hosts.entry(host.into()).or_default();
-                segment.insert(path, Slash::Needed)
+                segment.insert(path, TrailingSlash::Required)
             }
-            None => self.root.insert(prefix, Slash::Optional),
+            None => self.root.insert(prefix, TrailingSlash::Optional),
         }
     }
 }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -259,13 +259,16 @@
                 continue;
             }
             let Some(pick) = pick else {
-                let shortage = entry
-                    .shortage()
-                    .unwrap_or(match call.regions.is_everywhere() {
-                        true => Reason::NotReady,
-                        false => Reason::NoHome,
-                    });
-                return last.unwrap_or_else(|| shortage.into()).into_result();
+                let unavailable_reason =
+                    entry
+                        .unavailable_reason()
+                        .unwrap_or(match call.regions.is_everywhere() {
+                            true => Reason::NotReady,
+                            false => Reason::NoHome,
+                        });
+                return last
+                    .unwrap_or_else(|| unavailable_reason.into())
+                    .into_result();
             };
             let mut failed = match self.attempt(call, &pick, entry, original, &state).await {
                 Ok(response) => {
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -9,7 +9,7 @@
 use swiftcart_core::{
     AdmissionRequest, AllowedRegions, Attempt, BodyPrint, CallerPrint, Deadline, Fingerprint,
     HeadFields, HeadPrint, Instant, Payload, Priority, QueueWait, Reason, RequestClass,
-    RequestPrint, ResponseLength, RouteProfile, RouteTag, Routed, Timing,
+    RequestPrint, ResponseLength, RouteMatch, RouteProfile, RouteTag, Timing,
 };
 
 use super::headers::{
@@ -145,7 +145,12 @@
     }
 
     /// Takes over what the configuration says of the request's route, and what was learned of it.
-    pub fn take_route(&mut self, routed: &Routed<'_>, profile: &mut RouteProfile, now: Instant) {
+    pub fn take_route(
+        &mut self,
+        routed: &RouteMatch<'_>,
+        profile: &mut RouteProfile,
+        now: Instant,
+    ) {
         let (entry, policy) = (routed.entry, routed.policy);
         // The time that the caller gave shows its age, whatever the route's timeout leaves of it.
         let age = profile.age(self.due.left(now));
