--- a/crates/swiftcart-core/src/lib.rs
+++ b/crates/swiftcart-core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Holds every decision of swiftcart as a plain state machine.
+//! Decision logic of swiftcart as state machines without I/O.
 //!
-//! An input event, the current time and a seeded random source go in; new state
-//! and typed actions come out. There are no sockets, clocks or runtimes here, so
-//! that tests drive the machines in virtual time and other programs embed them.
+//! A state machine takes an input event, the current time and a seeded random number generator.
+//! It returns typed actions and updates its state. The crate contains no sockets, clocks or async
+//! runtimes, so tests can run the state machines in virtual time and other programs can embed
+//! them.
 
 mod account;
 mod admission;
--- a/crates/swiftcart-core/src/view.rs
+++ b/crates/swiftcart-core/src/view.rs
@@ -1,4 +1,4 @@
-//! One immutable picture of where requests go: the table joined with the members.
+//! Immutable routing view of a node: the configuration table joined with the member list.
 
 mod entry;
 mod key;
@@ -20,27 +20,27 @@
 pub use locality::*;
 pub use routes::*;
 
-/// Tells where a request goes and how it is treated.
+/// Result of a route lookup: the service, the policy and the access rules of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteMatch<'a> {
-    /// The service that was chosen.
+    /// Chosen service.
     pub entry: &'a ServiceEntry,
-    /// How the request is treated; without one its method decides.
+    /// Call policy of the route. Without a policy, the request's method decides.
     pub policy: Option<Policy>,
-    /// Names the route that was found.
+    /// Key of the matching route.
     pub route: RouteKey,
-    /// Who may use it, where the configuration has accounts.
+    /// Access rule of the route, if the configuration has client accounts.
     pub access: Access,
-    /// Where the request may be run, as far as the route says.
+    /// Regions in which the route allows the request to run.
     pub regions: &'a AllowedRegions,
 }
 
-/// Holds one configuration version joined with one state of the membership.
+/// Immutable routing state built from one configuration version and one member list.
 ///
-/// A view never changes after it is built; a node swaps the whole of it, and a
-/// request uses one view from start to end. Every route in it points at a
-/// service of the table, and every candidate is a routable member. A service
-/// without a backend server that takes work is left out of the weighted choice.
+/// A node replaces its view as a whole, and a request uses the same view from start to end.
+/// Every route points to a service of the table, and every candidate is a routable member.
+/// On routes without a policy, the weighted choice skips services without a ready backend
+/// server.
 ///
 /// # Examples
 ///
@@ -66,9 +66,9 @@
 }
 
 impl View {
-    /// Creates the view that the node `me` in `domain` has of `table` and `members`.
+    /// Creates the view of the node `me` in `domain` from `table` and `members`.
     ///
-    /// `members` are those that requests may be sent to; the others stay outside.
+    /// `members` must contain only the members that requests may be sent to.
     #[must_use]
     pub fn new<'a>(
         version: Version,
@@ -81,15 +81,15 @@
         Self::with_routes(routes, members, me, domain)
     }
 
-    /// Creates the view that the node `me` at `place` has of `members` under `routes`.
+    /// Creates the view of the node `me` at `locality` from `routes` and `members`.
     #[must_use]
     pub fn with_routes<'a>(
         routes: Arc<Routes>,
         members: impl Iterator<Item = &'a Member>,
         me: NodeId,
-        place: impl Into<Locality<'a>>,
+        locality: impl Into<Locality<'a>>,
     ) -> Self {
-        let place = place.into();
+        let locality = locality.into();
         let mut services: Vec<_> = routes
             .services()
             .iter()
@@ -97,12 +97,12 @@
             .collect();
         for member in members {
             if let Some(backend) = &member.backend
-                && let Some(i) = routes.place(backend.service.as_str())
+                && let Some(i) = routes.service_index(backend.service.as_str())
             {
-                services[i].add(member, backend, me, place);
+                services[i].add(member, backend, me, locality);
             }
         }
-        services.iter_mut().for_each(ServiceEntry::order);
+        services.iter_mut().for_each(ServiceEntry::sort_by_distance);
         let ids = services.iter().flat_map(ServiceEntry::candidates);
         Self {
             ids: ids.map(|c| c.id).collect(),
@@ -111,86 +111,88 @@
         }
     }
 
-    /// Returns the version of the table.
+    /// Returns the version of the configuration table.
     #[must_use]
     pub fn version(&self) -> Version {
         self.routes.version()
     }
 
-    /// Returns the services in name order.
+    /// Returns the services, sorted by name.
     #[must_use]
     pub fn services(&self) -> &[ServiceEntry] {
         &self.services
     }
 
-    /// Returns the service with this name, or `None` when the table lacks it.
+    /// Returns the service with this name, or `None` if the table does not contain it.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceEntry> {
-        let i = self.routes.place(name)?;
+        let i = self.routes.service_index(name)?;
         self.services.get(i)
     }
 
-    /// Tells whether `id` stands beside a backend server that takes work.
+    /// Returns `true` if the backend server beside node `id` is ready for requests.
     #[must_use]
     pub fn has_candidate(&self, id: NodeId) -> bool {
         self.ids.contains(&id)
     }
 
-    /// Chooses the service for `path` by the longest prefix, then by weight.
+    /// Returns the service for `path`, chosen by longest prefix, then by weight.
     ///
-    /// Prefixes match whole path segments: `/a` takes `/a` and `/a/b`, not `/ab`.
-    /// A query is left aside; the path is compared as it came, without decoding.
-    /// The lookup does not allocate, and its cost is bounded by the depth of the
-    /// deepest prefix, whatever the path's length.
+    /// Prefixes match whole path segments: `/a` matches `/a` and `/a/b`, but not `/ab`.
+    /// The query string is ignored, and the path is compared without percent-decoding.
+    /// The lookup does not allocate. Its cost is bounded by the depth of the deepest prefix,
+    /// regardless of the path's length.
     ///
     /// # Errors
     ///
-    /// [`Reason::NoRoute`] when no prefix matches or the matching one has weight 0
-    /// only, [`Reason::NotReady`] when backend servers are known and none takes
-    /// work, [`Reason::NoBackend`] when none is known.
+    /// Returns [`Reason::NoRoute`] if no prefix matches, or if all services of the matching
+    /// prefix have weight 0. Returns [`Reason::NotReady`] if backend servers are known but none
+    /// is ready, and [`Reason::NoBackend`] if no backend server is known.
     pub fn route<R: Rng + ?Sized>(&self, path: &str, rng: &mut R) -> Result<&ServiceEntry, Reason> {
         self.find(None, path, rng).map(|routed| routed.entry)
     }
 
-    /// Chooses the service for `path` at `host`, and tells how the request is treated.
+    /// Returns the route for `path` at `host`, with its chosen service and its rules.
     ///
-    /// A prefix that begins with `//` belongs to the host that follows: `//book.example/crew/`.
-    /// Such a prefix takes what begins with its path, its last slash included. Prefixes of
-    /// a host go before those of any host. The host is compared without its port.
+    /// A prefix that begins with `//` applies to one host only: `//book.example/crew/`.
+    /// A host-specific prefix with a trailing slash matches only paths that start with the whole
+    /// prefix, including that slash.
+    /// Host-specific prefixes take precedence over prefixes that apply to any host.
+    /// The host is compared without its port.
     ///
     /// # Errors
     ///
-    /// The same as [`route`](Self::route).
+    /// Returns the same errors as [`route`](Self::route).
     pub fn find<R: Rng + ?Sized>(
         &self,
         host: Option<&str>,
         path: &str,
         rng: &mut R,
     ) -> Result<RouteMatch<'_>, Reason> {
-        let choice = self.routes.find(host, path).ok_or(Reason::NoRoute)?;
-        let entry = self.services.get(choice.pick(&self.services, rng)?);
+        let targets = self.routes.find(host, path).ok_or(Reason::NoRoute)?;
+        let entry = self.services.get(targets.pick(&self.services, rng)?);
         Ok(RouteMatch {
             entry: entry.ok_or(Reason::NoBackend)?,
-            policy: choice.policy(),
-            route: choice.route(),
-            access: choice.access(),
-            regions: choice.regions(),
+            policy: targets.policy(),
+            route: targets.route(),
+            access: targets.access(),
+            regions: targets.regions(),
         })
     }
 
-    /// Returns what the backend servers of a service bear while they are cold, where that is less.
+    /// Returns the reduced rate of a service's backend servers during a cold start, if configured.
     #[must_use]
     pub fn cold_start(&self, service: &ServiceName) -> Option<ColdStart> {
         self.routes.cold_start(service)
     }
 
-    /// Returns the client accounts; none where the configuration asks for no keys.
+    /// Returns the client accounts, empty if the configuration requires no API keys.
     #[must_use]
     pub fn accounts(&self) -> &Accounts {
         self.routes.accounts()
     }
 
-    /// Returns what callers may send, where the configuration says so.
+    /// Returns the limits on callers' requests, if configured.
     #[must_use]
     pub fn requests(&self) -> Option<RequestLimits> {
         self.routes.requests()
--- a/crates/swiftcart-core/src/view/entry.rs
+++ b/crates/swiftcart-core/src/view/entry.rs
@@ -1,4 +1,4 @@
-//! One service of a view: its limits and the backend servers that take its work.
+//! Service of a view: its limits and its backend servers.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
     RegionTag, ServiceName,
 };
 
-/// Tells failure domains apart where their names are too long to be copied about.
+/// Hash of a failure domain's name, which is cheaper to copy than the name.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DomainTag(u64);
 
 impl DomainTag {
-    /// Returns the tag of a failure domain, the same in each process of one release.
+    /// Returns the tag of a failure domain. All processes of one release compute the same tag.
     ///
     /// # Examples
     ///
@@ -32,49 +32,49 @@
     }
 }
 
-/// Names a backend server that may be given a request, by the node beside it.
+/// Backend server that can receive a request, identified by the node beside it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Candidate {
-    /// The node beside the backend server.
+    /// Node beside the backend server.
     pub id: NodeId,
-    /// Where that node takes requests for it.
+    /// Address at which that node accepts requests for the backend server.
     pub peer: SocketAddr,
-    /// Requests that the backend server says it runs at once.
+    /// Number of concurrent requests that the backend server announces.
     pub slots: u32,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub domain: DomainTag,
-    /// Its region.
+    /// Region of the backend server.
     pub region: RegionTag,
-    /// How far it is from the view's node.
+    /// Distance from the view's node.
     pub distance: Distance,
-    /// How long its calls take, as its node has told all others.
+    /// Pace of its calls, as its node reports it to the other nodes.
     pub pace: Option<Pace>,
 }
 
 impl Candidate {
-    /// Tells whether it is in the failure domain of the view's node.
+    /// Returns `true` if the backend server is in the failure domain of the view's node.
     #[must_use]
     pub fn in_same_domain(&self) -> bool {
         self.distance == Distance::SameDomain
     }
 }
 
-/// Holds what a node knows of one service: its limits and its backend servers.
+/// Limits and backend servers of one service, as known to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceEntry {
     name: ServiceName,
     limits: Limits,
-    /// Those that take work: the own failure domain first, other regions last, each part in id order.
+    /// Ready backend servers, sorted by distance, then by id.
     ready: Vec<Candidate>,
-    near: usize,
-    /// Those of the own region, the own failure domain included.
-    regional: usize,
-    /// Those that are tried, the own failure domain first.
+    near_count: usize,
+    /// Number of ready backend servers in the node's region, including its failure domain.
+    regional_count: usize,
+    /// Backend servers whose release is on trial, sorted by distance, then by id.
     tried: Vec<Candidate>,
-    /// Those that are known and take no work yet.
+    /// Nodes whose backend servers are still warming up.
     warming: Vec<NodeId>,
     own: Option<Candidate>,
-    known: usize,
+    known_count: usize,
 }
 
 impl ServiceEntry {
@@ -83,12 +83,12 @@
             name,
             limits,
             ready: Vec::new(),
-            near: 0,
-            regional: 0,
+            near_count: 0,
+            regional_count: 0,
             tried: Vec::new(),
             warming: Vec::new(),
             own: None,
-            known: 0,
+            known_count: 0,
         }
     }
 
@@ -104,52 +104,52 @@
         self.limits
     }
 
-    /// Returns the backend servers that take work.
+    /// Returns the ready backend servers.
     #[must_use]
     pub fn candidates(&self) -> &[Candidate] {
         &self.ready
     }
 
-    /// Returns the backend servers of the own failure domain that take work.
+    /// Returns the ready backend servers in the failure domain of the view's node.
     #[must_use]
     pub fn near(&self) -> &[Candidate] {
-        &self.ready[..self.near]
+        &self.ready[..self.near_count]
     }
 
-    /// Returns the backend servers of the region's other failure domains that take work.
+    /// Returns the ready backend servers in the region's other failure domains.
     #[must_use]
     pub fn far(&self) -> &[Candidate] {
-        &self.ready[self.near..self.regional]
+        &self.ready[self.near_count..self.regional_count]
     }
 
-    /// Returns the backend servers of other regions that take work.
+    /// Returns the ready backend servers in other regions.
     #[must_use]
     pub fn remote(&self) -> &[Candidate] {
-        &self.ready[self.regional..]
+        &self.ready[self.regional_count..]
     }
 
-    /// Returns the backend servers whose release is on trial, those of the own failure domain first.
+    /// Returns the backend servers whose release is on trial (canaries), the nearest first.
     #[must_use]
     pub fn tried(&self) -> &[Candidate] {
         &self.tried
     }
 
-    /// Returns the nodes whose backend servers take no work yet.
+    /// Returns the nodes whose backend servers are warming up and accept no requests yet.
     #[must_use]
     pub fn warming(&self) -> &[NodeId] {
         &self.warming
     }
 
-    /// Returns the node's own backend server when it is of this service and takes work.
+    /// Returns the node's own backend server if it belongs to this service and is ready.
     #[must_use]
     pub const fn own(&self) -> Option<&Candidate> {
         self.own.as_ref()
     }
 
-    /// Returns why no candidate is there, or `None` when one is.
+    /// Returns the reason why no backend server is ready, or `None` if at least one is.
     #[must_use]
     pub const fn unavailable_reason(&self) -> Option<Reason> {
-        match (self.ready.len(), self.known) {
+        match (self.ready.len(), self.known_count) {
             (0, 0) => Some(Reason::NoBackend),
             (0, _) => Some(Reason::NotReady),
             _ => None,
@@ -161,9 +161,9 @@
         member: &Member,
         backend: &Backend,
         me: NodeId,
-        place: Locality<'_>,
+        locality: Locality<'_>,
     ) {
-        self.known += 1;
+        self.known_count += 1;
         match backend.readiness {
             Readiness::Ready | Readiness::OnTrial => {}
             Readiness::Warming => return self.warming.push(member.id),
@@ -174,8 +174,8 @@
             peer: member.peer,
             slots: backend.slots,
             domain: DomainTag::new(&member.domain),
-            region: place.region(&member.domain),
-            distance: place.distance(&member.domain),
+            region: locality.region(&member.domain),
+            distance: locality.distance(&member.domain),
             pace: member.pace,
         };
         if backend.readiness == Readiness::OnTrial {
@@ -184,12 +184,12 @@
         if member.id == me {
             self.own = Some(candidate);
         }
-        self.near += usize::from(candidate.in_same_domain());
-        self.regional += usize::from(candidate.distance != Distance::OtherRegion);
+        self.near_count += usize::from(candidate.in_same_domain());
+        self.regional_count += usize::from(candidate.distance != Distance::OtherRegion);
         self.ready.push(candidate);
     }
 
-    pub(super) fn order(&mut self) {
+    pub(super) fn sort_by_distance(&mut self) {
         self.ready.sort_unstable_by_key(|c| (c.distance, c.id));
         self.tried.sort_unstable_by_key(|c| (c.distance, c.id));
     }
--- a/crates/swiftcart-core/src/view/key.rs
+++ b/crates/swiftcart-core/src/view/key.rs
@@ -1,10 +1,11 @@
-//! The name of a route that stays the same from version to version.
+//! Route key that is stable across configuration versions.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Names a route by a hash of its prefix, inside one process.
+/// Hash of a route's prefix, valid within one process.
 ///
-/// What is learned of a route is kept under it, over all versions that have the route.
+/// Statistics of a route are stored under this key. They are kept across all configuration
+/// versions that contain the route.
 ///
 /// # Examples
 ///
@@ -18,7 +19,7 @@
 pub struct RouteKey(u64);
 
 impl RouteKey {
-    /// Creates the name of the route with this prefix.
+    /// Creates the key of the route with this prefix.
     #[must_use]
     pub fn new(prefix: &str) -> Self {
         let mut hasher = DefaultHasher::new();
@@ -26,7 +27,7 @@
         Self(hasher.finish())
     }
 
-    /// Returns the hash.
+    /// Returns the hash as a number.
     pub(crate) const fn number(self) -> u64 {
         self.0
     }
--- a/crates/swiftcart-core/src/view/locality.rs
+++ b/crates/swiftcart-core/src/view/locality.rs
@@ -1,4 +1,4 @@
-//! Where a node is, and which other failure domains are in its region.
+//! Location of a node among failure domains and regions.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,35 @@
 
 use crate::{FailureDomain, RegionTag};
 
-/// Names a region, which holds failure domains, for example `dunantul`.
+/// Name of a region, which groups failure domains, for example `dunantul`.
 #[derive(Debug, Default, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Region(pub String);
 
 impl Region {
-    /// Creates a region's name.
+    /// Creates a region with this name.
     #[must_use]
     pub fn new(name: impl Into<String>) -> Self {
         Self(name.into())
     }
 }
 
-/// Names the region of each failure domain; those that it lacks are in the region of the node.
+/// Region of each failure domain. Failure domains without an entry count as in the node's region.
 pub type Regions = BTreeMap<FailureDomain, Region>;
 
-/// Tells how far something is from a node.
+/// Distance between a node and a failure domain.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// In its failure domain.
+    /// The node's own failure domain.
     #[default]
     SameDomain,
-    /// In another failure domain of its region.
+    /// Another failure domain of the node's region.
     SameRegion,
-    /// In another region.
+    /// A failure domain of another region.
     OtherRegion,
 }
 
-/// The place of a node among failure domains and regions.
+/// Location of a node among failure domains and regions.
 ///
 /// # Examples
 ///
@@ -57,7 +57,7 @@
 }
 
 impl<'a> Locality<'a> {
-    /// Creates the place of a node in `domain`, where there is one region only.
+    /// Creates the location of a node in `domain`, with a single region.
     #[must_use]
     pub const fn new(domain: &'a FailureDomain) -> Self {
         Self {
@@ -66,17 +66,20 @@
         }
     }
 
-    /// Sets which failure domains are in which region.
+    /// Sets the region of each failure domain.
     #[must_use]
     pub const fn with_regions(mut self, regions: &'a Regions) -> Self {
         self.regions = Some(regions);
         self
     }
 
-    /// Returns how far a failure domain is.
+    /// Returns the distance from the node to a failure domain.
     #[must_use]
     pub fn distance(&self, domain: &FailureDomain) -> Distance {
-        match (self.named(self.domain), self.named(domain)) {
+        match (
+            self.configured_region(self.domain),
+            self.configured_region(domain),
+        ) {
             _ if domain == self.domain => Distance::SameDomain,
             (Some(here), Some(there)) if here != there => Distance::OtherRegion,
             _ => Distance::SameRegion,
@@ -85,15 +88,20 @@
 }
 
 impl<'a> Locality<'a> {
-    /// Returns the tag of a failure domain's region; one that is not named is the node's own, and where that
-    /// is not named either, no request with homes may be sent there.
+    /// Returns the tag of a failure domain's region.
+    ///
+    /// A failure domain without a region counts as in the node's region. If the node has no
+    /// region either, the default tag is returned, and requests that are restricted to home
+    /// regions must not be sent there.
     #[must_use]
     pub fn region(&self, domain: &FailureDomain) -> RegionTag {
-        let region = self.named(domain).or_else(|| self.named(self.domain));
+        let region = self
+            .configured_region(domain)
+            .or_else(|| self.configured_region(self.domain));
         region.map_or_else(RegionTag::default, RegionTag::new)
     }
 
-    fn named(&self, domain: &FailureDomain) -> Option<&'a Region> {
+    fn configured_region(&self, domain: &FailureDomain) -> Option<&'a Region> {
         self.regions.and_then(|regions| regions.get(domain))
     }
 }
--- a/crates/swiftcart-core/src/view/routes.rs
+++ b/crates/swiftcart-core/src/view/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of one version, whoever the members are.
+//! Routes of one configuration version, independent of the member list.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
     Snapshot, Table, Version,
 };
 
-/// Holds the services and routes of one version, ready for lookups.
+/// Services and routes of one configuration version, indexed for lookups.
 ///
-/// They change with the version only; views of changing members share them.
+/// Routes change only with the version, so views of different member lists share them.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Routes {
     version: Version,
-    /// The services in name order.
+    /// Services, sorted by name.
     services: Vec<(ServiceName, Limits)>,
-    /// The routes of any host.
-    root: PrefixNode,
-    /// The routes of one host each.
+    /// Routes that apply to any host.
+    any_host: PrefixNode,
+    /// Routes that apply to one host, by host name.
     hosts: BTreeMap<Box<str>, PrefixNode>,
     requests: Option<RequestLimits>,
     accounts: Accounts,
@@ -26,13 +26,13 @@
 }
 
 impl Routes {
-    /// Creates the routes of `table`, which is of `version`.
+    /// Creates the routes of `table` with version `version`, without policies.
     #[must_use]
     pub fn new(version: Version, table: &Table) -> Self {
         Self::build(version, table, &Policies::new())
     }
 
-    /// Creates the routes of a version that came as a whole.
+    /// Creates the routes of a configuration snapshot.
     #[must_use]
     pub fn from_snapshot(snapshot: &Snapshot) -> Self {
         Self {
@@ -54,74 +54,78 @@
             ..Self::default()
         };
         for (prefix, name, weight) in table.routes() {
-            if let Some(service) = routes.place(name.as_str()) {
-                let choice = routes.choice(prefix);
-                choice.set_route(RouteKey::new(prefix));
-                choice.set_policy(policies.get(prefix).copied());
-                choice.set_access(table.access(prefix));
-                choice.set_regions(table.prefix_homes(prefix).map(AllowedRegions::from));
-                choice.add(service, weight);
+            if let Some(service) = routes.service_index(name.as_str()) {
+                let targets = routes.targets_mut(prefix);
+                targets.set_route(RouteKey::new(prefix));
+                targets.set_policy(policies.get(prefix).copied());
+                targets.set_access(table.access(prefix));
+                targets.set_regions(table.prefix_homes(prefix).map(AllowedRegions::from));
+                targets.add(service, weight);
             }
         }
         routes
     }
 
-    /// Returns the version.
+    /// Returns the configuration version.
     #[must_use]
     pub const fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns what callers may send, where the configuration says so.
+    /// Returns the limits on callers' requests, if configured.
     #[must_use]
     pub const fn requests(&self) -> Option<RequestLimits> {
         self.requests
     }
 
-    /// Returns the client accounts; none where the configuration asks for no keys.
+    /// Returns the client accounts, empty if the configuration requires no API keys.
     #[must_use]
     pub const fn accounts(&self) -> &Accounts {
         &self.accounts
     }
 
-    /// Returns what the backend servers of a service bear while they are cold, where that is less.
+    /// Returns the reduced rate of a service's backend servers during a cold start, if configured.
     #[must_use]
     pub fn cold_start(&self, service: &ServiceName) -> Option<ColdStart> {
         self.cold_starts.get(service).copied()
     }
 
-    /// Returns the services in name order with their limits.
+    /// Returns the services with their limits, sorted by name.
     pub(super) fn services(&self) -> &[(ServiceName, Limits)] {
         &self.services
     }
 
-    /// Returns the place of a service in name order.
-    pub(super) fn place(&self, name: &str) -> Option<usize> {
+    /// Returns the index of a service in the list sorted by name.
+    pub(super) fn service_index(&self, name: &str) -> Option<usize> {
         let found = self
             .services
             .binary_search_by(|(n, _)| n.as_str().cmp(name));
         found.ok()
     }
 
-    /// Returns the choice of the longest prefix; those of a host go before those of any.
+    /// Returns the targets of the longest matching prefix.
+    ///
+    /// Prefixes of the given host take precedence over prefixes of any host.
     pub(super) fn find(&self, host: Option<&str>, path: &str) -> Option<&WeightedTargets> {
-        let own = host.and_then(|host| self.hosts.get(without_port(host)));
-        let own = own.and_then(|segment| segment.find(path));
-        own.or_else(|| self.root.find(path))
+        let host_root = host.and_then(|host| self.hosts.get(without_port(host)));
+        let host_match = host_root.and_then(|root| root.find(path));
+        host_match.or_else(|| self.any_host.find(path))
     }
 
-    fn choice(&mut self, prefix: &str) -> &mut WeightedTargets {
+    fn targets_mut(&mut self, prefix: &str) -> &mut WeightedTargets {
         match split_host(prefix) {
             Some((host, path)) => {
-                let segment = self.hosts.entry(host.into()).or_default();
-                segment.insert(path, TrailingSlash::Required)
+                let root = self.hosts.entry(host.into()).or_default();
+                root.insert(path, TrailingSlash::Required)
             }
-            None => self.root.insert(prefix, TrailingSlash::Optional),
+            None => self.any_host.insert(prefix, TrailingSlash::Optional),
         }
     }
 }
 
 /// Splits a prefix of the form `//host/path` into host and path.
+///
+/// Returns `None` for a prefix of any host.
 fn split_host(prefix: &str) -> Option<(&str, &str)> {
     let rest = prefix.strip_prefix("//")?;
     let slash = rest.find('/').filter(|at| *at > 0)?;
--- a/crates/swiftcart/src/lib.rs
+++ b/crates/swiftcart/src/lib.rs
@@ -1,3 +1,3 @@
-//! Re-exports the coordination parts of swiftcart for programs that embed them.
+//! Re-exports of the coordination logic of swiftcart, for programs that embed it.
 
 pub use swiftcart_core::*;
