--- a/crates/swiftcart-core/tests/view.rs
+++ b/crates/swiftcart-core/tests/view.rs
@@ -1,4 +1,4 @@
-//! Routes lead to known services and backend servers only, by longest prefix and weight.
+//! Routing by longest prefix and weight to known services and ready backend servers.
 
 mod support;
 
@@ -31,22 +31,22 @@
 
 #[rstest]
 #[case::root("/", Ok("sensor"))]
-#[case::root_takes_any_path("/moisture/7", Ok("sensor"))]
-#[case::exact("/book", Ok("booking"))]
-#[case::below("/book/7", Ok("booking"))]
-#[case::with_query("/book?day=/book/crew", Ok("booking"))]
+#[case::root_prefix_matches_any_path("/moisture/7", Ok("sensor"))]
+#[case::exact_match("/book", Ok("booking"))]
+#[case::path_below_the_prefix("/book/7", Ok("booking"))]
+#[case::query_is_ignored("/book?day=/book/crew", Ok("booking"))]
 #[case::no_match_inside_a_segment("/booking", Ok("sensor"))]
-#[case::longest_wins("/book/crew/1", Ok("survey"))]
-#[case::trailing_slash_of_a_prefix_is_left_out("/book/crew", Ok("survey"))]
-#[case::empty_segment_is_a_segment("/book//crew", Ok("booking"))]
-#[case::weight_zero_gets_nothing("/off", Err(Reason::NoRoute))]
-#[case::no_backend_server("/empty", Err(Reason::NoBackend))]
-#[case::weight_zero_does_not_stand_in("/cold", Err(Reason::NoBackend))]
-#[case::unknown_service_is_no_target("/lost", Ok("sensor"))]
-#[case::service_without_backend_server_is_left_out("/mixed", Ok("booking"))]
-#[case::not_absolute("book", Ok("booking"))]
-#[case::empty("", Ok("sensor"))]
-fn a_path_leads_to(#[case] path: &str, #[case] expected: Result<&str, Reason>) {
+#[case::longest_prefix_wins("/book/crew/1", Ok("survey"))]
+#[case::trailing_slash_of_the_prefix_is_optional("/book/crew", Ok("survey"))]
+#[case::empty_segment_counts_as_a_segment("/book//crew", Ok("booking"))]
+#[case::route_with_only_weight_zero_gives_no_route("/off", Err(Reason::NoRoute))]
+#[case::service_without_backend_servers("/empty", Err(Reason::NoBackend))]
+#[case::service_with_weight_zero_is_no_fallback("/cold", Err(Reason::NoBackend))]
+#[case::route_to_an_unknown_service_is_ignored("/lost", Ok("sensor"))]
+#[case::service_without_backend_servers_is_skipped("/mixed", Ok("booking"))]
+#[case::path_without_leading_slash("book", Ok("booking"))]
+#[case::empty_path("", Ok("sensor"))]
+fn routes_by_longest_prefix_and_weight(#[case] path: &str, #[case] expected: Result<&str, Reason>) {
     let members = [
         member(1, "sensor", "norte"),
         member(2, "booking", "sur"),
@@ -61,16 +61,16 @@
 #[rstest]
 #[case::warming(Readiness::Warming)]
 #[case::draining(Readiness::Draining)]
-fn a_backend_server_takes_no_work_while(#[case] readiness: Readiness) {
-    let mut only = member(2, "report", "norte");
-    only.backend.as_mut().unwrap().readiness = readiness;
-    let view = view(&table(), &[only]);
+fn backend_server_receives_no_requests_while(#[case] readiness: Readiness) {
+    let mut not_ready = member(2, "report", "norte");
+    not_ready.backend.as_mut().unwrap().readiness = readiness;
+    let view = view(&table(), &[not_ready]);
     let mut rng = SmallRng::seed_from_u64(1);
     assert_eq!(view.route("/empty", &mut rng), Err(Reason::NotReady));
 }
 
 #[rstest]
-fn weights_share_the_requests() {
+fn requests_are_split_by_weight() {
     let table = Table::new()
         .with_service("a", Limits::default())
         .with_service("b", Limits::default())
@@ -78,13 +78,13 @@
         .with_route("/", "b", 1);
     let view = view(&table, &[member(2, "a", "sur"), member(3, "b", "sur")]);
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut to_a = || view.route("/", &mut rng).unwrap().name().as_str() == "a";
-    let share = (0..10_000).filter(|_| to_a()).count();
+    let mut chooses_a = || view.route("/", &mut rng).unwrap().name().as_str() == "a";
+    let share = (0..10_000).filter(|_| chooses_a()).count();
     assert!((7_300..7_700).contains(&share), "{share}");
 }
 
 #[rstest]
-fn the_own_failure_domain_comes_first() {
+fn candidates_are_grouped_by_distance_and_sorted_by_id() {
     let members = [3, 2, 1, 4].map(|n| member(n, "a", if n % 2 == 1 { "norte" } else { "sur" }));
     let view = view(&Table::new().with_service("a", Limits::default()), &members);
     let entry = view.service("a").unwrap();
@@ -94,8 +94,8 @@
     assert_eq!(entry.own().map(|c| c.id), Some(node(1)));
 }
 
-/// A service of the table, or one that it lacks.
-fn name() -> impl Strategy<Value = String> {
+/// Generates a service name, which the table may or may not contain.
+fn service_name() -> impl Strategy<Value = String> {
     "[a-e]"
 }
 
@@ -111,20 +111,20 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(500) })]
 
     #[test]
-    fn a_route_never_points_at_what_the_view_lacks(
-        services in prop::collection::btree_set(name(), 0..5),
-        routes in prop::collection::btree_map(("(/[a-b]?){0,3}", name()), 0..3_u32, 0..12),
-        hosts in prop::collection::btree_map(1..20_u16, (name(), readiness(), any::<bool>()), 0..12),
+    fn routes_lead_only_to_known_services_with_ready_backend_servers(
+        services in prop::collection::btree_set(service_name(), 0..5),
+        routes in prop::collection::btree_map(("(/[a-b]?){0,3}", service_name()), 0..3_u32, 0..12),
+        backends in prop::collection::btree_map(1..20_u16, (service_name(), readiness(), any::<bool>()), 0..12),
         paths in prop::collection::vec("(/[a-c]?){0,4}", 20),
     ) {
         let table = services.iter().fold(Table::new(), |t, s| t.with_service(s, Limits::default()));
         let table = routes.iter().fold(table, |t, ((p, s), w)| t.with_route(p, s, *w));
-        let members: Vec<_> = hosts.iter().map(|(n, (service, ready, near))| {
+        let members: Vec<_> = backends.iter().map(|(n, (service, ready, near))| {
             let mut member = member(*n, service, if *near { "norte" } else { "sur" });
             member.backend.as_mut().unwrap().readiness = *ready;
             member
         }).collect();
-        let ready: BTreeMap<NodeId, &String> = hosts.iter()
+        let ready: BTreeMap<NodeId, &String> = backends.iter()
             .filter(|(_, (_, ready, _))| *ready == Readiness::Ready)
             .map(|(n, (service, ..))| (node(*n), service))
             .collect();
@@ -138,9 +138,9 @@
             prop_assert!(!entry.candidates().is_empty());
         }
         for entry in view.services() {
-            let there: BTreeSet<_> = entry.candidates().iter().map(|c| c.id).collect();
+            let candidate_ids: BTreeSet<_> = entry.candidates().iter().map(|c| c.id).collect();
             let expected = ready.iter().filter(|(_, s)| **s == &entry.name().0);
-            prop_assert_eq!(there, expected.map(|(id, _)| *id).collect::<BTreeSet<_>>());
+            prop_assert_eq!(candidate_ids, expected.map(|(id, _)| *id).collect::<BTreeSet<_>>());
             prop_assert!(entry.candidates().iter().all(|c| view.has_candidate(c.id)));
         }
     }
--- a/crates/swiftcart-core/tests/view_hosts.rs
+++ b/crates/swiftcart-core/tests/view_hosts.rs
@@ -1,4 +1,4 @@
-//! Routes of hosts, and splits under a policy.
+//! Host-specific routes, and weighted splits on routes with a policy.
 
 mod support;
 
@@ -58,19 +58,19 @@
 }
 
 #[rstest]
-#[case::prefix_of_a_host(Some("a.example"), "/read/7", Ok("sensor"))]
-#[case::the_longest_one(Some("a.example"), "/read/crew/7", Ok("booking"))]
-#[case::port_is_left_out(Some("a.example:8080"), "/read/7", Ok("sensor"))]
-#[case::the_slash_is_needed(Some("a.example"), "/read/crew", Ok("sensor"))]
-#[case::without_its_slash_that_of_any_host(Some("a.example"), "/read", Ok("survey"))]
-#[case::nothing_inside_a_segment(Some("a.example"), "/reader/7", Err(Reason::NoRoute))]
-#[case::root_of_a_host(Some("b.example"), "/anything", Ok("survey"))]
-#[case::root_itself(Some("b.example"), "/", Ok("survey"))]
-#[case::another_host_takes_that_of_any(Some("c.example"), "/read/7", Ok("survey"))]
-#[case::no_host(None, "/read/7", Ok("survey"))]
+#[case::prefix_of_the_host(Some("a.example"), "/read/7", Ok("sensor"))]
+#[case::longest_prefix_of_the_host_wins(Some("a.example"), "/read/crew/7", Ok("booking"))]
+#[case::port_is_ignored(Some("a.example:8080"), "/read/7", Ok("sensor"))]
+#[case::trailing_slash_is_required(Some("a.example"), "/read/crew", Ok("sensor"))]
+#[case::falls_back_to_any_host_without_the_trailing_slash(Some("a.example"), "/read", Ok("survey"))]
+#[case::no_match_inside_a_segment(Some("a.example"), "/reader/7", Err(Reason::NoRoute))]
+#[case::root_prefix_of_the_host_matches_any_path(Some("b.example"), "/anything", Ok("survey"))]
+#[case::root_prefix_of_the_host_matches_the_root(Some("b.example"), "/", Ok("survey"))]
+#[case::other_host_uses_routes_of_any_host(Some("c.example"), "/read/7", Ok("survey"))]
+#[case::missing_host_uses_routes_of_any_host(None, "/read/7", Ok("survey"))]
 #[case::unknown_path(Some("a.example"), "/nowhere/7", Err(Reason::NoRoute))]
-#[case::query_is_left_aside(Some("a.example"), "/read/?x=/read/crew/", Ok("sensor"))]
-fn a_request_leads_to(
+#[case::query_is_ignored(Some("a.example"), "/read/?x=/read/crew/", Ok("sensor"))]
+fn routes_by_host_and_longest_prefix(
     #[case] host: Option<&str>,
     #[case] path: &str,
     #[case] expected: Result<&str, Reason>,
@@ -82,10 +82,10 @@
 }
 
 #[rstest]
-#[case::of_its_prefix("/read/7", Some(policy(1)))]
-#[case::of_the_longest_prefix("/read/crew/7", Some(policy(2)))]
-#[case::none_of_any_host("/read", None)]
-fn the_policy_is_that(#[case] path: &str, #[case] expected: Option<Policy>) {
+#[case::matching_prefix("/read/7", Some(policy(1)))]
+#[case::longest_matching_prefix("/read/crew/7", Some(policy(2)))]
+#[case::any_host_prefix_without_policy("/read", None)]
+fn returns_the_policy_of_the_route(#[case] path: &str, #[case] expected: Option<Policy>) {
     let view = view();
     let mut rng = SmallRng::seed_from_u64(1);
     let routed = view.find(Some("a.example"), path, &mut rng).unwrap();
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn a_split_with_a_policy_goes_by_weight_also_to_a_service_without_backend_servers() {
+fn split_with_a_policy_includes_services_without_backend_servers() {
     let view = view();
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut chosen = || {
+    let mut chooses_empty = || {
         let routed = view.find(Some("a.example"), "/split/7", &mut rng).unwrap();
         routed.entry.name().as_str() == "empty"
     };
-    let empty = (0..1000).filter(|_| chosen()).count();
+    let empty = (0..1000).filter(|_| chooses_empty()).count();
     assert!((350..450).contains(&empty), "{empty} of 1000");
 }
