--- a/crates/swiftcart-core/examples/call_cost/cost.rs
+++ b/crates/swiftcart-core/examples/call_cost/cost.rs
@@ -1,7 +1,7 @@
-//! The time of each decision on this machine.
+//! Time per decision, measured on the local instance.
 
 use std::hint::black_box;
-use std::time::{Duration, Instant as Wall};
+use std::time::{Duration, Instant as WallClock};
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -10,25 +10,25 @@
 
 use crate::fleet::{SLOTS, node, view};
 
-/// Operations in one round.
+/// Number of operations per round.
 const OPERATIONS: u32 = 100_000;
 
-/// Rounds of which the least and the median are printed.
+/// Number of rounds, of which the minimum and the median are printed.
 const ROUNDS: usize = 9;
 
-/// Sizes of the fleet: today's, and larger ones.
-const BACKENDS: [usize; 3] = [13, 100, 970];
+/// Numbers of backend servers: the current fleet size, and larger fleets.
+const BACKEND_COUNTS: [usize; 3] = [13, 100, 970];
 
-/// Prints one line for each decision and each size.
+/// Prints one line per decision and fleet size.
 pub fn print() {
-    for backends in BACKENDS {
+    for backends in BACKEND_COUNTS {
         let view = view(0, backends, backends.div_ceil(3));
         let mut rng = SmallRng::seed_from_u64(1);
-        print_one("route", backends, || {
+        print_decision("route", backends, || {
             black_box(view.route(black_box("/a/b/c/7?x=1"), &mut rng).is_ok());
         });
         let mut rng = SmallRng::seed_from_u64(1);
-        print_one("route_weighted", backends, || {
+        print_decision("route_weighted", backends, || {
             black_box(view.route(black_box("/a/7"), &mut rng).is_ok());
         });
         print_balance(backends, &view);
@@ -41,12 +41,12 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut balancer = Balancer::new(node(0), BalanceSettings::default());
     balancer.adopt(now, view);
-    // The own backend server is full, so that every pick compares two others.
+    // Fills the node's own backend server, so that every pick compares two other ones.
     (0..SLOTS).for_each(|_| balancer.started(node(0)));
     let Some(entry) = view.service("a") else {
         return;
     };
-    print_one("pick", backends, || {
+    print_decision("pick", backends, || {
         black_box(balancer.pick(now, entry, &[], &mut rng));
     });
     let load = Load {
@@ -56,7 +56,7 @@
     };
     let sample = Sample::new(Duration::from_millis(20), CallResult::Success).with_load(load);
     let mut at = 0;
-    print_one("pick_started_finished", backends, || {
+    print_decision("pick_started_finished", backends, || {
         at += 1;
         let now = Instant::new(Duration::from_micros(at));
         if let Some(pick) = balancer.pick(now, entry, &[], &mut rng) {
@@ -64,7 +64,7 @@
             balancer.finished(pick.id, now, &sample);
         }
     });
-    time("adopt", backends, OPERATIONS / 1000, || {
+    print_time("adopt", backends, OPERATIONS / 1000, || {
         balancer.adopt(now, view);
     });
 }
@@ -73,29 +73,29 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut now = Instant::from_millis(1);
     let mut guard = Admission::new(now, AdmissionSettings::default()).with_slots(SLOTS);
-    let due = Deadline::new(now, Duration::from_secs(3600));
+    let deadline = Deadline::new(now, Duration::from_secs(3600));
     let sample = Sample::new(Duration::from_millis(20), CallResult::Success);
-    print_one("offer_done", 1, || {
+    print_decision("offer_done", 1, || {
         now = now + Duration::from_micros(10);
-        if let Admit::Run(ticket) = guard.offer(now, due, &mut rng) {
+        if let Admit::Run(ticket) = guard.offer(now, deadline, &mut rng) {
             black_box(guard.done(ticket, now, &sample));
         }
     });
-    while !matches!(guard.offer(now, due, &mut rng), Admit::Refuse(_)) {}
-    print_one("offer_refused", 1, || {
+    while !matches!(guard.offer(now, deadline, &mut rng), Admit::Refuse(_)) {}
+    print_decision("offer_refused", 1, || {
         now = now + Duration::from_nanos(10);
-        black_box(guard.offer(now, due, &mut rng));
+        black_box(guard.offer(now, deadline, &mut rng));
     });
 }
 
-fn print_one(name: &str, backends: usize, operation: impl FnMut()) {
-    time(name, backends, OPERATIONS, operation);
+fn print_decision(name: &str, backends: usize, operation: impl FnMut()) {
+    print_time(name, backends, OPERATIONS, operation);
 }
 
-fn time(name: &str, backends: usize, operations: u32, mut operation: impl FnMut()) {
+fn print_time(name: &str, backends: usize, operations: u32, mut operation: impl FnMut()) {
     let mut rounds: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let start = Wall::now();
+            let start = WallClock::now();
             (0..operations).for_each(|_| operation());
             start.elapsed().as_secs_f64() * 1e9 / f64::from(operations)
         })
--- a/crates/swiftcart-core/examples/call_cost/fleet.rs
+++ b/crates/swiftcart-core/examples/call_cost/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes and backend servers of a run, and the faults among them.
+//! Simulated nodes and backend servers with their faults.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,66 +8,66 @@
 use rand::rngs::SmallRng;
 use swiftcart_core::*;
 
-use crate::run::Try;
+use crate::run::AttemptId;
 
-/// Slots that each backend server announces.
+/// Number of slots that each backend server announces.
 pub const SLOTS: u32 = 10;
 
-/// Nodes in each of the three failure domains.
-pub const PER_DOMAIN: usize = 4;
+/// Number of nodes in each of the three failure domains.
+pub const NODES_PER_DOMAIN: usize = 4;
 
-/// The mean time of a call at a healthy backend server, of which a quarter is fixed.
+/// Mean service time of a healthy backend server, in milliseconds. A quarter of it is fixed.
 const MEAN_MS: f64 = 20.0;
 
-/// How long a flapping backend server is up, then down.
-const FLAP: Duration = Duration::from_secs(1);
+/// Duration of each up phase and each down phase of a flapping backend server.
+const FLAP_PHASE: Duration = Duration::from_secs(1);
 
-/// What is wrong with a backend server.
+/// Fault of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// Every call takes five times as long.
     Slow,
-    /// It runs four calls at once; what it is given beyond waits inside.
-    Lying,
-    /// It refuses connections every other second.
+    /// The backend server runs only four calls at once and queues further calls internally.
+    OverstatedSlots,
+    /// The backend server refuses connections every other second.
     Flapping,
-    /// Its instance does not answer at all, and the members do not know yet.
+    /// The instance does not answer, and the failure is not detected by the membership yet.
     Dead,
 }
 
 impl Fault {
-    /// Returns the fault of backend server `i`; the third failure domain is dead.
+    /// Returns the fault of backend server `i`. All of the third failure domain is dead.
     pub fn of(i: usize) -> Self {
         match i {
             1 => Self::Slow,
-            2 => Self::Lying,
+            2 => Self::OverstatedSlots,
             5 => Self::Flapping,
-            i if i >= 2 * PER_DOMAIN => Self::Dead,
+            i if i >= 2 * NODES_PER_DOMAIN => Self::Dead,
             _ => Self::None,
         }
     }
 
-    /// Returns the calls that it can finish in a second.
+    /// Returns the number of calls per second that a backend server with this fault can complete.
     pub fn capacity(self) -> f64 {
         let healthy = f64::from(SLOTS) * 1000.0 / MEAN_MS;
         match self {
             Self::None => healthy,
             Self::Slow => healthy / 5.0,
-            Self::Lying => healthy * 0.4,
+            Self::OverstatedSlots => healthy * 0.4,
             Self::Flapping => healthy / 2.0,
             Self::Dead => 0.0,
         }
     }
 }
 
-/// One backend server: what it runs, and what waits inside it.
+/// Simulated backend server with its running calls and its internal queue.
 #[derive(Debug)]
 pub struct Server {
     pub fault: Fault,
     pub active: u32,
-    pub inside: VecDeque<Try>,
+    pub queue: VecDeque<AttemptId>,
 }
 
 impl Server {
@@ -75,25 +75,25 @@
         Self {
             fault,
             active: 0,
-            inside: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 
-    /// Tells whether it accepts a connection.
+    /// Returns `true` if the backend server accepts a connection at `now`.
     pub fn is_up(&self, now: Instant) -> bool {
-        let phase = now.elapsed().as_millis() / FLAP.as_millis();
+        let phase = now.elapsed().as_millis() / FLAP_PHASE.as_millis();
         self.fault != Fault::Flapping || phase.is_multiple_of(2)
     }
 
-    /// Returns the calls that it really runs at once.
-    pub fn parallel(&self) -> u32 {
+    /// Returns the number of calls that the backend server actually runs at once.
+    pub fn concurrency(&self) -> u32 {
         match self.fault {
-            Fault::Lying => SLOTS * 2 / 5,
+            Fault::OverstatedSlots => SLOTS * 2 / 5,
             _ => SLOTS,
         }
     }
 
-    /// Draws the time of one call.
+    /// Returns a random service time for one call.
     pub fn service_time(&self, rng: &mut SmallRng) -> Duration {
         let ms = 0.25 * MEAN_MS + exponential(0.75 * MEAN_MS, rng);
         let factor = if self.fault == Fault::Slow { 5.0 } else { 1.0 };
@@ -101,37 +101,40 @@
     }
 }
 
-/// Returns the capacity that the faults leave, in calls a second.
+/// Returns the total capacity that remains under the faults, in calls per second.
 pub fn capacity() -> f64 {
-    (0..3 * PER_DOMAIN).map(|i| Fault::of(i).capacity()).sum()
+    (0..3 * NODES_PER_DOMAIN)
+        .map(|i| Fault::of(i).capacity())
+        .sum()
 }
 
-/// Draws from an exponential distribution.
+/// Returns a random value from an exponential distribution.
 pub fn exponential(mean: f64, rng: &mut SmallRng) -> f64 {
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// Returns the time from one node to another.
-pub fn one_way(from: usize, to: usize) -> Duration {
+/// Returns the one-way network delay between two nodes.
+pub fn one_way_delay(from: usize, to: usize) -> Duration {
     match (from, to) {
         (a, b) if a == b => Duration::ZERO,
-        (a, b) if a / PER_DOMAIN == b / PER_DOMAIN => Duration::from_micros(250),
+        (a, b) if a / NODES_PER_DOMAIN == b / NODES_PER_DOMAIN => Duration::from_micros(250),
         _ => Duration::from_micros(1500),
     }
 }
 
-/// Names node `i`.
+/// Returns the id of node `i`.
 pub fn node(i: usize) -> NodeId {
     let port = 10_000 + u16::try_from(i).unwrap_or(u16::MAX);
     NodeId(SocketAddr::from(([127, 0, 0, 1], port)))
 }
 
-/// Returns the number of a node.
+/// Returns the index of a node.
 pub fn index(id: NodeId) -> usize {
     usize::from(id.0.port()) - 10_000
 }
 
-/// Builds the view of node `me` among `count` nodes of one service, `per_domain` in each domain.
+/// Creates the view of node `me` among `count` nodes of one service, with `per_domain` nodes in
+/// each failure domain.
 pub fn view(me: usize, count: usize, per_domain: usize) -> View {
     let domain = |i: usize| FailureDomain(format!("domain-{}", i / per_domain));
     let member = |i: usize| {
--- a/crates/swiftcart-core/examples/call_cost/main.rs
+++ b/crates/swiftcart-core/examples/call_cost/main.rs
@@ -1,7 +1,8 @@
-//! Measures the call policies: the time of each decision, and what they make of overload and faults.
+//! Benchmark of the call policies: time per decision, and goodput under overload and faults.
 //!
-//! Prints one JSON object a line. `cost` lines hold nanoseconds on this machine; `run`
-//! lines come from virtual time with a fixed seed and are the same on every machine.
+//! Prints one JSON object per line. `cost` lines hold nanoseconds measured on the local
+//! instance. `run` lines come from a simulation in virtual time with a fixed seed, so they are
+//! the same on every instance.
 //!
 //! `cargo run --release -p swiftcart-core --example call_cost [cost|compare|tune]`
 
@@ -13,23 +14,27 @@
 
 use policy::Policy;
 
-/// Offered load as a share of the capacity that the faults leave.
-const LOADS: &[f64] = &[0.5, 1.0, 2.0, 5.0];
+/// Offered loads, relative to the capacity that remains under the faults.
+const COMPARE_LOADS: &[f64] = &[0.5, 1.0, 2.0, 5.0];
 
-/// The loads at which settings are weighed: just full, and overload.
+/// Offered loads for the comparison of settings: near capacity, and overload.
 const TUNE_LOADS: &[f64] = &[0.8, 2.0];
 
 fn main() {
     let part = std::env::args().nth(1);
-    let wants = |name: &str| part.as_deref().is_none_or(|part| part == name);
-    if wants("cost") {
+    let is_selected = |name: &str| part.as_deref().is_none_or(|part| part == name);
+    if is_selected("cost") {
         cost::print();
     }
-    if wants("compare") {
-        Policy::compared().iter().for_each(|p| measure(p, LOADS));
+    if is_selected("compare") {
+        Policy::baselines()
+            .iter()
+            .for_each(|p| measure(p, COMPARE_LOADS));
     }
-    if wants("tune") {
-        Policy::tuned().iter().for_each(|p| measure(p, TUNE_LOADS));
+    if is_selected("tune") {
+        Policy::tuning_variants()
+            .iter()
+            .for_each(|p| measure(p, TUNE_LOADS));
     }
 }
 
--- a/crates/swiftcart-core/examples/call_cost/policy.rs
+++ b/crates/swiftcart-core/examples/call_cost/policy.rs
@@ -1,42 +1,42 @@
-//! The policies that are compared: what the product does, baselines, and settings weighed.
+//! Compared policies: the product's policies, baselines, and variants of the settings.
 
 use std::time::Duration;
 
 use swiftcart_core::{AdmissionSettings, BalanceSettings, LimitRule, QueueOrder};
 
-/// The age at which the product counts a reported load 1/e.
-const AGE: Duration = Duration::from_millis(500);
+/// Age at which the product's weight of a reported load has decayed to 1/e.
+const LOAD_DECAY: Duration = Duration::from_millis(500);
 
-/// How an ingress tries again.
+/// Retry policy of an ingress.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Retries {
-    /// Never.
+pub enum RetryMode {
+    /// No retries.
     Never,
-    /// As the product does.
+    /// Retries within the product's retry budget.
     Budget,
-    /// Up to three tries of 300 ms each, whatever it costs.
+    /// Up to three attempts of 300 ms each, without a retry budget.
     Unbounded,
 }
 
-/// One set of policies.
+/// Combination of balancing, admission and retry settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
     pub name: &'static str,
-    /// `None` is round robin over all.
+    /// Balancing settings. `None` selects round robin over all backend servers.
     pub balance: Option<BalanceSettings>,
-    /// `None` hands everything over at once.
+    /// Admission control settings. `None` passes every call to the backend server at once.
     pub admission: Option<AdmissionSettings>,
-    pub retries: Retries,
+    pub retries: RetryMode,
 }
 
 impl Policy {
-    /// The product's policies.
+    /// Returns the product's policies.
     fn product() -> Self {
         Self {
             name: "product",
             balance: Some(BalanceSettings::default()),
             admission: Some(AdmissionSettings::default()),
-            retries: Retries::Budget,
+            retries: RetryMode::Budget,
         }
     }
 
@@ -62,20 +62,20 @@
         }
     }
 
-    /// The product and the baselines.
-    pub fn compared() -> Vec<Self> {
+    /// Returns the product's policies and the baselines.
+    pub fn baselines() -> Vec<Self> {
         let product = Self::product();
         let round_robin = Self {
             name: "round-robin",
             balance: None,
             admission: None,
-            retries: Retries::Never,
+            retries: RetryMode::Never,
         };
         vec![
             product,
             Self {
                 name: "round-robin-unbounded-retries",
-                retries: Retries::Unbounded,
+                retries: RetryMode::Unbounded,
                 ..round_robin
             },
             round_robin,
@@ -91,14 +91,14 @@
             },
             Self {
                 name: "product-unbounded-retries",
-                retries: Retries::Unbounded,
+                retries: RetryMode::Unbounded,
                 ..product
             },
         ]
     }
 
-    /// The settings that were weighed against the product's.
-    pub fn tuned() -> Vec<Self> {
+    /// Returns the product's policies and variants with one or two changed settings.
+    pub fn tuning_variants() -> Vec<Self> {
         let product = Self::product();
         vec![
             product,
@@ -129,10 +129,10 @@
                 .with_balance(|b| b.load_weight = 4.0)
                 .named("load-cost-4"),
             product
-                .with_balance(|b| b.load_decay = AGE / 5)
+                .with_balance(|b| b.load_decay = LOAD_DECAY / 5)
                 .named("load-age-100ms"),
             product
-                .with_balance(|b| b.load_decay = AGE * 4)
+                .with_balance(|b| b.load_decay = LOAD_DECAY * 4)
                 .named("load-age-2s"),
             product
                 .with_balance(|b| b.failure_threshold = 2)
--- a/crates/swiftcart-core/examples/call_cost/run.rs
+++ b/crates/swiftcart-core/examples/call_cost/run.rs
@@ -1,7 +1,7 @@
-//! One run in virtual time: an event queue over balancers, admissions and backend servers.
+//! Discrete-event simulation of balancers, admission control and backend servers.
 //!
-//! Calls that nobody waits for any more are not cancelled at the backend servers, so
-//! wasted work costs every policy the same.
+//! Abandoned calls are not cancelled at the backend servers, so wasted work costs every policy
+//! the same.
 
 mod guard;
 mod ingress;
@@ -14,82 +14,86 @@
 use rand::rngs::SmallRng;
 use swiftcart_core::*;
 
-use crate::fleet::{Fault, PER_DOMAIN, SLOTS, Server, capacity, exponential, node, view};
+use crate::fleet::{Fault, NODES_PER_DOMAIN, SLOTS, Server, capacity, exponential, node, view};
 use crate::policy::Policy;
 use crate::report::Report;
 
-const NODES: usize = 3 * PER_DOMAIN;
-const WARM_UP: Instant = Instant::from_millis(5_000);
+/// Number of nodes in the three failure domains.
+const NODES: usize = 3 * NODES_PER_DOMAIN;
+/// End of the warm-up. Calls that arrive earlier are not measured.
+const WARM_UP_END: Instant = Instant::from_millis(5_000);
+/// End of the simulation.
 const END: Instant = Instant::from_millis(25_000);
 const SEED: u64 = 20_261_202;
 
-/// Names one try of one call.
+/// Identifier of one attempt of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Try {
+pub struct AttemptId {
     call: usize,
-    round: u32,
+    number: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    AtGuard(Try, usize),
-    Served(Try, usize),
-    Answer(Try, Answer, Option<Load3>),
-    Wake(usize),
-    TimedOut(Try),
+    AtGuard(AttemptId, usize),
+    Served(AttemptId, usize),
+    Response(AttemptId, Reply, Option<LoadTuple>),
+    CheckExpiry(usize),
+    TimedOut(AttemptId),
 }
 
-/// A load in an order that events can have.
-type Load3 = (u32, u32, u32);
+/// Load as a tuple of running, queued and limit, which is ordered as events must be.
+type LoadTuple = (u32, u32, u32);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Answer {
-    Whole,
+enum Reply {
+    Complete,
     Failed(Reason),
     Refused(Reason),
 }
 
-/// One call of a caller, at its ingress.
+/// Call of a caller at its ingress.
 #[derive(Debug)]
 struct Call {
     arrived: Instant,
     due: Deadline,
     ingress: usize,
-    tries: RetryState,
+    retry_state: RetryState,
     tried: Vec<NodeId>,
-    /// Counts the tries sent; the answer of an earlier one is late.
-    round: u32,
-    sent: Instant,
-    open: bool,
+    /// Number of attempts sent. Responses to earlier attempts are ignored.
+    number: u32,
+    sent_at: Instant,
+    is_open: bool,
 }
 
 struct Ingress {
     view: View,
     balancer: Balancer,
     budget: RetryBudget,
-    turn: usize,
+    /// Round-robin position among the backend servers.
+    position: usize,
 }
 
 struct Guard {
     admission: Option<Admission>,
-    waiting: HashMap<Ticket, Try>,
-    running: HashMap<Try, Job>,
+    queued: HashMap<Ticket, AttemptId>,
+    running: HashMap<AttemptId, Job>,
     server: Server,
-    /// When it will look for requests that waited too long.
-    alarm: Option<Instant>,
+    /// Time of the next scheduled check for expired requests.
+    next_check: Option<Instant>,
 }
 
-/// A try that was handed over to a backend server.
+/// Attempt that was passed to a backend server.
 #[derive(Debug, Clone, Copy)]
 struct Job {
     ticket: Option<Ticket>,
-    begun: Instant,
-    /// Whether the backend server refused the connection.
+    started_at: Instant,
+    /// `true` if the backend server refused the connection.
     refused: bool,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     policy: &'a Policy,
     now: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
@@ -98,29 +102,32 @@
     calls: Vec<Call>,
     ingresses: Vec<Ingress>,
     guards: Vec<Guard>,
-    /// The mean time between two arrivals in seconds.
-    gap: f64,
+    /// Mean time between two arrivals, in seconds.
+    mean_interarrival: f64,
     report: Report,
 }
 
-/// Runs `policy` at `load` times the capacity.
+/// Simulates `policy` at `load` times the capacity, and returns the measurements.
 pub fn run(policy: &Policy, load: f64) -> Report {
-    let mut world = World::new(policy, load);
-    world.at(world.now, Event::Arrive);
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
+    let mut simulation = Simulation::new(policy, load);
+    simulation.schedule(simulation.now, Event::Arrive);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
         if at > END {
             break;
         }
-        world.now = at;
-        world.step(event);
+        simulation.now = at;
+        simulation.step(event);
     }
-    let lying = world.guards.iter().find(|g| g.server.fault == Fault::Lying);
-    let lying = lying.and_then(|g| g.admission.as_ref());
-    world.report.lying_limit = lying.map_or(0, Admission::limit);
-    world.report.finish()
+    let overstating = simulation
+        .guards
+        .iter()
+        .find(|g| g.server.fault == Fault::OverstatedSlots);
+    let overstating = overstating.and_then(|g| g.admission.as_ref());
+    simulation.report.overstated_limit = overstating.map_or(0, Admission::limit);
+    simulation.report.finish()
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(policy: &'a Policy, load: f64) -> Self {
         let start = Instant::default();
         Self {
@@ -132,16 +139,16 @@
             calls: Vec::new(),
             ingresses: (0..NODES).map(|i| Ingress::new(i, start, policy)).collect(),
             guards: (0..NODES).map(|i| Guard::new(i, start, policy)).collect(),
-            gap: 1.0 / (capacity() * load),
+            mean_interarrival: 1.0 / (capacity() * load),
             report: Report {
                 load,
-                seconds: END.since(WARM_UP).as_secs_f64(),
+                seconds: END.since(WARM_UP_END).as_secs_f64(),
                 ..Report::default()
             },
         }
     }
 
-    fn at(&mut self, at: Instant, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at, self.sequence, event)));
     }
@@ -149,27 +156,28 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrive => {
-                let gap = Duration::from_secs_f64(exponential(self.gap, &mut self.rng));
-                self.at(self.now + gap, Event::Arrive);
-                self.arrive();
+                let interarrival =
+                    Duration::from_secs_f64(exponential(self.mean_interarrival, &mut self.rng));
+                self.schedule(self.now + interarrival, Event::Arrive);
+                self.on_arrival();
             }
-            Event::AtGuard(one, guard) => self.at_guard(one, guard),
-            Event::Served(one, guard) => self.served(one, guard),
-            Event::Answer(one, answer, load) => self.answered(one, answer, load),
-            Event::Wake(guard) => self.wake(guard),
-            Event::TimedOut(one) => self.timed_out(one),
+            Event::AtGuard(attempt, guard) => self.on_guard_arrival(attempt, guard),
+            Event::Served(attempt, guard) => self.on_served(attempt, guard),
+            Event::Response(attempt, reply, load) => self.on_response(attempt, reply, load),
+            Event::CheckExpiry(guard) => self.expire(guard),
+            Event::TimedOut(attempt) => self.on_timeout(attempt),
         }
     }
 
-    /// Tells whether a call counts, by its arrival.
-    fn counts(&self, call: &Call) -> bool {
-        call.arrived >= WARM_UP
+    /// Returns `true` if the call arrived after the warm-up.
+    fn is_measured(&self, call: &Call) -> bool {
+        call.arrived >= WARM_UP_END
     }
 }
 
 impl Ingress {
     fn new(i: usize, now: Instant, policy: &Policy) -> Self {
-        let view = view(i, NODES, PER_DOMAIN);
+        let view = view(i, NODES, NODES_PER_DOMAIN);
         let settings = policy.balance.unwrap_or_default();
         let mut balancer = Balancer::new(node(i), settings);
         balancer.adopt(now, &view);
@@ -177,7 +185,7 @@
             view,
             balancer,
             budget: RetryBudget::new(now, RetrySettings::default()),
-            turn: i,
+            position: i,
         }
     }
 }
@@ -189,10 +197,10 @@
             .map(|s| Admission::new(now, s).with_slots(SLOTS));
         Self {
             admission,
-            waiting: HashMap::new(),
+            queued: HashMap::new(),
             running: HashMap::new(),
             server: Server::new(Fault::of(i)),
-            alarm: None,
+            next_check: None,
         }
     }
 }
--- a/crates/swiftcart-core/examples/call_cost/run/guard.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/guard.rs
@@ -1,135 +1,138 @@
-//! The part of a run at the guards and backend servers.
+//! Simulation of guards and backend servers.
 
 use std::time::Duration;
 
 use swiftcart_core::*;
 
-use super::{Answer, Event, Guard, Job, Load3, Try, World};
-use crate::fleet::one_way;
+use super::{AttemptId, Event, Guard, Job, LoadTuple, Reply, Simulation};
+use crate::fleet::one_way_delay;
 
-/// The time after which a refused connection is known.
-const REFUSED: Duration = Duration::from_millis(1);
+/// Time until a refused connection is detected.
+const CONNECTION_REFUSED_DELAY: Duration = Duration::from_millis(1);
 
-impl World<'_> {
-    pub(super) fn at_guard(&mut self, one: Try, guard: usize) {
-        let due = self.calls[one.call].due.less(HOP_ALLOWANCE);
+impl Simulation<'_> {
+    pub(super) fn on_guard_arrival(&mut self, attempt: AttemptId, guard: usize) {
+        let deadline = self.calls[attempt.call].due.less(HOP_ALLOWANCE);
         let state = &mut self.guards[guard];
         let Some(admission) = &mut state.admission else {
-            return self.hand_over(one, None, guard);
+            return self.pass_to_backend(attempt, None, guard);
         };
-        match admission.offer(self.now, due, &mut self.rng) {
-            Admit::Run(ticket) => self.hand_over(one, Some(ticket), guard),
+        match admission.offer(self.now, deadline, &mut self.rng) {
+            Admit::Run(ticket) => self.pass_to_backend(attempt, Some(ticket), guard),
             Admit::Queue(ticket) => {
-                state.waiting.insert(ticket, one);
-                self.set_alarm(guard);
+                state.queued.insert(ticket, attempt);
+                self.schedule_check(guard);
             }
-            Admit::Refuse(refusal) => self.reply(one, guard, Answer::Refused(refusal.reason)),
+            Admit::Refuse(refusal) => self.reply(attempt, guard, Reply::Refused(refusal.reason)),
         }
     }
 
-    /// Refuses what has waited too long.
-    pub(super) fn wake(&mut self, guard: usize) {
+    /// Refuses the requests that have exceeded their time in the queue.
+    pub(super) fn expire(&mut self, guard: usize) {
         let state = &mut self.guards[guard];
-        state.alarm = None;
+        state.next_check = None;
         let Some(admission) = &mut state.admission else {
             return;
         };
         let refused = admission.expire(self.now, &mut self.rng);
-        for one in refused {
-            if let Some(waiting) = self.guards[guard].waiting.remove(&one.ticket) {
-                self.reply(waiting, guard, Answer::Refused(one.refusal.reason));
+        for expired in refused {
+            if let Some(attempt) = self.guards[guard].queued.remove(&expired.ticket) {
+                self.reply(attempt, guard, Reply::Refused(expired.refusal.reason));
             }
         }
-        self.set_alarm(guard);
+        self.schedule_check(guard);
     }
 
-    fn set_alarm(&mut self, guard: usize) {
+    fn schedule_check(&mut self, guard: usize) {
         let state = &mut self.guards[guard];
         let next = state.admission.as_ref().and_then(Admission::next_expiry_at);
-        match (next, state.alarm) {
-            (Some(at), alarm) if alarm.is_none_or(|alarm| at < alarm) => {
-                state.alarm = Some(at);
-                self.at(at, Event::Wake(guard));
+        match (next, state.next_check) {
+            (Some(at), next_check) if next_check.is_none_or(|check| at < check) => {
+                state.next_check = Some(at);
+                self.schedule(at, Event::CheckExpiry(guard));
             }
             _ => {}
         }
     }
 
-    fn hand_over(&mut self, one: Try, ticket: Option<Ticket>, guard: usize) {
+    fn pass_to_backend(&mut self, attempt: AttemptId, ticket: Option<Ticket>, guard: usize) {
         let now = self.now;
         let state = &mut self.guards[guard];
         let refused = !state.server.is_up(now);
         let job = Job {
             ticket,
-            begun: now,
+            started_at: now,
             refused,
         };
-        state.running.insert(one, job);
+        state.running.insert(attempt, job);
         if refused {
-            self.at(now + REFUSED, Event::Served(one, guard));
-        } else if state.server.active < state.server.parallel() {
-            self.serve(one, guard);
+            self.schedule(
+                now + CONNECTION_REFUSED_DELAY,
+                Event::Served(attempt, guard),
+            );
+        } else if state.server.active < state.server.concurrency() {
+            self.serve(attempt, guard);
         } else {
-            state.server.inside.push_back(one);
+            state.server.queue.push_back(attempt);
         }
     }
 
-    fn serve(&mut self, one: Try, guard: usize) {
+    fn serve(&mut self, attempt: AttemptId, guard: usize) {
         let server = &mut self.guards[guard].server;
         server.active += 1;
         let time = server.service_time(&mut self.rng);
-        self.at(self.now + time, Event::Served(one, guard));
+        self.schedule(self.now + time, Event::Served(attempt, guard));
     }
 
-    /// A backend server has finished a call, or did not take its connection.
-    pub(super) fn served(&mut self, one: Try, guard: usize) {
+    /// Handles a call that completed, or a connection that the backend server refused.
+    pub(super) fn on_served(&mut self, attempt: AttemptId, guard: usize) {
         let state = &mut self.guards[guard];
-        let Some(job) = state.running.remove(&one) else {
+        let Some(job) = state.running.remove(&attempt) else {
             return;
         };
-        let took = self.now.since(job.begun);
-        let answer = match job.refused {
-            true => Answer::Failed(Reason::ConnectFailed),
-            false => Answer::Whole,
+        let took = self.now.since(job.started_at);
+        let reply = match job.refused {
+            true => Reply::Failed(Reason::ConnectFailed),
+            false => Reply::Complete,
         };
         if !job.refused {
             state.server.active -= 1;
-            if let Some(next) = state.server.inside.pop_front() {
+            if let Some(next) = state.server.queue.pop_front() {
                 self.serve(next, guard);
             }
         }
-        let started = self.guards[guard].done(job, self.now, took, answer);
-        self.reply(one, guard, answer);
+        let started = self.guards[guard].done(job, self.now, took, reply);
+        self.reply(attempt, guard, reply);
         for ticket in started {
-            if let Some(next) = self.guards[guard].waiting.remove(&ticket) {
-                self.hand_over(next, Some(ticket), guard);
+            if let Some(next) = self.guards[guard].queued.remove(&ticket) {
+                self.pass_to_backend(next, Some(ticket), guard);
             }
         }
     }
 
-    fn reply(&mut self, one: Try, guard: usize, answer: Answer) {
-        let ingress = self.calls[one.call].ingress;
+    fn reply(&mut self, attempt: AttemptId, guard: usize, reply: Reply) {
+        let ingress = self.calls[attempt.call].ingress;
         let load = self.guards[guard].load();
-        let at = self.now + one_way(guard, ingress);
-        self.at(at, Event::Answer(one, answer, load));
+        let at = self.now + one_way_delay(guard, ingress);
+        self.schedule(at, Event::Response(attempt, reply, load));
     }
 }
 
 impl Guard {
-    fn done(&mut self, job: Job, now: Instant, took: Duration, answer: Answer) -> Vec<Ticket> {
-        let result = match answer {
-            Answer::Whole => CallResult::Success,
-            Answer::Failed(_) | Answer::Refused(_) => CallResult::Failure,
+    fn done(&mut self, job: Job, now: Instant, took: Duration, reply: Reply) -> Vec<Ticket> {
+        let call_result = match reply {
+            Reply::Complete => CallResult::Success,
+            Reply::Failed(_) | Reply::Refused(_) => CallResult::Failure,
         };
         match (&mut self.admission, job.ticket) {
             (Some(admission), Some(ticket)) => {
-                admission.done(ticket, now, &Sample::new(took, result))
+                admission.done(ticket, now, &Sample::new(took, call_result))
             }
             _ => Vec::new(),
         }
     }
 
-    fn load(&self) -> Option<Load3> {
+    fn load(&self) -> Option<LoadTuple> {
         let load = self.admission.as_ref()?.load();
         Some((load.running, load.queued, load.limit))
     }
--- a/crates/swiftcart-core/examples/call_cost/run/ingress.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/ingress.rs
@@ -1,71 +1,74 @@
-//! The part of a run at the ingress nodes: choice, retries, answers.
+//! Simulation of ingress nodes: balancing, retries and responses.
 
 use std::time::Duration;
 
 use rand::Rng;
 use swiftcart_core::*;
 
-use super::{Answer, Call, Event, Load3, Try, World};
-use crate::fleet::{Fault, PER_DOMAIN, index, one_way};
-use crate::policy::Retries;
+use super::{AttemptId, Call, Event, LoadTuple, Reply, Simulation};
+use crate::fleet::{Fault, NODES_PER_DOMAIN, index, one_way_delay};
+use crate::policy::RetryMode;
 
-/// The time that a caller gives its call.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time until the deadline of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time of one try where retries are unbounded.
-const TRY_PATIENCE: Duration = Duration::from_millis(300);
+/// Timeout of one attempt with unbounded retries.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time after which a connection to a dead instance is given up.
-const CONNECT: Duration = Duration::from_millis(200);
+/// Timeout of a connection to a dead instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-impl World<'_> {
-    /// A caller's request reaches one of the live nodes.
-    pub(super) fn arrive(&mut self) {
-        let ingress = self.rng.random_range(0..2 * PER_DOMAIN);
+impl Simulation<'_> {
+    /// Handles a new call at a random live node.
+    pub(super) fn on_arrival(&mut self) {
+        let ingress = self.rng.random_range(0..2 * NODES_PER_DOMAIN);
         self.calls.push(Call {
             arrived: self.now,
-            due: Deadline::new(self.now, PATIENCE),
+            due: Deadline::new(self.now, CALL_TIMEOUT),
             ingress,
-            tries: RetryState::new(Attempt::FIRST),
+            retry_state: RetryState::new(Attempt::FIRST),
             tried: Vec::new(),
-            round: 0,
-            sent: self.now,
-            open: true,
+            number: 0,
+            sent_at: self.now,
+            is_open: true,
         });
         let call = self.calls.len() - 1;
-        self.report.offered += u64::from(self.counts(&self.calls[call]));
+        self.report.offered += u64::from(self.is_measured(&self.calls[call]));
         self.ingresses[ingress].budget.first();
         if !self.send(call) {
             self.refuse(call, Reason::NoBackend);
         }
     }
 
-    /// Sends a try of `call`; returns whether there was a backend server for it.
+    /// Sends an attempt of `call`, and returns `true` if a backend server was available.
     fn send(&mut self, call: usize) -> bool {
         let Some(target) = self.choose(call) else {
             return false;
         };
         let now = self.now;
         let state = &mut self.calls[call];
-        state.round += 1;
-        state.sent = now;
+        state.number += 1;
+        state.sent_at = now;
         state.tried.push(target);
-        let round = state.round;
+        let number = state.number;
         let (ingress, due) = (state.ingress, state.due);
-        let one = Try { call, round };
+        let attempt = AttemptId { call, number };
         self.ingresses[ingress].balancer.started(target);
         let limit = match self.policy.retries {
-            Retries::Unbounded => due.within(now, TRY_PATIENCE),
-            Retries::Never | Retries::Budget => due,
+            RetryMode::Unbounded => due.within(now, ATTEMPT_TIMEOUT),
+            RetryMode::Never | RetryMode::Budget => due,
         };
-        self.at(limit.at(), Event::TimedOut(one));
+        self.schedule(limit.at(), Event::TimedOut(attempt));
         let guard = index(target);
         match Fault::of(guard) {
             Fault::Dead => {
-                let answer = Answer::Failed(Reason::PeerUnreachable);
-                self.at(now + CONNECT, Event::Answer(one, answer, None));
+                let reply = Reply::Failed(Reason::PeerUnreachable);
+                self.schedule(now + CONNECT_TIMEOUT, Event::Response(attempt, reply, None));
             }
-            _ => self.at(now + one_way(ingress, guard), Event::AtGuard(one, guard)),
+            _ => self.schedule(
+                now + one_way_delay(ingress, guard),
+                Event::AtGuard(attempt, guard),
+            ),
         }
         true
     }
@@ -75,46 +78,51 @@
         let node = &mut self.ingresses[*ingress];
         let entry = node.view.service("a")?;
         if self.policy.balance.is_none() {
-            node.turn += 1;
+            node.position += 1;
             let all = entry.candidates();
-            return Some(all[node.turn % all.len()].id);
+            return Some(all[node.position % all.len()].id);
         }
         let pick = node.balancer.pick(self.now, entry, tried, &mut self.rng);
         pick.map(|p| p.id)
     }
 
-    pub(super) fn answered(&mut self, one: Try, answer: Answer, load: Option<Load3>) {
-        if !self.is_current(one) {
+    pub(super) fn on_response(
+        &mut self,
+        attempt: AttemptId,
+        reply: Reply,
+        load: Option<LoadTuple>,
+    ) {
+        if !self.is_current(attempt) {
             return;
         }
-        let result = match answer {
-            Answer::Whole => CallResult::Success,
-            Answer::Failed(_) => CallResult::Failure,
-            Answer::Refused(_) => CallResult::Refused,
+        let call_result = match reply {
+            Reply::Complete => CallResult::Success,
+            Reply::Failed(_) => CallResult::Failure,
+            Reply::Refused(_) => CallResult::Refused,
         };
-        self.learn(one.call, result, load);
-        match answer {
-            Answer::Whole => self.complete(one.call),
-            Answer::Failed(reason) | Answer::Refused(reason) => self.retry(one.call, reason),
+        self.record_sample(attempt.call, call_result, load);
+        match reply {
+            Reply::Complete => self.complete(attempt.call),
+            Reply::Failed(reason) | Reply::Refused(reason) => self.retry(attempt.call, reason),
         }
     }
 
-    pub(super) fn timed_out(&mut self, one: Try) {
-        if !self.is_current(one) {
+    pub(super) fn on_timeout(&mut self, attempt: AttemptId) {
+        if !self.is_current(attempt) {
             return;
         }
-        self.learn(one.call, CallResult::Failure, None);
-        self.retry(one.call, Reason::Timeout);
+        self.record_sample(attempt.call, CallResult::Failure, None);
+        self.retry(attempt.call, Reason::Timeout);
     }
 
-    fn is_current(&self, one: Try) -> bool {
-        let call = &self.calls[one.call];
-        call.open && call.round == one.round
+    fn is_current(&self, attempt: AttemptId) -> bool {
+        let call = &self.calls[attempt.call];
+        call.is_open && call.number == attempt.number
     }
 
-    fn learn(&mut self, call: usize, result: CallResult, load: Option<Load3>) {
+    fn record_sample(&mut self, call: usize, result: CallResult, load: Option<LoadTuple>) {
         let call = &self.calls[call];
-        let mut sample = Sample::new(self.now.since(call.sent), result);
+        let mut sample = Sample::new(self.now.since(call.sent_at), result);
         sample.load = load.map(|(running, queued, limit)| Load {
             running,
             queued,
@@ -133,19 +141,19 @@
             retried: false,
         };
         let allowed = match self.policy.retries {
-            Retries::Never => Err(reason),
-            Retries::Budget => {
+            RetryMode::Never => Err(reason),
+            RetryMode::Budget => {
                 let budget = &mut self.ingresses[state.ingress].budget;
                 state
-                    .tries
+                    .retry_state
                     .retry(self.now, failure, true, state.due, budget)
             }
-            Retries::Unbounded if state.round < u32::from(MAX_ATTEMPTS) => Ok(Attempt(1)),
-            Retries::Unbounded => Err(reason),
+            RetryMode::Unbounded if state.number < u32::from(MAX_ATTEMPTS) => Ok(Attempt(1)),
+            RetryMode::Unbounded => Err(reason),
         };
         let late = state.due.misses(self.now, Duration::ZERO);
         if allowed.is_ok() && !late && self.send(call) {
-            self.report.retries += u64::from(self.counts(&self.calls[call]));
+            self.report.retries += u64::from(self.is_measured(&self.calls[call]));
         } else {
             self.refuse(call, reason);
         }
@@ -153,18 +161,18 @@
 
     fn complete(&mut self, call: usize) {
         let state = &mut self.calls[call];
-        state.open = false;
+        state.is_open = false;
         let latency = self.now.since(state.arrived);
-        if self.counts(&self.calls[call]) {
+        if self.is_measured(&self.calls[call]) {
             self.report.latencies.push(latency);
         }
     }
 
     fn refuse(&mut self, call: usize, reason: Reason) {
         let state = &mut self.calls[call];
-        state.open = false;
+        state.is_open = false;
         let took = self.now.since(state.arrived);
-        if !self.counts(&self.calls[call]) {
+        if !self.is_measured(&self.calls[call]) {
             return;
         }
         if reason == Reason::Timeout {
