--- a/crates/swiftcart-core/examples/call_cost/run/guard.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/guard.rs
@@ -12,7 +12,7 @@
 
 impl World<'_> {
     pub(super) fn at_guard(&mut self, one: Try, guard: usize) {
-        let due = self.calls[one.call].due.less(HOP_ALLOWANCE);
+        let due = self.calls[one.call].due.minus(HOP_ALLOWANCE);
         let state = &mut self.guards[guard];
         let Some(admission) = &mut state.admission else {
             return self.hand_over(one, None, guard);
--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -440,7 +440,7 @@
     fn wait<R: Rng + ?Sized>(&mut self, now: Instant, bid: Bid, rng: &mut R) -> Ticket {
         self.make_room(now, self.urgency(now, &bid), rng);
         let ticket = self.ticket();
-        let latest = bid.due.less(self.times.quickest()).at();
+        let latest = bid.due.minus(self.times.quickest()).at();
         let patience = now + self.patience(&bid);
         let reason = match patience < latest {
             true => Reason::Overloaded,
--- a/crates/swiftcart-core/src/crash.rs
+++ b/crates/swiftcart-core/src/crash.rs
@@ -1,14 +1,14 @@
 //! Requests that end the backend servers that run them: which ones they are, and who knows of it.
 
-mod ends;
+mod detector;
 mod finding;
 mod fingerprint;
-mod memo;
+mod history;
 mod quarantine;
-mod watch;
+mod record;
 
+pub use detector::*;
 pub use finding::*;
 pub use fingerprint::*;
-pub use memo::*;
 pub use quarantine::*;
-pub use watch::*;
+pub use record::*;
--- a/crates/swiftcart-core/src/crash/watch.rs
+++ b/crates/swiftcart-core/src/crash/detector.rs
@@ -44,17 +44,17 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{CrashId, Instant, Watch};
+/// use swiftcart_core::{CrashId, Instant, CrashDetector};
 ///
 /// let now = Instant::from_millis(0);
-/// let mut watch = Watch::default();
+/// let mut watch = CrashDetector::default();
 /// let (first, _second) = (watch.start(now, "first"), watch.start(now, "second"));
-/// assert_eq!(watch.broke(now, first), None);
-/// let crash = watch.gone(now, CrashId(7)).expect("two requests under way");
+/// assert_eq!(watch.answer_lost(now, first), None);
+/// let crash = watch.connect_refused(now, CrashId(7)).expect("two requests under way");
 /// assert_eq!(crash.runs, ["first", "second"]);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Watch<T> {
+pub struct CrashDetector<T> {
     next: u64,
     running: BTreeMap<RunId, Run<T>>,
     broken: VecDeque<Broken<T>>,
@@ -83,7 +83,7 @@
     Ended { id: CrashId, at: Instant },
 }
 
-impl<T> Default for Watch<T> {
+impl<T> Default for CrashDetector<T> {
     fn default() -> Self {
         Self {
             next: 0,
@@ -94,7 +94,7 @@
     }
 }
 
-impl<T> Watch<T> {
+impl<T> CrashDetector<T> {
     /// Notes that the backend server is given a request.
     pub fn start(&mut self, now: Instant, what: T) -> RunId {
         let id = RunId(self.next);
@@ -120,7 +120,7 @@
 
     /// Notes that no whole answer came, and returns the crash where the backend server is known
     /// to have ended.
-    pub fn broke(&mut self, now: Instant, run: RunId) -> Option<Crash<T>> {
+    pub fn answer_lost(&mut self, now: Instant, run: RunId) -> Option<Crash<T>> {
         let Run { what, .. } = self.running.remove(&run)?;
         match self.state {
             State::Ended { id, .. } => Some(Crash {
@@ -140,7 +140,7 @@
     /// That alone may be a moment's want of room: it shows a crash where an answer broke off
     /// before. What is under way is at an end then as well, though its connections may not have
     /// said so yet.
-    pub fn gone(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
+    pub fn connect_refused(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
         if self.state != State::Living || self.broken.is_empty() {
             return None;
         }
@@ -152,7 +152,7 @@
 
     /// Notes that a later process has taken the backend server's place, and returns the crash that
     /// this shows, named `id`. What is still under way may get its answer yet.
-    pub fn succeeded(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
+    pub fn replaced(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
         if self.state != State::Living {
             return None;
         }
--- a/crates/swiftcart-core/src/crash/fingerprint.rs
+++ b/crates/swiftcart-core/src/crash/fingerprint.rs
@@ -25,14 +25,14 @@
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct HeadPrint(pub u64);
+pub struct HeadHash(pub u64);
 
 /// Stands for the body of a request; 0 for none.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct BodyPrint(pub u64);
+pub struct BodyHash(pub u64);
 
 /// Stands for a request, whichever service it comes from.
 ///
@@ -42,22 +42,22 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{BodyPrint, HeadFields, HeadPrint, RequestPrint};
+/// use swiftcart_core::{BodyHash, HeadFields, HeadHash, RequestDigest};
 ///
 /// let fields = HeadFields { method: b"GET", target: b"/pump/7", ..HeadFields::default() };
-/// let head = HeadPrint::new(&fields);
-/// let print = RequestPrint { head, body: BodyPrint::new([]) };
-/// assert_eq!(print.body, BodyPrint::default());
-/// assert_ne!(head, HeadPrint::new(&HeadFields { method: b"HEAD", ..fields }));
+/// let head = HeadHash::new(&fields);
+/// let print = RequestDigest { head, body: BodyHash::new([]) };
+/// assert_eq!(print.body, BodyHash::default());
+/// assert_ne!(head, HeadHash::new(&HeadFields { method: b"HEAD", ..fields }));
 /// ```
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct RequestPrint {
+pub struct RequestDigest {
     /// The head's.
-    pub head: HeadPrint,
+    pub head: HeadHash,
     /// The body's.
-    pub body: BodyPrint,
+    pub body: BodyHash,
 }
 
 /// Stands for the service that a request comes from.
@@ -65,7 +65,7 @@
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct CallerPrint(pub u16);
+pub struct CallerHash(pub u16);
 
 /// Stands for a request of a service: the same for every time that it is sent.
 ///
@@ -75,12 +75,12 @@
 )]
 pub struct Fingerprint {
     /// The request.
-    pub request: RequestPrint,
+    pub request: RequestDigest,
     /// Where it comes from.
-    pub caller: CallerPrint,
+    pub caller: CallerHash,
 }
 
-impl HeadPrint {
+impl HeadHash {
     /// Returns what stands for `fields`.
     #[must_use]
     pub fn new(fields: &HeadFields<'_>) -> Self {
@@ -95,7 +95,7 @@
     }
 }
 
-impl CallerPrint {
+impl CallerHash {
     /// Returns what stands for a service; a mesh has some dozens of them.
     #[must_use]
     pub fn new(service: &[u8]) -> Self {
@@ -105,7 +105,7 @@
     }
 }
 
-impl BodyPrint {
+impl BodyHash {
     /// Returns what stands for the body that `chunks` make up, however it was cut.
     #[must_use]
     pub fn new<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Self {
@@ -128,24 +128,24 @@
     u64::from_le_bytes(bytes)
 }
 
-impl fmt::Display for HeadPrint {
+impl fmt::Display for HeadHash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl fmt::Display for RequestPrint {
+impl fmt::Display for RequestDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.body {
-            BodyPrint(0) => self.head.fmt(f),
-            BodyPrint(body) => write!(f, "{}-{body:016x}", self.head),
+            BodyHash(0) => self.head.fmt(f),
+            BodyHash(body) => write!(f, "{}-{body:016x}", self.head),
         }
     }
 }
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let CallerPrint(caller) = self.caller;
+        let CallerHash(caller) = self.caller;
         write!(f, "{}@{caller:04x}", self.request)
     }
 }
--- a/crates/swiftcart-core/src/crash/ends.rs
+++ b/crates/swiftcart-core/src/crash/history.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{CallerPrint, CrashId, Fingerprint, HeadPrint, RequestPrint};
+use super::{CallerHash, CrashId, Fingerprint, HeadHash, RequestDigest};
 use crate::Instant;
 
 /// The most ends that are remembered, some ten of the largest service at once; the oldest goes first.
@@ -52,7 +52,7 @@
 
 /// The ends at which one request was running, and the services that it came from.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Suspect(BTreeMap<CrashId, BTreeSet<CallerPrint>>);
+pub(super) struct Suspect(BTreeMap<CrashId, BTreeSet<CallerHash>>);
 
 impl Suspect {
     /// Returns the number of ends.
@@ -61,12 +61,12 @@
     }
 
     /// Returns the ends, each with the services that it came from then.
-    pub fn ends(&self) -> impl Iterator<Item = (&CrashId, &BTreeSet<CallerPrint>)> {
+    pub fn ends(&self) -> impl Iterator<Item = (&CrashId, &BTreeSet<CallerHash>)> {
         self.0.iter()
     }
 
     /// Returns the services that it came from.
-    pub fn callers(&self) -> BTreeSet<CallerPrint> {
+    pub fn callers(&self) -> BTreeSet<CallerHash> {
         self.0.values().flatten().copied().collect()
     }
 }
@@ -75,7 +75,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Ends {
     ends: BTreeMap<CrashId, End>,
-    suspects: BTreeMap<RequestPrint, Suspect>,
+    suspects: BTreeMap<RequestDigest, Suspect>,
 }
 
 impl Ends {
@@ -96,19 +96,19 @@
         self.ends.get(&id)
     }
 
-    pub fn suspect(&self, request: RequestPrint) -> Option<&Suspect> {
+    pub fn suspect(&self, request: RequestDigest) -> Option<&Suspect> {
         self.suspects.get(&request)
     }
 
-    pub fn suspects(&self) -> impl Iterator<Item = (&RequestPrint, &Suspect)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (&RequestDigest, &Suspect)> {
         self.suspects.iter()
     }
 
     /// Tells whether some request with this head is a suspect.
-    pub fn has_head(&self, head: HeadPrint) -> bool {
-        let first = RequestPrint {
+    pub fn has_head(&self, head: HeadHash) -> bool {
+        let first = RequestDigest {
             head,
-            ..RequestPrint::default()
+            ..RequestDigest::default()
         };
         let mut from = self.suspects.range(first..);
         from.next().is_some_and(|(request, _)| request.head == head)
@@ -158,7 +158,7 @@
     }
 
     /// Removes a request of all services from all ends.
-    pub fn forget_request(&mut self, request: RequestPrint) {
+    pub fn forget_request(&mut self, request: RequestDigest) {
         let callers = self.suspects.get(&request).map(Suspect::callers);
         for caller in callers.unwrap_or_default() {
             self.forget(Fingerprint { request, caller });
--- a/crates/swiftcart-core/src/crash/quarantine.rs
+++ b/crates/swiftcart-core/src/crash/quarantine.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::ends::{End, Ends, Past, Suspect};
-use super::{CallerPrint, CrashId, Finding, Findings, Fingerprint, HeadPrint, Memo, RequestPrint};
+use super::history::{End, Ends, Past, Suspect};
+use super::{
+    CallerHash, CrashId, Finding, Findings, Fingerprint, HeadHash, QuarantineRecord, RequestDigest,
+};
 use crate::Instant;
 
 /// The ends after which a request is held, if it alone was there each time.
@@ -45,7 +47,7 @@
 
 /// What a node passes on in one round.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Due {
+pub struct DueFindings {
     /// Whether the node has found some of it itself, so that other failure domains hear it from it.
     pub own: bool,
     /// The findings.
@@ -99,7 +101,7 @@
 
     /// Tells whether a request with this head may be a suspect.
     #[must_use]
-    pub fn suspects(&self, head: HeadPrint) -> bool {
+    pub fn has_suspect(&self, head: HeadHash) -> bool {
         self.ends.has_head(head)
     }
 
@@ -116,7 +118,7 @@
     /// Returns every request that is held back, for some service at least, and for how long from
     /// now on.
     #[must_use]
-    pub fn all_held(&self, now: Instant) -> BTreeMap<RequestPrint, Duration> {
+    pub fn all_held(&self, now: Instant) -> BTreeMap<RequestDigest, Duration> {
         let suspects = self.ends.suspects();
         let held = suspects.filter_map(|(request, s)| Some((*request, self.left(now, s)?)));
         held.collect()
@@ -124,7 +126,12 @@
 
     /// Returns what has to last of a held request, where this node has seen one of its ends itself.
     #[must_use]
-    pub fn memo(&self, now: Instant, unix_ms: u64, request: RequestPrint) -> Option<Memo> {
+    pub fn record(
+        &self,
+        now: Instant,
+        unix_ms: u64,
+        request: RequestDigest,
+    ) -> Option<QuarantineRecord> {
         let suspect = self.ends.suspect(request)?;
         let left = self.left(now, suspect)?;
         let mut own = false;
@@ -132,7 +139,7 @@
         for (id, callers) in suspect.ends() {
             let at = self.ends.get(*id)?.at;
             own |= at.is_own();
-            let with = |caller: &CallerPrint| Fingerprint {
+            let with = |caller: &CallerHash| Fingerprint {
                 request,
                 caller: *caller,
             };
@@ -140,7 +147,7 @@
             ends.extend(Finding::crashed(*id, at.age(now), &prints));
         }
         let kept = u64::try_from((left + SUSPECTED).as_millis()).unwrap_or(u64::MAX);
-        own.then_some(Memo {
+        own.then_some(QuarantineRecord {
             request,
             written_ms: unix_ms,
             until_ms: unix_ms.saturating_add(kept),
@@ -150,14 +157,14 @@
 
     /// Returns at how many ends a request was running, whichever service it came from.
     #[must_use]
-    pub fn ends(&self, request: RequestPrint) -> usize {
+    pub fn crash_count(&self, request: RequestDigest) -> usize {
         self.ends.suspect(request).map_or(0, Suspect::len)
     }
 
     /// Tells whether a request that has ended a backend server just now would do so again. Who ran
     /// beside another one at each of its ends would not.
     #[must_use]
-    pub fn ends_another(&self, request: RequestPrint) -> bool {
+    pub fn would_crash_again(&self, request: RequestDigest) -> bool {
         let suspect = self.ends.suspect(request);
         let own = suspect.map(|suspect| self.ends.own(suspect));
         own.is_some_and(|own| match own.len() {
@@ -180,7 +187,7 @@
     }
 
     /// Takes in what another node has found.
-    pub fn hear(&mut self, now: Instant, findings: &[Finding]) {
+    pub fn merge(&mut self, now: Instant, findings: &[Finding]) {
         for finding in findings {
             let at = Past::heard(now, finding.age());
             match finding {
@@ -191,8 +198,8 @@
     }
 
     /// Returns what is to be passed on in this round.
-    pub fn round(&mut self, now: Instant) -> Due {
-        let mut due = Due::default();
+    pub fn due_findings(&mut self, now: Instant) -> DueFindings {
+        let mut due = DueFindings::default();
         for (id, end) in self.ends.due() {
             end.rounds -= 1;
             due.own |= end.at.is_own();
@@ -221,7 +228,7 @@
     pub fn digest(&self) -> u64 {
         let ends = self.ends.iter().map(|(id, _)| id.0);
         let cleared = self.cleared.keys().map(|print| {
-            let RequestPrint { head, body } = print.request;
+            let RequestDigest { head, body } = print.request;
             (head.0 ^ body.0).rotate_left(1) ^ u64::from(print.caller.0)
         });
         ends.chain(cleared).fold(0, |digest, one| digest ^ one)
@@ -229,7 +236,7 @@
 
     /// Returns what a node says that compares itself with another one.
     #[must_use]
-    pub fn word(&self) -> Findings {
+    pub fn summary(&self) -> Findings {
         Findings {
             digest: self.digest(),
             ..Findings::default()
@@ -238,28 +245,28 @@
 
     /// Returns the question for everything that the receiver knows.
     #[must_use]
-    pub fn ask(&self) -> Findings {
+    pub fn full_sync(&self) -> Findings {
         Findings {
             asks: true,
-            ..self.word()
+            ..self.summary()
         }
     }
 
     /// Returns that question where `findings` show that the sender knows something else.
     #[must_use]
-    pub fn question(&self, findings: &Findings) -> Option<Findings> {
+    pub fn sync_request(&self, findings: &Findings) -> Option<Findings> {
         let compares = findings.list.is_empty() && !findings.asks;
-        (compares && self.digest() != findings.digest).then(|| self.ask())
+        (compares && self.digest() != findings.digest).then(|| self.full_sync())
     }
 
     /// Forgets what is over.
     pub fn sweep(&mut self, now: Instant) {
         self.cleared.retain(|_, c| c.at.age(now) < CLEARED);
-        let over = |(request, suspect): (&RequestPrint, &Suspect)| {
+        let over = |(request, suspect): (&RequestDigest, &Suspect)| {
             let kept = self.hold(suspect).unwrap_or_default() + SUSPECTED;
             (self.ends.youngest(now, suspect) >= kept).then_some(*request)
         };
-        let over: Vec<RequestPrint> = self.ends.suspects().filter_map(over).collect();
+        let over: Vec<RequestDigest> = self.ends.suspects().filter_map(over).collect();
         for request in over {
             self.ends.forget_request(request);
         }
@@ -325,7 +332,7 @@
 
 /// Tells whether only one request was running at all these ends.
 fn is_alone(ends: &[&End]) -> bool {
-    let requests = |end: &&End| -> BTreeSet<RequestPrint> {
+    let requests = |end: &&End| -> BTreeSet<RequestDigest> {
         end.prints.iter().map(|print| print.request).collect()
     };
     let everywhere = ends.iter().map(requests).reduce(|all, here| &all & &here);
--- a/crates/swiftcart-core/src/crash/memo.rs
+++ b/crates/swiftcart-core/src/crash/record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Finding, RequestPrint};
+use super::{Finding, RequestDigest};
 
 /// A held request and the ends that speak against it, with wall-clock times.
 ///
@@ -14,18 +14,18 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Memo, RequestPrint};
+/// use swiftcart_core::{QuarantineRecord, RequestDigest};
 ///
-/// let request = RequestPrint::default();
-/// let memo = Memo { request, written_ms: 1_000, until_ms: 61_000, ends: Vec::new() };
+/// let request = RequestDigest::default();
+/// let memo = QuarantineRecord { request, written_ms: 1_000, until_ms: 61_000, ends: Vec::new() };
 /// assert_eq!(memo.findings(2_000), Some(Vec::new()));
 /// assert_eq!(memo.findings(61_000), None);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Memo {
+pub struct QuarantineRecord {
     /// The request.
-    pub request: RequestPrint,
+    pub request: RequestDigest,
     /// When this was written, in Unix milliseconds; the ages of the ends are as of then.
     pub written_ms: u64,
     /// Until when it counts, in Unix milliseconds.
@@ -34,7 +34,7 @@
     pub ends: Vec<Finding>,
 }
 
-impl Memo {
+impl QuarantineRecord {
     /// Returns the ends with their ages as of `unix_ms`; `None` when the memo is over.
     #[must_use]
     pub fn findings(&self, unix_ms: u64) -> Option<Vec<Finding>> {
--- a/crates/swiftcart-core/src/deadline.rs
+++ b/crates/swiftcart-core/src/deadline.rs
@@ -36,7 +36,7 @@
 /// let now = Instant::from_millis(10_000);
 /// let due = Deadline::parse(now, "250", Duration::from_secs(60))?;
 /// assert_eq!(due.left(now), Duration::from_millis(250));
-/// assert_eq!(due.less(HOP_ALLOWANCE).left_ms(now), Some(245));
+/// assert_eq!(due.minus(HOP_ALLOWANCE).left_ms(now), Some(245));
 /// # Ok::<(), swiftcart_core::DeadlineError>(())
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -73,7 +73,7 @@
 
     /// Brings the deadline forward by the time that this level keeps for itself.
     #[must_use]
-    pub const fn less(self, allowance: Duration) -> Self {
+    pub const fn minus(self, allowance: Duration) -> Self {
         Self(Instant::new(self.0.elapsed().saturating_sub(allowance)))
     }
 
--- a/crates/swiftcart-core/src/notice.rs
+++ b/crates/swiftcart-core/src/notice.rs
@@ -1,13 +1,13 @@
 //! What backend servers say of themselves in the heads of their answers: the rate that they take, and
 //! that they leave.
 
-mod belief;
+mod cache;
 mod rate;
-mod told;
+mod tracker;
 
-pub use belief::*;
+pub use cache::*;
 pub use rate::*;
-pub use told::*;
+pub use tracker::*;
 
 /// Holds what one answer says of the backend server that gave it.
 ///
--- a/crates/swiftcart-core/src/notice/told.rs
+++ b/crates/swiftcart-core/src/notice/cache.rs
@@ -68,19 +68,19 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{NodeId, Notice, ProcessNotice, ProcessTag, ToldNotices};
+/// use swiftcart_core::{NodeId, Notice, ProcessNotice, ProcessTag, NoticeCache};
 ///
 /// let guard = NodeId(([10, 0, 0, 1], 7000).into());
 /// let process = ProcessTag::new(b"i-1", None);
 /// let told = ProcessNotice { process, notice: Notice::default().with_leaving(true) };
-/// let mut notices = ToldNotices::default();
+/// let mut notices = NoticeCache::default();
 /// notices.note(guard, told);
 /// assert_eq!(notices.of(guard), Some(told));
 /// notices.note(guard, ProcessNotice { process, notice: Notice::default() });
 /// assert_eq!(notices.of(guard), None);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct ToldNotices {
+pub struct NoticeCache {
     by_guard: HashMap<NodeId, ProcessNotice>,
 }
 
@@ -99,7 +99,7 @@
     }
 }
 
-impl ToldNotices {
+impl NoticeCache {
     /// Takes what a guard told; nothing is kept of a backend server that has nothing to say any more.
     pub fn note(&mut self, guard: NodeId, told: ProcessNotice) {
         if told.notice == Notice::default() {
--- a/crates/swiftcart-core/src/notice/belief.rs
+++ b/crates/swiftcart-core/src/notice/tracker.rs
@@ -12,27 +12,27 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{Instant, Notice, NoticeBelief, ServerRate};
+/// use swiftcart_core::{Instant, Notice, NoticeTracker, ServerRate};
 ///
 /// let at = Instant::from_millis;
 /// let named = Notice::default().with_rate(ServerRate::new(20.0));
-/// let mut belief = NoticeBelief::default();
-/// assert!(belief.hear(at(50), at(0), named));
-/// assert!(!belief.hear(at(51), at(10), Notice::default()), "it was sent before the rate was named");
-/// assert!(belief.hear(at(90), at(60), Notice::default()));
+/// let mut belief = NoticeTracker::default();
+/// assert!(belief.observe(at(50), at(0), named));
+/// assert!(!belief.observe(at(51), at(10), Notice::default()), "it was sent before the rate was named");
+/// assert!(belief.observe(at(90), at(60), Notice::default()));
 /// assert_eq!(belief.now(), Notice::default());
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct NoticeBelief {
+pub struct NoticeTracker {
     now: Notice,
     /// When the rate was last confirmed; `None` before the first answer.
     confirmed: Option<Instant>,
 }
 
-impl NoticeBelief {
+impl NoticeTracker {
     /// Takes the notice of an answer to a request that was handed over at `sent`; returns whether the
     /// belief changed.
-    pub fn hear(&mut self, now: Instant, sent: Instant, said: Notice) -> bool {
+    pub fn observe(&mut self, now: Instant, sent: Instant, said: Notice) -> bool {
         let old = self.now;
         self.now.leaving |= said.leaving;
         let later = self.confirmed.is_none_or(|confirmed| sent > confirmed);
--- a/crates/swiftcart-core/src/returns.rs
+++ b/crates/swiftcart-core/src/returns.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::{HeadPrint, Instant};
+use crate::{HeadHash, Instant};
 
 /// How long a request that was refused is expected; callers come back within their deadlines.
 const EXPECTED_FOR: Duration = Duration::from_secs(10);
@@ -20,21 +20,21 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{HeadPrint, Instant, Returns};
+/// use swiftcart_core::{HeadHash, Instant, Returns};
 ///
 /// let at = Instant::from_millis;
 /// let mut returns = Returns::new();
-/// assert_eq!(returns.came(at(0), HeadPrint(7)), None);
-/// returns.refused(at(5), HeadPrint(7), at(0));
-/// assert_eq!(returns.came(at(300), HeadPrint(7)), Some(at(0)));
-/// assert_eq!(returns.came(at(310), HeadPrint(7)), None, "another caller");
+/// assert_eq!(returns.came(at(0), HeadHash(7)), None);
+/// returns.refused(at(5), HeadHash(7), at(0));
+/// assert_eq!(returns.came(at(300), HeadHash(7)), Some(at(0)));
+/// assert_eq!(returns.came(at(310), HeadHash(7)), None, "another caller");
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct Returns {
     /// When those who were refused tried first, the earliest first.
-    expected: HashMap<HeadPrint, VecDeque<Instant>>,
+    expected: HashMap<HeadHash, VecDeque<Instant>>,
     /// What is expected, in the order of the refusals.
-    order: VecDeque<(Instant, HeadPrint)>,
+    order: VecDeque<(Instant, HeadHash)>,
 }
 
 impl Returns {
@@ -45,7 +45,7 @@
     }
 
     /// Notes a refusal of a request whose caller has been trying since `first`.
-    pub fn refused(&mut self, now: Instant, head: HeadPrint, first: Instant) {
+    pub fn refused(&mut self, now: Instant, head: HeadHash, first: Instant) {
         self.forget(now);
         if self.order.len() >= MOST {
             self.drop_oldest();
@@ -55,7 +55,7 @@
     }
 
     /// Takes in a request; returns since when its caller has been trying, when it was refused before.
-    pub fn came(&mut self, now: Instant, head: HeadPrint) -> Option<Instant> {
+    pub fn came(&mut self, now: Instant, head: HeadHash) -> Option<Instant> {
         self.forget(now);
         let firsts = self.expected.get_mut(&head)?;
         let first = firsts.pop_front();
@@ -66,7 +66,7 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        let is_over = |(at, _): &(Instant, HeadPrint)| now.since(*at) >= EXPECTED_FOR;
+        let is_over = |(at, _): &(Instant, HeadHash)| now.since(*at) >= EXPECTED_FOR;
         while self.order.front().is_some_and(is_over) {
             self.drop_oldest();
         }
--- a/crates/swiftcart-core/tests/fingerprint.rs
+++ b/crates/swiftcart-core/tests/fingerprint.rs
@@ -1,7 +1,7 @@
 //! Which requests count as the same one, come again.
 
 use rstest::rstest;
-use swiftcart_core::{BodyPrint, HeadFields, HeadPrint};
+use swiftcart_core::{BodyHash, HeadFields, HeadHash};
 
 const FIELDS: HeadFields<'_> = HeadFields {
     credentials: [b"Bearer one", b""],
@@ -12,7 +12,7 @@
 
 #[test]
 fn the_same_fields_are_the_same_request() {
-    assert_eq!(HeadPrint::new(&FIELDS), HeadPrint::new(&FIELDS));
+    assert_eq!(HeadHash::new(&FIELDS), HeadHash::new(&FIELDS));
 }
 
 #[rstest]
@@ -24,13 +24,13 @@
 #[case::another_query(HeadFields { target: b"/pump/7?x=2", ..FIELDS })]
 #[case::parts_cut_elsewhere(HeadFields { host: b"a.exampl", target: b"e/pump/7?x=1", ..FIELDS })]
 fn other_fields_are_another_request(#[case] other: HeadFields<'_>) {
-    assert_ne!(HeadPrint::new(&FIELDS), HeadPrint::new(&other));
+    assert_ne!(HeadHash::new(&FIELDS), HeadHash::new(&other));
 }
 
 #[test]
 fn a_body_counts_by_its_bytes_and_not_by_its_pieces() {
-    let whole = BodyPrint::new([b"water on".as_slice()]);
-    assert_eq!(whole, BodyPrint::new([b"water".as_slice(), b" on"]));
-    assert_ne!(whole, BodyPrint::new([b"water off".as_slice()]));
-    assert_eq!(BodyPrint::new([b"".as_slice()]), BodyPrint::default());
+    let whole = BodyHash::new([b"water on".as_slice()]);
+    assert_eq!(whole, BodyHash::new([b"water".as_slice(), b" on"]));
+    assert_ne!(whole, BodyHash::new([b"water off".as_slice()]));
+    assert_eq!(BodyHash::new([b"".as_slice()]), BodyHash::default());
 }
--- a/crates/swiftcart-core/tests/notice.rs
+++ b/crates/swiftcart-core/tests/notice.rs
@@ -3,8 +3,8 @@
 
 use rstest::rstest;
 use swiftcart_core::{
-    Instant, NodeId, Notice, NoticeBelief, NoticeError, ProcessNotice, ProcessTag, RateError,
-    ServerRate, StartTime, ToldNotices,
+    Instant, NodeId, Notice, NoticeCache, NoticeError, NoticeTracker, ProcessNotice, ProcessTag,
+    RateError, ServerRate, StartTime,
 };
 
 fn at(ms: u64) -> Instant {
@@ -48,28 +48,28 @@
 #[case::who_leaves_names_its_rate_too(
     &[(100, 0, rate(5.0).with_leaving(true)), (200, 150, rate(4.0))], rate(4.0).with_leaving(true))]
 fn belief(#[case] answers: &[(u64, u64, Notice)], #[case] expected: Notice) {
-    let mut belief = NoticeBelief::default();
+    let mut belief = NoticeTracker::default();
     for (came, sent, said) in answers {
-        belief.hear(at(*came), at(*sent), *said);
+        belief.observe(at(*came), at(*sent), *said);
     }
     assert_eq!(belief.now(), expected);
 }
 
 #[test]
 fn an_answer_that_says_nothing_new_changes_nothing() {
-    let mut belief = NoticeBelief::default();
-    assert!(!belief.hear(at(10), at(0), NOTHING));
-    assert!(belief.hear(at(20), at(11), rate(8.0)));
-    assert!(!belief.hear(at(30), at(21), rate(8.0)));
+    let mut belief = NoticeTracker::default();
+    assert!(!belief.observe(at(10), at(0), NOTHING));
+    assert!(belief.observe(at(20), at(11), rate(8.0)));
+    assert!(!belief.observe(at(30), at(21), rate(8.0)));
 }
 
 #[test]
 fn what_others_were_told_counts_until_the_process_itself_is_heard() {
-    let mut belief = NoticeBelief::default();
+    let mut belief = NoticeTracker::default();
     assert!(belief.relay(rate(8.0)));
     assert_eq!(belief.now(), rate(8.0));
     assert!(
-        belief.hear(at(20), at(11), NOTHING),
+        belief.observe(at(20), at(11), NOTHING),
         "it names none any more"
     );
     assert!(!belief.relay(rate(8.0)));
@@ -78,10 +78,10 @@
 
 #[test]
 fn who_leaves_according_to_others_leaves_whatever_its_answers_say() {
-    let mut belief = NoticeBelief::default();
-    belief.hear(at(20), at(11), NOTHING);
+    let mut belief = NoticeTracker::default();
+    belief.observe(at(20), at(11), NOTHING);
     assert!(belief.relay(NOTHING.with_leaving(true)));
-    belief.hear(at(40), at(31), NOTHING);
+    belief.observe(at(40), at(31), NOTHING);
     assert!(belief.now().leaving);
 }
 
@@ -117,7 +117,7 @@
 
 #[test]
 fn what_guards_told_is_bounded() {
-    let mut told = ToldNotices::default();
+    let mut told = NoticeCache::default();
     let guard = |n: u32| NodeId((n.to_be_bytes(), 7000).into());
     let process = ProcessTag::new(b"i-1", None);
     let notice = rate(1.0);
--- a/crates/swiftcart-core/tests/quarantine.rs
+++ b/crates/swiftcart-core/tests/quarantine.rs
@@ -22,11 +22,11 @@
 
 /// Returns the fingerprint of request `n` when the service `caller` sends it.
 fn request_of(n: u64, caller: u16) -> Fingerprint {
-    let request = RequestPrint {
-        head: HeadPrint(n),
-        body: BodyPrint::default(),
+    let request = RequestDigest {
+        head: HeadHash(n),
+        body: BodyHash::default(),
     };
-    let caller = CallerPrint(caller);
+    let caller = CallerHash(caller);
     Fingerprint { request, caller }
 }
 
@@ -122,7 +122,7 @@
 #[case::four_ends_beside_another("12 12 12 12", &[1, 2])]
 fn is_not_tried_again_after(#[case] ends: &str, #[case] expected: &[u64]) {
     let quarantine = after(ends);
-    let again = |n: &u64| quarantine.ends_another(request(*n).request);
+    let again = |n: &u64| quarantine.would_crash_again(request(*n).request);
     let again: Vec<u64> = (1..=3).filter(again).collect();
     assert_eq!(again, expected);
 }
@@ -143,7 +143,7 @@
         quarantine.crashed(at(id * 1000), CrashId(id), &requests(&[1, 2]));
     }
     assert_eq!(quarantine.held(at(9000), request(2)), None);
-    assert!(!quarantine.suspects(HeadPrint(2)));
+    assert!(!quarantine.has_suspect(HeadHash(2)));
 }
 
 #[test]
@@ -220,8 +220,8 @@
         Finding::Finished { .. } => 0,
     };
     assert!(all.iter().map(prints).sum::<usize>() <= 256 * 128);
-    assert!(quarantine.suspects(HeadPrint(4_999_000)));
-    assert!(!quarantine.suspects(HeadPrint(1)));
+    assert!(quarantine.has_suspect(HeadHash(4_999_000)));
+    assert!(!quarantine.has_suspect(HeadHash(1)));
 }
 
 #[rstest]
@@ -232,11 +232,11 @@
     let mut rng = SmallRng::seed_from_u64(7);
     for id in 0..ends {
         let print = |_| Fingerprint {
-            request: RequestPrint {
-                head: HeadPrint(rng.random()),
-                body: BodyPrint(rng.random()),
+            request: RequestDigest {
+                head: HeadHash(rng.random()),
+                body: BodyHash(rng.random()),
             },
-            caller: CallerPrint(rng.random()),
+            caller: CallerHash(rng.random()),
         };
         let prints: Vec<Fingerprint> = (0..running).map(print).collect();
         quarantine.crashed(at(0), CrashId(id), &prints);
@@ -250,7 +250,7 @@
         let (_, Datagram::Findings(findings)) = open(&sealed, &key).unwrap() else {
             panic!("another message");
         };
-        told.hear(at(9), &findings.list);
+        told.merge(at(9), &findings.list);
     }
     assert_eq!(told.digest(), quarantine.digest());
 }
@@ -260,7 +260,7 @@
     let mut told = Quarantine::default();
     let quarantine = after("1 1 1");
     // The other process has just started, so that the ends lie before its clock.
-    told.hear(at(2), &quarantine.all(at(43_000)));
+    told.merge(at(2), &quarantine.all(at(43_000)));
     assert_eq!(
         told.held(at(2), request(1)),
         Some(MINUTE - Duration::from_secs(40))
@@ -271,7 +271,7 @@
 fn what_is_over_is_not_taken_from_others() {
     let mut told = Quarantine::default();
     let quarantine = after("1 1 1");
-    told.hear(at(2), &quarantine.all(at(3_000) + MINUTE * 60));
+    told.merge(at(2), &quarantine.all(at(3_000) + MINUTE * 60));
     assert!(told.is_empty());
 }
 
@@ -298,7 +298,7 @@
         self.sent += 1;
         let arrives = !self.rng.random_bool(self.loss);
         if arrives {
-            self.nodes[to].hear(now, &findings.list);
+            self.nodes[to].merge(now, &findings.list);
         }
         arrives
     }
@@ -306,7 +306,7 @@
     fn round(&mut self, now: Instant) {
         let places: Vec<usize> = (0..self.nodes.len()).collect();
         for from in &places {
-            let due = self.nodes[*from].round(now).list;
+            let due = self.nodes[*from].due_findings(now).list;
             let digest = self.nodes[*from].digest();
             for findings in Findings::pack(digest, due) {
                 let told: Vec<usize> = places.choose_multiple(&mut self.rng, 3).copied().collect();
@@ -323,9 +323,9 @@
             if self.nodes[from].is_empty() {
                 continue;
             }
-            let mine = self.nodes[from].word();
+            let mine = self.nodes[from].summary();
             let question = match self.send(now, to, &mine) {
-                true => self.nodes[to].question(&mine),
+                true => self.nodes[to].sync_request(&mine),
                 false => None,
             };
             if question.is_some_and(|question| question.asks) {
@@ -344,7 +344,7 @@
     /// Starts a node anew, which asks three others what they know.
     fn restart(&mut self, now: Instant, place: usize) {
         self.nodes[place] = Quarantine::default();
-        assert!(self.nodes[place].ask().asks);
+        assert!(self.nodes[place].full_sync().asks);
         for _ in 0..3 {
             let asked = self.rng.random_range(0..self.nodes.len());
             self.tell_all(now, asked, place);
@@ -398,21 +398,21 @@
 #[test]
 fn equal_nodes_ask_nothing_and_a_question_is_not_answered_with_another() {
     let (one, other) = (after("1"), after("1"));
-    assert_eq!(other.question(&one.word()), None);
+    assert_eq!(other.sync_request(&one.summary()), None);
     let empty = Quarantine::default();
-    let question = empty.question(&one.word()).unwrap();
+    let question = empty.sync_request(&one.summary()).unwrap();
     assert!(question.asks);
-    assert_eq!(one.question(&question), None);
+    assert_eq!(one.sync_request(&question), None);
 }
 
 #[test]
 fn a_memo_holds_the_request_for_the_time_that_was_left() {
     let written = after("12 12 1 1");
     let memo = written
-        .memo(at(14_000), 1_000_000, request(1).request)
+        .record(at(14_000), 1_000_000, request(1).request)
         .unwrap();
     let mut anew = Quarantine::default();
-    anew.hear(at(5), &memo.findings(1_030_000).unwrap());
+    anew.merge(at(5), &memo.findings(1_030_000).unwrap());
     let left = Duration::from_secs(120 - 10 - 30);
     assert_eq!(anew.held(at(5), request(1)), Some(left));
     assert_eq!(anew.held(at(5), request(2)), None);
@@ -427,13 +427,13 @@
 #[case::a_request_that_is_not_held("1 1", 1)]
 #[case::one_that_nobody_suspects("1 1 1", 2)]
 fn there_is_no_memo_of(#[case] ends: &str, #[case] n: u64) {
-    assert_eq!(after(ends).memo(at(4_000), 0, request(n).request), None);
+    assert_eq!(after(ends).record(at(4_000), 0, request(n).request), None);
 }
 
 #[test]
 fn who_heard_of_all_ends_from_others_leaves_the_memo_to_them() {
     let mut told = Quarantine::default();
-    told.hear(at(9), &after("1 1 1").all(at(3_500)));
+    told.merge(at(9), &after("1 1 1").all(at(3_500)));
     assert!(told.held(at(9), request(1)).is_some());
-    assert_eq!(told.memo(at(9), 0, request(1).request), None);
+    assert_eq!(told.record(at(9), 0, request(1).request), None);
 }
--- a/crates/swiftcart-core/tests/retry.rs
+++ b/crates/swiftcart-core/tests/retry.rs
@@ -170,7 +170,7 @@
     let mut hops = 0;
     while let Some(ms) = left {
         let due = Deadline::new(now, Duration::from_millis(ms));
-        left = due.less(HOP_ALLOWANCE).left_ms(now);
+        left = due.minus(HOP_ALLOWANCE).left_ms(now);
         now = now + Duration::from_millis(1);
         hops += 1;
     }
--- a/crates/swiftcart-node/src/calls/body.rs
+++ b/crates/swiftcart-node/src/calls/body.rs
@@ -14,7 +14,7 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 use quick_error::quick_error;
-use swiftcart_core::BodyPrint;
+use swiftcart_core::BodyHash;
 use tokio::time::{Instant, Sleep, sleep};
 
 quick_error! {
@@ -135,10 +135,10 @@
 
     /// Returns what stands for the body, once all of it is here and none of it was let go.
     #[must_use]
-    pub fn print(&self) -> Option<BodyPrint> {
+    pub fn print(&self) -> Option<BodyHash> {
         self.with(|inner| {
             let whole = !inner.lost && (inner.ended || inner.body.is_end_stream());
-            whole.then(|| BodyPrint::new(inner.kept.iter().map(|chunk| &chunk[..])))
+            whole.then(|| BodyHash::new(inner.kept.iter().map(|chunk| &chunk[..])))
         })
     }
 
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -16,8 +16,8 @@
 use slog::error;
 use swiftcart_core::{
     Asking, BalanceSettings, Balancer, CallResult, Candidate, FleetBudget, Identity, Instant, Need,
-    Next, NodeId, Outcome, Pick, PickRule, PolicyTries, Reason, Refusal, RetryBudget,
-    RetrySettings, Returns, RouteProfiles, ServiceEntry, ToldNotices, Tries, Version, start_wait,
+    Next, NodeId, NoticeCache, Outcome, Pick, PickRule, PolicyTries, Reason, Refusal, RetryBudget,
+    RetrySettings, Returns, RouteProfiles, ServiceEntry, Tries, Version, start_wait,
 };
 
 use tokio::task::JoinError;
@@ -50,7 +50,7 @@
     profiles: Mutex<RouteProfiles>,
     returns: Mutex<Returns>,
     /// What guards told of their backend servers.
-    told: Mutex<ToldNotices>,
+    told: Mutex<NoticeCache>,
 }
 
 /// How far one call is: the tries that were made of it.
--- a/crates/swiftcart-node/src/calls/ingress/forward.rs
+++ b/crates/swiftcart-node/src/calls/ingress/forward.rs
@@ -30,7 +30,7 @@
         tries: Tries,
     ) -> Result<Response<Answer>, Failed> {
         let now = self.shared.clock.now();
-        let left = call.due.less(HOP_ALLOWANCE).left_ms(now);
+        let left = call.due.minus(HOP_ALLOWANCE).left_ms(now);
         let left = left.ok_or(Reason::DeadlinePassed)?;
         let asks = original.long || (call.is_upload() && original.exceeds(ASKED_BYTES));
         let gate = asks.then(Gate::default);
--- a/crates/swiftcart-node/src/calls/ingress/original.rs
+++ b/crates/swiftcart-node/src/calls/ingress/original.rs
@@ -6,7 +6,7 @@
 use http::request::Parts;
 use http::{Request, Uri};
 use hyper::body::{Body, Incoming};
-use swiftcart_core::{BodyPrint, Fingerprint};
+use swiftcart_core::{BodyHash, Fingerprint};
 
 use crate::calls::body::{BodyError, Gate, Outgoing, Source};
 use crate::calls::request::CallPrint;
@@ -65,7 +65,7 @@
     pub fn print(&self, call: CallPrint) -> Option<Fingerprint> {
         let body = match &self.source {
             Some(source) => source.print()?,
-            None => BodyPrint::default(),
+            None => BodyHash::default(),
         };
         Some(call.with_body(body))
     }
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -32,7 +32,7 @@
         };
         if let Some(log) = self.shared.call_log.failed(now) {
             info!(log, ""; "event" => Event::Try, "id" => %call.id, "print" => %print,
-                "reason" => Reason::Quarantined.as_str(), "ends" => suspects.ends(print.request),
+                "reason" => Reason::Quarantined.as_str(), "ends" => suspects.crash_count(print.request),
                 "hold_ms" => u64::try_from(left.as_millis()).unwrap_or(u64::MAX));
         }
         Err(Refusal::new(Reason::Quarantined).with_retry(left))
@@ -49,7 +49,7 @@
             return false;
         };
         let now = self.shared.clock.now();
-        let again = reason == Reason::Crashed && suspects.ends_another(print.request);
+        let again = reason == Reason::Crashed && suspects.would_crash_again(print.request);
         again || suspects.held(now, print).is_some()
     }
 }
--- a/crates/swiftcart-node/src/calls/notices.rs
+++ b/crates/swiftcart-node/src/calls/notices.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use slog::{info, warn};
 use swiftcart_core::{
-    Instant, Notice, NoticeBelief, ProcessNotice, ProcessTag, RateError, ServerRate,
+    Instant, Notice, NoticeTracker, ProcessNotice, ProcessTag, RateError, ServerRate,
 };
 
 use super::request::Call;
@@ -33,7 +33,7 @@
     /// The process, as it calls itself.
     instance: Option<Arc<str>>,
     process: ProcessTag,
-    belief: Mutex<NoticeBelief>,
+    belief: Mutex<NoticeTracker>,
 }
 
 impl Notices {
@@ -60,7 +60,7 @@
     /// now when that has changed.
     ///
     /// An answer that bears another request's id may be older than it looks, and says nothing.
-    pub fn hear(&self, call: &Call, sent: Instant, headers: &HeaderMap) -> Option<Notice> {
+    pub fn observe(&self, call: &Call, sent: Instant, headers: &HeaderMap) -> Option<Notice> {
         let names = &*self.shared.headers;
         if names.own_ids && headers.get(&names.request_id.0) != Some(&call.id.0) {
             return None;
@@ -76,7 +76,7 @@
             .with_leaving(leaves(headers, names));
         let mut belief = self.lock();
         let old = belief.now();
-        let changed = belief.hear(now, sent, said);
+        let changed = belief.observe(now, sent, said);
         let new = belief.now();
         drop(belief);
         changed.then(|| self.note(old, new, Source::Answer(call, sent)))
@@ -145,7 +145,7 @@
         self.instance.as_deref().unwrap_or("-")
     }
 
-    fn lock(&self) -> MutexGuard<'_, NoticeBelief> {
+    fn lock(&self) -> MutexGuard<'_, NoticeTracker> {
         self.belief.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -7,9 +7,9 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Version};
 use swiftcart_core::{
-    AllowedRegions, AnswerLength, Attempt, Bid, BodyPrint, CallerPrint, Deadline, Fingerprint,
-    HeadFields, HeadPrint, Instant, Patience, Payload, Priority, Reason, RequestClass,
-    RequestPrint, RouteProfile, RouteTag, Routed, Timing,
+    AllowedRegions, AnswerLength, Attempt, Bid, BodyHash, CallerHash, Deadline, Fingerprint,
+    HeadFields, HeadHash, Instant, Patience, Payload, Priority, Reason, RequestClass,
+    RequestDigest, RouteProfile, RouteTag, Routed, Timing,
 };
 
 use super::headers::{
@@ -56,17 +56,17 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CallPrint {
     /// The head.
-    pub head: HeadPrint,
+    pub head: HeadHash,
     /// The service that it comes from.
-    pub caller: CallerPrint,
+    pub caller: CallerHash,
 }
 
 impl CallPrint {
     /// Returns the request's fingerprint, given what stands for its body.
     #[must_use]
-    pub const fn with_body(self, body: BodyPrint) -> Fingerprint {
+    pub const fn with_body(self, body: BodyHash) -> Fingerprint {
         Fingerprint {
-            request: RequestPrint {
+            request: RequestDigest {
                 head: self.head,
                 body,
             },
@@ -77,7 +77,7 @@
 
 impl fmt::Display for CallPrint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.with_body(BodyPrint::default()).fmt(f)
+        self.with_body(BodyHash::default()).fmt(f)
     }
 }
 
@@ -191,8 +191,8 @@
         // Where there are accounts, the account stands in the key's place.
         let account = names.account.as_ref().map(|name| &name.0);
         let account = account.filter(|name| head.headers.contains_key(*name));
-        self.print.caller = CallerPrint::new(caller.map_or(b"", |name| field(&name.0)));
-        self.print.head = HeadPrint::new(&HeadFields {
+        self.print.caller = CallerHash::new(caller.map_or(b"", |name| field(&name.0)));
+        self.print.head = HeadHash::new(&HeadFields {
             credentials: [account.unwrap_or(&AUTHORIZATION), &COOKIE].map(field),
             method: head.method.as_str().as_bytes(),
             host: field(&HOST),
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 use rand::Rng;
 use slog::warn;
-use swiftcart_core::{BodyPrint, Crash, CrashId, Fingerprint, Reason, RunId, Watch};
+use swiftcart_core::{BodyHash, Crash, CrashDetector, CrashId, Fingerprint, Reason, RunId};
 
 use super::answer::End;
 use super::body::{Outgoing, Source};
@@ -31,7 +31,7 @@
     shared: Arc<Shared>,
     /// The process, as it calls itself.
     instance: Option<Arc<str>>,
-    watch: Mutex<Watch<Handed>>,
+    watch: Mutex<CrashDetector<Handed>>,
 }
 
 /// What stands for a request that was handed over; its body is looked at only when it has to be.
@@ -75,8 +75,8 @@
     #[must_use]
     pub fn print(&self) -> Option<Fingerprint> {
         let body = match &self.body {
-            HandedBody::Empty => BodyPrint::default(),
-            HandedBody::Whole(bytes) => BodyPrint::new([&bytes[..]]),
+            HandedBody::Empty => BodyHash::default(),
+            HandedBody::Whole(bytes) => BodyHash::new([&bytes[..]]),
             HandedBody::Passed(source) => source.print()?,
         };
         Some(self.call.with_body(body))
@@ -112,21 +112,21 @@
     }
 
     /// Notes that a later process has taken its place.
-    pub fn succeeded(&self) {
+    pub fn replaced(&self) {
         let now = self.shared.clock.now();
-        let crash = self.lock().succeeded(now, draw());
+        let crash = self.lock().replaced(now, draw());
         self.report(crash);
     }
 
-    fn gone(&self) {
+    fn connect_refused(&self) {
         let now = self.shared.clock.now();
-        let crash = self.lock().gone(now, draw());
+        let crash = self.lock().connect_refused(now, draw());
         self.report(crash);
     }
 
-    fn broke(&self, run: RunId) {
+    fn answer_lost(&self, run: RunId) {
         let now = self.shared.clock.now();
-        let crash = self.lock().broke(now, run);
+        let crash = self.lock().answer_lost(now, run);
         self.report(crash);
     }
 
@@ -162,7 +162,7 @@
             "prints" => named.join(","));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Watch<Handed>> {
+    fn lock(&self) -> MutexGuard<'_, CrashDetector<Handed>> {
         self.watch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -195,17 +195,17 @@
                 self.open = false;
                 self.runs.answered(self.id, self.sound);
             }
-            End::Broken => drop(tokio::spawn(async move { self.broke().await })),
+            End::Broken => drop(tokio::spawn(async move { self.answer_lost().await })),
             End::Gone => {}
         }
     }
 
     /// Notes that the answer broke off, and returns why: an end of the backend server or less.
-    pub async fn broke(mut self) -> Reason {
+    pub async fn answer_lost(mut self) -> Reason {
         self.open = false;
-        self.runs.broke(self.id);
+        self.runs.answer_lost(self.id);
         if !self.runs.has_ended() && self.pool.probe(PROBE_FOR).await == Found::Nobody {
-            self.runs.gone();
+            self.runs.connect_refused();
         }
         match self.runs.has_ended() {
             true => Reason::Crashed,
@@ -217,7 +217,7 @@
 impl Drop for Run {
     fn drop(&mut self) {
         if self.open {
-            self.runs.broke(self.id);
+            self.runs.answer_lost(self.id);
         }
     }
 }
--- a/crates/swiftcart-node/src/calls/upstream.rs
+++ b/crates/swiftcart-node/src/calls/upstream.rs
@@ -133,10 +133,10 @@
         self.close();
         match (&self.identity, &next.identity) {
             (Some(old), Some(new)) if new.succeeds(old) => {
-                self.runs.succeeded();
+                self.runs.replaced();
                 self.pool.end();
             }
-            (Some(old), Some(new)) if new.id != old.id => self.runs.succeeded(),
+            (Some(old), Some(new)) if new.id != old.id => self.runs.replaced(),
             _ => {}
         }
     }
@@ -235,7 +235,7 @@
         let sent = exchange(&self.pool, until, request, Reason::ConnectFailed, handing).await;
         match (sent, run) {
             (Ok((response, pooled)), Some(run)) => {
-                let notice = self.notices.hear(call, start, response.headers());
+                let notice = self.notices.observe(call, start, response.headers());
                 notice.into_iter().for_each(|notice| self.heed(notice));
                 Ok(Sent {
                     run: run.with_status(response.status()),
@@ -243,7 +243,7 @@
                     pooled,
                 })
             }
-            (Err(Reason::AnswerBroken), Some(run)) => Err(run.broke().await),
+            (Err(Reason::AnswerBroken), Some(run)) => Err(run.answer_lost().await),
             (Err(reason), Some(run)) if reason.outcome() == Outcome::NotRun => {
                 run.unsent();
                 Err(reason)
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use slog::{info, warn};
-use swiftcart_core::{Datagram, Findings, Instant, NodeId, RequestPrint};
+use swiftcart_core::{Datagram, Findings, Instant, NodeId, RequestDigest};
 
 use super::control_loop::Control;
 use crate::logging::Event;
@@ -22,7 +22,7 @@
     next_round: Instant,
     next_compare: Instant,
     asked: bool,
-    held: BTreeSet<RequestPrint>,
+    held: BTreeSet<RequestDigest>,
 }
 
 impl Control {
@@ -50,32 +50,35 @@
     /// Takes in what another node has found, and answers what it asks.
     pub(super) fn on_findings(&mut self, now: Instant, from: NodeId, findings: &Findings) {
         let suspects = &self.shared.suspects;
-        let (question, all) = suspects.with(|quarantine| {
-            quarantine.hear(now, &findings.list);
+        let (sync_request, all) = suspects.with(|quarantine| {
+            quarantine.merge(now, &findings.list);
             let all = findings.asks.then(|| quarantine.all(now));
-            (quarantine.question(findings), all)
+            (quarantine.sync_request(findings), all)
         });
         let digest = suspects.with(|quarantine| quarantine.digest());
         for findings in Findings::pack(digest, all.unwrap_or_default()) {
             self.net.send(from, &Datagram::Findings(findings));
         }
-        if let Some(question) = question {
-            self.net.send(from, &Datagram::Findings(question));
+        if let Some(sync_request) = sync_request {
+            self.net.send(from, &Datagram::Findings(sync_request));
         }
     }
 
     /// Asks some nodes what they know: a process that has started remembers nothing.
     fn ask_findings(&mut self) {
-        let question = self.shared.suspects.with(|quarantine| quarantine.ask());
+        let sync_request = self
+            .shared
+            .suspects
+            .with(|quarantine| quarantine.full_sync());
         for id in self.membership.audience(true) {
-            self.net.send(id, &Datagram::Findings(question.clone()));
+            self.net.send(id, &Datagram::Findings(sync_request.clone()));
         }
     }
 
     fn pass_findings(&mut self, now: Instant) {
         let suspects = &self.shared.suspects;
         let (digest, due) = suspects.with(|quarantine| {
-            let due = quarantine.round(now);
+            let due = quarantine.due_findings(now);
             (quarantine.digest(), due)
         });
         if due.list.is_empty() {
@@ -90,12 +93,12 @@
     }
 
     fn compare_findings(&mut self, now: Instant) {
-        let word = self.shared.suspects.with(|quarantine| {
+        let summary = self.shared.suspects.with(|quarantine| {
             quarantine.sweep(now);
-            quarantine.word()
+            quarantine.summary()
         });
         for id in self.membership.audience(false).into_iter().take(1) {
-            self.net.send(id, &Datagram::Findings(word.clone()));
+            self.net.send(id, &Datagram::Findings(summary.clone()));
         }
     }
 
@@ -109,7 +112,7 @@
         for (print, left) in &held {
             if self.findings.held.insert(*print) {
                 warn!(logger, ""; "event" => Event::Quarantined, "print" => %print,
-                    "ends" => self.shared.suspects.ends(*print),
+                    "ends" => self.shared.suspects.crash_count(*print),
                     "left_ms" => u64::try_from(left.as_millis()).unwrap_or(u64::MAX));
             }
         }
--- a/crates/swiftcart-node/src/control/memory.rs
+++ b/crates/swiftcart-node/src/control/memory.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use slog::warn;
-use swiftcart_core::{Instant, Memo, RequestPrint};
+use swiftcart_core::{Instant, QuarantineRecord, RequestDigest};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
@@ -21,8 +21,8 @@
 /// What is to be written.
 #[derive(Debug)]
 enum Note {
-    Remember(Memo),
-    Forget(Vec<RequestPrint>),
+    Remember(QuarantineRecord),
+    Forget(Vec<RequestDigest>),
 }
 
 /// Writes what must last, one note after the other, however often that has to be tried.
@@ -31,7 +31,7 @@
     notes: mpsc::Sender<Note>,
     writer: JoinHandle<()>,
     /// At how many ends each request was when it was written.
-    written: BTreeMap<RequestPrint, usize>,
+    written: BTreeMap<RequestDigest, usize>,
 }
 
 impl Memory {
@@ -41,7 +41,7 @@
         let writer = async move {
             while let Some(note) = waiting.recv().await {
                 persist(&logger, || match &note {
-                    Note::Remember(memo) => directory.remember(memo.clone()),
+                    Note::Remember(record) => directory.remember(record.clone()),
                     Note::Forget(requests) => directory.forget(requests.clone()),
                 })
                 .await;
@@ -75,17 +75,17 @@
         let suspects = &self.shared.suspects;
         let held = suspects.with(|quarantine| quarantine.all_held(now));
         for request in held.into_keys() {
-            let ends = suspects.ends(request);
-            if memory.written.get(&request) == Some(&ends) {
+            let crash_count = suspects.crash_count(request);
+            if memory.written.get(&request) == Some(&crash_count) {
                 continue;
             }
-            let memo = suspects.with(|quarantine| quarantine.memo(now, unix_ms(), request));
-            if memo.is_some_and(|memo| memory.write(Note::Remember(memo))) {
-                memory.written.insert(request, ends);
+            let record = suspects.with(|quarantine| quarantine.record(now, unix_ms(), request));
+            if record.is_some_and(|record| memory.write(Note::Remember(record))) {
+                memory.written.insert(request, crash_count);
             }
         }
-        let is_over = |request: &RequestPrint| suspects.ends(*request) == 0;
-        let over: Vec<RequestPrint> = memory.written.keys().copied().filter(is_over).collect();
+        let is_over = |request: &RequestDigest| suspects.crash_count(*request) == 0;
+        let over: Vec<RequestDigest> = memory.written.keys().copied().filter(is_over).collect();
         if !over.is_empty() && memory.write(Note::Forget(over.clone())) {
             memory.written.retain(|request, _| !over.contains(request));
         }
@@ -93,16 +93,16 @@
 
     /// Takes over what was remembered. Whoever is listed first drops what is over: those who
     /// wrote it may be gone.
-    pub(super) fn recall(&mut self, now: Instant, memos: &[Memo]) {
+    pub(super) fn recall(&mut self, now: Instant, memos: &[QuarantineRecord]) {
         let unix_ms = unix_ms();
         let mut over = Vec::new();
-        for memo in memos {
-            match memo.findings(unix_ms) {
+        for record in memos {
+            match record.findings(unix_ms) {
                 Some(findings) => self
                     .shared
                     .suspects
-                    .with(|quarantine| quarantine.hear(now, &findings)),
-                None => over.push(memo.request),
+                    .with(|quarantine| quarantine.merge(now, &findings)),
+                None => over.push(record.request),
             }
         }
         let memory = self.memory.as_ref().filter(|_| !over.is_empty());
--- a/crates/swiftcart-node/src/edge.rs
+++ b/crates/swiftcart-node/src/edge.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use swiftcart_core::{
-    DrainNews, Memo, NodeId, OrderId, Release, RequestPrint, RolloutOrder, ServiceName, Snapshot,
-    Version,
+    DrainNews, NodeId, OrderId, QuarantineRecord, Release, RequestDigest, RolloutOrder,
+    ServiceName, Snapshot, Version,
 };
 use swiftcart_platform::PlatformError;
 
@@ -140,7 +140,7 @@
     /// Those who are entered.
     pub nodes: Vec<NodeId>,
     /// The requests that were held when they were remembered, some of them long ago perhaps.
-    pub memos: Vec<Memo>,
+    pub memos: Vec<QuarantineRecord>,
 }
 
 /// A place outside the mesh through which its nodes find each other.
@@ -168,14 +168,14 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether it is remembered is then not known.
-    fn remember(&self, memo: Memo) -> Asked<'_, ()>;
+    fn remember(&self, memo: QuarantineRecord) -> Asked<'_, ()>;
 
     /// Forgets what is remembered of `requests`.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether it is forgotten is then not known.
-    fn forget(&self, requests: Vec<RequestPrint>) -> Asked<'_, ()>;
+    fn forget(&self, requests: Vec<RequestDigest>) -> Asked<'_, ()>;
 
     /// Removes `ids`, which are gone for good.
     ///
--- a/crates/swiftcart-node/src/suspects.rs
+++ b/crates/swiftcart-node/src/suspects.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use swiftcart_core::{CrashId, Fingerprint, HeadPrint, Instant, Quarantine, RequestPrint};
+use swiftcart_core::{CrashId, Fingerprint, HeadHash, Instant, Quarantine, RequestDigest};
 
 /// Holds the quarantine. While nothing is in it, which is nearly always, a look costs one load.
 #[derive(Debug, Default)]
@@ -16,8 +16,8 @@
 impl Suspects {
     /// Tells whether a request with this head may be a suspect.
     #[must_use]
-    pub fn may_hold(&self, head: HeadPrint) -> bool {
-        self.is_used() && self.with(|quarantine| quarantine.suspects(head))
+    pub fn may_hold(&self, head: HeadHash) -> bool {
+        self.is_used() && self.with(|quarantine| quarantine.has_suspect(head))
     }
 
     /// Returns for how long a request is held back from now on; `None` when it is not.
@@ -31,17 +31,17 @@
 
     /// Returns at how many ends of backend servers a request is known to have been running.
     #[must_use]
-    pub fn ends(&self, request: RequestPrint) -> usize {
+    pub fn crash_count(&self, request: RequestDigest) -> usize {
         match self.is_used() {
-            true => self.with(|quarantine| quarantine.ends(request)),
+            true => self.with(|quarantine| quarantine.crash_count(request)),
             false => 0,
         }
     }
 
     /// Tells whether a request that has ended a backend server just now would do so again.
     #[must_use]
-    pub fn ends_another(&self, request: RequestPrint) -> bool {
-        self.is_used() && self.with(|quarantine| quarantine.ends_another(request))
+    pub fn would_crash_again(&self, request: RequestDigest) -> bool {
+        self.is_used() && self.with(|quarantine| quarantine.would_crash_again(request))
     }
 
     /// Notes the end of the own backend server, and what it was running.
