--- a/crates/swiftcart-core/src/crash.rs
+++ b/crates/swiftcart-core/src/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that end the backend servers that run them: which ones they are, and who knows of it.
+//! Detection and quarantine of requests that crash the backend servers that run them.
 
 mod detector;
 mod finding;
--- a/crates/swiftcart-core/src/crash/detector.rs
+++ b/crates/swiftcart-core/src/crash/detector.rs
@@ -1,4 +1,4 @@
-//! Whether a backend server has ended, and what it was running then.
+//! Detection of backend server crashes and of the requests that were running.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,39 +7,43 @@
 
 use crate::Instant;
 
-/// How long a request whose answer broke off is kept in mind. A backend server that ends without a
-/// word is missed when its successor announces itself; that takes some seconds.
-const BROKEN_FOR: Duration = Duration::from_secs(10);
+/// Time for which a request with a lost answer is remembered.
+///
+/// A crash without any other sign is detected only when the successor process announces itself,
+/// which takes a few seconds.
+const LOST_RETENTION: Duration = Duration::from_secs(10);
 
-/// The most requests without an answer that are kept in mind.
-const BROKEN_MOST: usize = 128;
+/// Maximum number of requests with a lost answer that are remembered.
+const MAX_LOST: usize = 128;
 
-/// Names one end of a backend server; drawn at random by the node beside it.
+/// Id of one backend server crash, drawn at random by its guard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CrashId(pub u64);
 
-/// Names one request that a backend server was given.
+/// Id of one request that was handed to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(u64);
 
-/// An end of a backend server that nobody asked for, and what it was running.
+/// Unexpected end of a backend server process, with the requests that were running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash<T> {
-    /// Which end; requests that turn out later to have run at it come under the same name.
+    /// Id of the crash. Requests whose answers turn out to be lost later are reported under the same
+    /// id.
     pub id: CrashId,
-    /// What it was running.
+    /// Requests that were running.
     pub runs: Vec<T>,
 }
 
-/// Tells the end of a backend server from connections that break while it lives.
+/// Detector that tells a crash of a backend server from connections that break while it runs.
 ///
-/// A broken answer alone says nothing: connections are reset, and answers are lost. The backend
-/// server has ended when nobody listens at its address after that, or when a later process has
-/// taken its place. An answer to a request that it was given after the break shows that it lives,
-/// and clears what broke before. One that said that it leaves is expected to end.
+/// A lost answer alone is no proof of a crash, because connections are also reset for other reasons.
+/// The backend server counts as crashed if, after a lost answer, its address refuses connections or
+/// a later process has replaced it. An answer to a request that was handed over after the loss shows
+/// that the backend server is running, and clears earlier losses. The end of a backend server that
+/// has announced its shutdown is not a crash.
 ///
-/// `T` is what is to be known of each request.
+/// `T` is the description that the caller keeps for each request.
 ///
 /// # Examples
 ///
@@ -47,39 +51,39 @@
 /// use swiftcart_core::{CrashId, Instant, CrashDetector};
 ///
 /// let now = Instant::from_millis(0);
-/// let mut watch = CrashDetector::default();
-/// let (first, _second) = (watch.start(now, "first"), watch.start(now, "second"));
-/// assert_eq!(watch.answer_lost(now, first), None);
-/// let crash = watch.connect_refused(now, CrashId(7)).expect("two requests under way");
+/// let mut detector = CrashDetector::default();
+/// let (first, _second) = (detector.start(now, "first"), detector.start(now, "second"));
+/// assert_eq!(detector.answer_lost(now, first), None);
+/// let crash = detector.connect_refused(now, CrashId(7)).expect("two requests under way");
 /// assert_eq!(crash.runs, ["first", "second"]);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashDetector<T> {
     next: u64,
     running: BTreeMap<RunId, Run<T>>,
-    broken: VecDeque<Broken<T>>,
+    lost: VecDeque<LostAnswer<T>>,
     state: State,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Run<T> {
     start: Instant,
-    what: T,
+    request: T,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Broken<T> {
+struct LostAnswer<T> {
     at: Instant,
-    what: T,
+    request: T,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Nothing says that it has ended.
-    Living,
-    /// It said that it leaves.
+    /// There is no sign that the process has ended.
+    Running,
+    /// The backend server has announced its shutdown.
     Leaving,
-    /// It has ended.
+    /// The process has ended.
     Ended { id: CrashId, at: Instant },
 }
 
@@ -88,103 +92,111 @@
         Self {
             next: 0,
             running: BTreeMap::new(),
-            broken: VecDeque::new(),
-            state: State::Living,
+            lost: VecDeque::new(),
+            state: State::Running,
         }
     }
 }
 
 impl<T> CrashDetector<T> {
-    /// Notes that the backend server is given a request.
-    pub fn start(&mut self, now: Instant, what: T) -> RunId {
+    /// Records that a request is handed to the backend server.
+    pub fn start(&mut self, now: Instant, request: T) -> RunId {
         let id = RunId(self.next);
         self.next += 1;
-        self.running.insert(id, Run { start: now, what });
+        self.running.insert(
+            id,
+            Run {
+                start: now,
+                request,
+            },
+        );
         id
     }
 
-    /// Notes that it was not given the request after all.
+    /// Removes a request that was not handed to the backend server after all.
     pub fn unsent(&mut self, run: RunId) {
         self.running.remove(&run);
     }
 
-    /// Notes a whole answer, and returns the request.
+    /// Records a complete answer and returns the request.
     pub fn answered(&mut self, run: RunId) -> Option<T> {
-        let Run { start, what } = self.running.remove(&run)?;
-        self.broken.retain(|broken| broken.at >= start);
+        let Run { start, request } = self.running.remove(&run)?;
+        self.lost.retain(|answer| answer.at >= start);
         if matches!(self.state, State::Ended { at, .. } if at < start) {
-            self.state = State::Living;
+            self.state = State::Running;
         }
-        Some(what)
+        Some(request)
     }
 
-    /// Notes that no whole answer came, and returns the crash where the backend server is known
-    /// to have ended.
+    /// Records that no complete answer came. Returns the crash if the backend server is known to
+    /// have ended.
     pub fn answer_lost(&mut self, now: Instant, run: RunId) -> Option<Crash<T>> {
-        let Run { what, .. } = self.running.remove(&run)?;
+        let Run { request, .. } = self.running.remove(&run)?;
         match self.state {
             State::Ended { id, .. } => Some(Crash {
                 id,
-                runs: vec![what],
+                runs: vec![request],
             }),
-            State::Living | State::Leaving => {
-                self.keep(now, what);
+            State::Running | State::Leaving => {
+                self.remember(now, request);
                 None
             }
         }
     }
 
-    /// Notes that nobody listens at the backend server's address, and returns the crash that this
-    /// shows, named `id`.
+    /// Records that the backend server's address refuses connections. Returns the crash that this
+    /// proves, with the id `id`.
     ///
-    /// That alone may be a moment's want of room: it shows a crash where an answer broke off
-    /// before. What is under way is at an end then as well, though its connections may not have
-    /// said so yet.
+    /// A refused connection alone may be a short overload. It proves a crash only after a lost
+    /// answer. All requests in flight have ended then as well, even if their connections have not
+    /// reported it yet.
     pub fn connect_refused(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
-        if self.state != State::Living || self.broken.is_empty() {
+        if self.state != State::Running || self.lost.is_empty() {
             return None;
         }
-        let mut runs = self.end(now, id);
+        let mut runs = self.record_end(now, id);
         let running = std::mem::take(&mut self.running);
-        runs.extend(running.into_values().map(|run| run.what));
+        runs.extend(running.into_values().map(|run| run.request));
         (!runs.is_empty()).then_some(Crash { id, runs })
     }
 
-    /// Notes that a later process has taken the backend server's place, and returns the crash that
-    /// this shows, named `id`. What is still under way may get its answer yet.
+    /// Records that a later process has replaced the backend server. Returns the crash that this
+    /// proves, with the id `id`.
+    ///
+    /// Requests in flight are not part of the crash, because they may still be answered.
     pub fn replaced(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
-        if self.state != State::Living {
+        if self.state != State::Running {
             return None;
         }
-        let runs = self.end(now, id);
+        let runs = self.record_end(now, id);
         (!runs.is_empty()).then_some(Crash { id, runs })
     }
 
-    /// Tells whether the backend server has ended, as far as is known.
+    /// Returns `true` if the backend server is known to have ended.
     #[must_use]
     pub const fn has_ended(&self) -> bool {
         matches!(self.state, State::Ended { .. })
     }
 
-    /// Notes that the backend server said that it leaves.
+    /// Records that the backend server has announced its shutdown.
     pub fn leaves(&mut self) {
-        if self.state == State::Living {
+        if self.state == State::Running {
             self.state = State::Leaving;
         }
     }
 
-    /// Notes the end and returns what broke of late.
-    fn end(&mut self, now: Instant, id: CrashId) -> Vec<T> {
+    /// Records the end of the process and returns the requests whose answers were lost recently.
+    fn record_end(&mut self, now: Instant, id: CrashId) -> Vec<T> {
         self.state = State::Ended { id, at: now };
-        let broken = std::mem::take(&mut self.broken).into_iter();
-        let late = broken.filter(|broken| now.since(broken.at) <= BROKEN_FOR);
-        late.map(|broken| broken.what).collect()
+        let lost = std::mem::take(&mut self.lost).into_iter();
+        let recent = lost.filter(|answer| now.since(answer.at) <= LOST_RETENTION);
+        recent.map(|answer| answer.request).collect()
     }
 
-    fn keep(&mut self, now: Instant, what: T) {
-        while self.broken.len() >= BROKEN_MOST {
-            self.broken.pop_front();
+    fn remember(&mut self, now: Instant, request: T) {
+        while self.lost.len() >= MAX_LOST {
+            self.lost.pop_front();
         }
-        self.broken.push_back(Broken { at: now, what });
+        self.lost.push_back(LostAnswer { at: now, request });
     }
 }
--- a/crates/swiftcart-core/src/crash/history.rs
+++ b/crates/swiftcart-core/src/crash/history.rs
@@ -1,4 +1,4 @@
-//! Which requests were running at which ends of backend servers.
+//! History of backend server crashes and of the requests that were running.
 
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,93 +7,96 @@
 use super::{CallerHash, CrashId, Fingerprint, HeadHash, RequestDigest};
 use crate::Instant;
 
-/// The most ends that are remembered, some ten of the largest service at once; the oldest goes first.
-const ENDS_MOST: usize = 256;
+/// Maximum number of crashes that are remembered: about ten times the backend servers of the largest
+/// service. The oldest is evicted first.
+const MAX_CRASHES: usize = 256;
 
-/// The most requests that one end can make suspects: the slots of a large backend server.
-const PRINTS_MOST: usize = 128;
+/// Maximum number of suspects per crash: the slots of a large backend server.
+const MAX_SUSPECTS_PER_CRASH: usize = 128;
 
-/// A time in the past, which may lie before this process's clock has started.
+/// Time in the past, which may lie before the start of this process's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Past {
-    heard: Instant,
+pub(super) struct PastTime {
+    reported: Instant,
     age: Duration,
 }
 
-impl Past {
+impl PastTime {
     pub const fn now(now: Instant) -> Self {
-        Self::heard(now, Duration::ZERO)
+        Self::reported(now, Duration::ZERO)
     }
 
-    /// Creates the time that was `age` ago when it was heard of.
-    pub const fn heard(heard: Instant, age: Duration) -> Self {
-        Self { heard, age }
+    /// Creates the time that lay `age` before `reported`.
+    pub const fn reported(reported: Instant, age: Duration) -> Self {
+        Self { reported, age }
     }
 
-    /// Tells whether it was noted as it happened; what comes from others has an age.
-    pub const fn is_own(self) -> bool {
+    /// Returns `true` if this node saw the event itself. Events reported by other nodes have an age.
+    pub const fn is_local(self) -> bool {
         self.age.is_zero()
     }
 
     pub fn age(self, now: Instant) -> Duration {
-        self.age.saturating_add(now.since(self.heard))
+        self.age.saturating_add(now.since(self.reported))
     }
 }
 
-/// The end of a backend server.
+/// Crash of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct End {
-    pub at: Past,
-    /// What was running.
+pub(super) struct CrashEntry {
+    pub at: PastTime,
+    /// Requests that were running.
     pub prints: BTreeSet<Fingerprint>,
-    /// The rounds in which it is still passed on.
+    /// Number of gossip rounds in which the crash is still forwarded.
     pub rounds: u32,
 }
 
-/// The ends at which one request was running, and the services that it came from.
+/// Crashes at which one request was running, each with the calling services.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Suspect(BTreeMap<CrashId, BTreeSet<CallerHash>>);
 
 impl Suspect {
-    /// Returns the number of ends.
+    /// Returns the number of crashes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns the ends, each with the services that it came from then.
-    pub fn ends(&self) -> impl Iterator<Item = (&CrashId, &BTreeSet<CallerHash>)> {
+    /// Returns the crashes, each with the services that had sent the request.
+    pub fn crashes(&self) -> impl Iterator<Item = (&CrashId, &BTreeSet<CallerHash>)> {
         self.0.iter()
     }
 
-    /// Returns the services that it came from.
+    /// Returns the services that have sent the request.
     pub fn callers(&self) -> BTreeSet<CallerHash> {
         self.0.values().flatten().copied().collect()
     }
 }
 
-/// Keeps ends and suspects; both sides of the same relation.
+/// Crashes by id and suspects by request: two indexes of the same relation.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Ends {
-    ends: BTreeMap<CrashId, End>,
+pub(super) struct CrashHistory {
+    crashes: BTreeMap<CrashId, CrashEntry>,
     suspects: BTreeMap<RequestDigest, Suspect>,
 }
 
-impl Ends {
+impl CrashHistory {
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty()
+        self.crashes.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&CrashId, &End)> {
-        self.ends.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (&CrashId, &CrashEntry)> {
+        self.crashes.iter()
     }
 
-    /// Returns the ends that are still passed on.
-    pub fn due(&mut self) -> impl Iterator<Item = (&CrashId, &mut End)> {
-        self.ends.iter_mut().filter(|(_, end)| end.rounds > 0)
+    /// Returns the crashes that are still forwarded.
+    pub fn due(&mut self) -> impl Iterator<Item = (&CrashId, &mut CrashEntry)> {
+        self.crashes
+            .iter_mut()
+            .filter(|(_, crash)| crash.rounds > 0)
     }
 
-    pub fn get(&self, id: CrashId) -> Option<&End> {
-        self.ends.get(&id)
+    pub fn get(&self, id: CrashId) -> Option<&CrashEntry> {
+        self.crashes.get(&id)
     }
 
     pub fn suspect(&self, request: RequestDigest) -> Option<&Suspect> {
@@ -104,7 +107,7 @@
         self.suspects.iter()
     }
 
-    /// Tells whether some request with this head is a suspect.
+    /// Returns `true` if a request with this head is a suspect.
     pub fn has_head(&self, head: HeadHash) -> bool {
         let first = RequestDigest {
             head,
@@ -114,40 +117,46 @@
         from.next().is_some_and(|(request, _)| request.head == head)
     }
 
-    /// Notes what was running at an end; returns whether any of it is news.
-    pub fn note(&mut self, now: Instant, id: CrashId, at: Past, prints: &[Fingerprint]) -> bool {
-        let end = self.ends.entry(id).or_insert_with(|| End {
+    /// Records the requests that were running at a crash. Returns `true` if any of them is new.
+    pub fn record(
+        &mut self,
+        now: Instant,
+        id: CrashId,
+        at: PastTime,
+        prints: &[Fingerprint],
+    ) -> bool {
+        let crash = self.crashes.entry(id).or_insert_with(|| CrashEntry {
             at,
             prints: BTreeSet::new(),
             rounds: 0,
         });
-        let before = end.prints.len();
-        let room = PRINTS_MOST.saturating_sub(before);
+        let before = crash.prints.len();
+        let room = MAX_SUSPECTS_PER_CRASH.saturating_sub(before);
         for print in prints.iter().take(room) {
-            end.prints.insert(*print);
+            crash.prints.insert(*print);
             let suspect = self.suspects.entry(print.request).or_default();
             suspect.0.entry(id).or_default().insert(print.caller);
         }
-        let news = end.prints.len() > before;
-        self.bound(now);
-        news
+        let changed = crash.prints.len() > before;
+        self.evict_oldest(now);
+        changed
     }
 
-    /// Has an end passed on again.
-    pub fn pass_on(&mut self, id: CrashId, rounds: u32) {
-        if let Some(end) = self.ends.get_mut(&id) {
-            end.rounds = rounds;
+    /// Forwards a crash in the next `rounds` gossip rounds.
+    pub fn forward(&mut self, id: CrashId, rounds: u32) {
+        if let Some(crash) = self.crashes.get_mut(&id) {
+            crash.rounds = rounds;
         }
     }
 
-    /// Removes a request of one service from all ends.
+    /// Removes a request of one calling service from all crashes.
     pub fn forget(&mut self, print: Fingerprint) {
         let Entry::Occupied(mut suspect) = self.suspects.entry(print.request) else {
             return;
         };
         suspect.get_mut().0.retain(|id, callers| {
-            if let Some(end) = self.ends.get_mut(id) {
-                end.prints.remove(&print);
+            if let Some(crash) = self.crashes.get_mut(id) {
+                crash.prints.remove(&print);
             }
             callers.remove(&print.caller);
             !callers.is_empty()
@@ -157,7 +166,7 @@
         }
     }
 
-    /// Removes a request of all services from all ends.
+    /// Removes a request of all calling services from all crashes.
     pub fn forget_request(&mut self, request: RequestDigest) {
         let callers = self.suspects.get(&request).map(Suspect::callers);
         for caller in callers.unwrap_or_default() {
@@ -165,40 +174,46 @@
         }
     }
 
-    /// Drops the ends at which nobody is suspected any more.
+    /// Removes the crashes that have no suspects left.
     pub fn prune(&mut self) {
-        self.ends.retain(|_, end| !end.prints.is_empty());
+        self.crashes.retain(|_, crash| !crash.prints.is_empty());
     }
 
-    /// Returns those of a request's ends at which no other one was running that was at more ends:
-    /// who ran beside the cause each time is not the cause.
-    pub fn own(&self, suspect: &Suspect) -> Vec<&End> {
-        let others = |end: &End| {
-            let suspects = end.prints.iter().filter_map(|p| self.suspect(p.request));
+    /// Returns the crashes of a suspect at which no other request with more crashes was running.
+    ///
+    /// A crash is attributed to the running requests with the most crashes, so that a request that
+    /// ran at the same time as the cause is not blamed.
+    pub fn attributed(&self, suspect: &Suspect) -> Vec<&CrashEntry> {
+        let max_crashes = |crash: &CrashEntry| {
+            let suspects = crash.prints.iter().filter_map(|p| self.suspect(p.request));
             suspects.map(Suspect::len).max()
         };
-        let ends = suspect.0.keys().filter_map(|id| self.ends.get(id));
-        ends.filter(|end| others(end) <= Some(suspect.len()))
+        let crashes = suspect.0.keys().filter_map(|id| self.crashes.get(id));
+        crashes
+            .filter(|crash| max_crashes(crash) <= Some(suspect.len()))
             .collect()
     }
 
-    /// Returns the time since the last of a request's ends.
-    pub fn youngest(&self, now: Instant, suspect: &Suspect) -> Duration {
-        let ends = suspect.0.keys().filter_map(|id| self.ends.get(id));
-        let ages = ends.map(|end| end.at.age(now));
+    /// Returns the time since the last crash of a suspect.
+    pub fn last_age(&self, now: Instant, suspect: &Suspect) -> Duration {
+        let crashes = suspect.0.keys().filter_map(|id| self.crashes.get(id));
+        let ages = crashes.map(|crash| crash.at.age(now));
         ages.min().unwrap_or(Duration::MAX)
     }
 
-    /// Gives the oldest end up when there are too many.
-    fn bound(&mut self, now: Instant) {
-        if self.ends.len() <= ENDS_MOST {
+    /// Removes the oldest crash if there are more than `MAX_CRASHES`.
+    fn evict_oldest(&mut self, now: Instant) {
+        if self.crashes.len() <= MAX_CRASHES {
             return;
         }
-        let oldest = self.ends.iter().max_by_key(|(_, end)| end.at.age(now));
+        let oldest = self
+            .crashes
+            .iter()
+            .max_by_key(|(_, crash)| crash.at.age(now));
         let Some(id) = oldest.map(|(id, _)| *id) else {
             return;
         };
-        let prints = self.ends.remove(&id).map(|end| end.prints);
+        let prints = self.crashes.remove(&id).map(|crash| crash.prints);
         for print in prints.unwrap_or_default() {
             if let Entry::Occupied(mut suspect) = self.suspects.entry(print.request) {
                 suspect.get_mut().0.remove(&id);
--- a/crates/swiftcart-core/src/crash/quarantine.rs
+++ b/crates/swiftcart-core/src/crash/quarantine.rs
@@ -1,74 +1,87 @@
-//! Which requests are kept from backend servers, since they end them.
+//! Quarantine of requests that crash backend servers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::history::{End, Ends, Past, Suspect};
+use super::history::{CrashEntry, CrashHistory, PastTime, Suspect};
 use super::{
     CallerHash, CrashId, Finding, Findings, Fingerprint, HeadHash, QuarantineRecord, RequestDigest,
 };
 use crate::Instant;
 
-/// The ends after which a request is held, if it alone was there each time.
+/// Number of crashes after which a request is held if it is the only one common to all of them.
 ///
-/// One end says nothing of eleven to eighteen requests that ran at the time, and who is tried again
-/// after it may meet the next one by chance: one in some 25, where a service has six backend
-/// servers and their neighbour keeps ending them.
-const ENDS: usize = 3;
+/// One crash does not tell which of the 11 to 18 concurrent requests caused it. A harmless request
+/// that is retried may run during a second crash by chance: about one in 25 does so in a service of
+/// six backend servers while another request keeps crashing them.
+const MIN_CRASHES: usize = 3;
 
-/// The ends after which a request is held whoever else was there.
-const ENDS_IN_ANY_CASE: usize = ENDS + 1;
+/// Number of crashes after which a request is held regardless of which other requests were running.
+const MIN_SHARED_CRASHES: usize = MIN_CRASHES + 1;
 
-/// The ends after which a request that alone was there each time, and has ended one more backend
-/// server now, is not tried again. The last end is not counted yet then, and by the time that
-/// everybody knows of it another backend server would be gone.
-const ENDS_BEFORE_ANOTHER: usize = ENDS - 1;
+/// Number of recorded crashes after which a request that is the only one common to them, and has
+/// just crashed another backend server, is not retried.
+///
+/// The latest crash is not counted yet at that point. Waiting until all nodes know of it would cost
+/// another backend server.
+const MIN_CRASHES_TO_STOP_RETRY: usize = MIN_CRASHES - 1;
 
-/// How long a request is held after the end that showed it; twice as long with each further one.
-/// Who returns in vain costs one more backend server, and all that runs at it, each time.
-const HOLD: Duration = Duration::from_secs(60);
+/// Time for which a request is held after the crash that identified it.
+///
+/// The time doubles with each further crash, because each early release costs one more backend
+/// server and all requests that run on it.
+const BASE_HOLD: Duration = Duration::from_secs(60);
 
-/// The longest time for which a request is held.
-const HOLD_MOST: Duration = Duration::from_secs(60 * 60);
+/// Maximum time for which a request is held.
+const MAX_HOLD: Duration = Duration::from_secs(60 * 60);
 
-/// How long a request is suspected after an end, and after it was held. Callers give up, or
-/// change their request, within some seconds.
-const SUSPECTED: Duration = Duration::from_secs(60);
+/// Time for which a request is suspected after a crash, and after its hold has ended.
+///
+/// Callers give up or change their request within a few seconds.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a request that has run to its end cannot be suspected.
-const CLEARED: Duration = Duration::from_secs(60);
+/// Time for which a request that has completed cannot become a suspect.
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
 
-/// The most requests that are remembered to have run to their end; the oldest goes first.
-const CLEARED_MOST: usize = 1024;
+/// Maximum number of completed requests that are remembered; the oldest is evicted first.
+const MAX_CLEARED: usize = 1024;
 
-/// The rounds in which a node passes a finding on. With three peers in each, a node that hears of
-/// none is one in 8,000; the rest learns it by comparing.
-const ROUNDS: u32 = 3;
+/// Number of gossip rounds in which a node forwards a finding.
+///
+/// With three peers per round, one node in 8,000 misses the finding. Anti-entropy delivers it to
+/// those nodes.
+const GOSSIP_ROUNDS: u32 = 3;
 
-/// What a node passes on in one round.
+/// Findings that a node forwards in one gossip round.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct DueFindings {
-    /// Whether the node has found some of it itself, so that other failure domains hear it from it.
+    /// `true` if the node found at least one of the findings itself. Such a batch is also sent to
+    /// other failure domains.
     pub own: bool,
-    /// The findings.
+    /// Findings to forward.
     pub list: Vec<Finding>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Cleared {
-    at: Past,
+    at: PastTime,
     rounds: u32,
 }
 
-/// Holds back the requests that end the backend servers that run them.
+/// Quarantine for requests that crash the backend servers that run them.
 ///
-/// Each node keeps the ends of backend servers that it and others have seen, each with the
-/// requests that were running. A request that alone was there at three of them, or at four whoever
-/// else was, is held: no node hands it to a backend server. Others that ran beside it are not taken
-/// for the cause: an end counts against the one among them that was at most ends, one at which a
-/// held request was running against nobody else, and who runs to its end anywhere is cleared
-/// everywhere. The same request of another service goes on until it has ended a backend server as
-/// well; from then on it is held whoever sends it. All of it expires, and all of it is bounded.
+/// Each node keeps the crashes that it and other nodes have seen, each with the requests that were
+/// running. A request is held if it is the only one common to three crashes, or if it was running
+/// at four crashes regardless of the others. No node hands a held request to a backend server.
+///
+/// Three rules protect requests that merely ran at the same time:
+///
+/// - A crash counts only against the running requests that were at the most crashes.
+/// - A crash at which a held request was running counts against no other request.
+/// - A request that completes on any backend server is cleared on all nodes.
+///
+/// The same request from another calling service is served until it has crashed a backend server
+/// too. From then on it is held for all callers. All entries expire, and their number is bounded.
 ///
 /// # Examples
 ///
@@ -88,43 +101,45 @@
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Quarantine {
-    ends: Ends,
+    crashes: CrashHistory,
     cleared: BTreeMap<Fingerprint, Cleared>,
 }
 
 impl Quarantine {
-    /// Tells whether there is nothing to look for.
+    /// Returns `true` if there are no crashes and no cleared requests.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty() && self.cleared.is_empty()
+        self.crashes.is_empty() && self.cleared.is_empty()
     }
 
-    /// Tells whether a request with this head may be a suspect.
+    /// Returns `true` if a request with this head may be a suspect.
     #[must_use]
     pub fn has_suspect(&self, head: HeadHash) -> bool {
-        self.ends.has_head(head)
+        self.crashes.has_head(head)
     }
 
-    /// Returns for how long a request is held back from now on; `None` when it is not.
+    /// Returns the time for which a request is still held, or `None` if it is not held.
     #[must_use]
     pub fn held(&self, now: Instant, print: Fingerprint) -> Option<Duration> {
-        let suspect = self.ends.suspect(print.request)?;
-        let left = self.left(now, suspect)?;
+        let suspect = self.crashes.suspect(print.request)?;
+        let left = self.remaining_hold(now, suspect)?;
         let callers = suspect.callers();
         let applies = callers.len() > 1 || callers.contains(&print.caller);
         applies.then_some(left)
     }
 
-    /// Returns every request that is held back, for some service at least, and for how long from
-    /// now on.
+    /// Returns each request that is held for at least one calling service, with the time for which
+    /// it is still held.
     #[must_use]
     pub fn all_held(&self, now: Instant) -> BTreeMap<RequestDigest, Duration> {
-        let suspects = self.ends.suspects();
-        let held = suspects.filter_map(|(request, s)| Some((*request, self.left(now, s)?)));
+        let suspects = self.crashes.suspects();
+        let held =
+            suspects.filter_map(|(request, s)| Some((*request, self.remaining_hold(now, s)?)));
         held.collect()
     }
 
-    /// Returns what has to last of a held request, where this node has seen one of its ends itself.
+    /// Returns the record to persist for a held request, or `None` if the request is not held or
+    /// this node has not seen any of its crashes itself.
     #[must_use]
     pub fn record(
         &self,
@@ -132,13 +147,13 @@
         unix_ms: u64,
         request: RequestDigest,
     ) -> Option<QuarantineRecord> {
-        let suspect = self.ends.suspect(request)?;
-        let left = self.left(now, suspect)?;
+        let suspect = self.crashes.suspect(request)?;
+        let left = self.remaining_hold(now, suspect)?;
         let mut own = false;
         let mut ends = Vec::new();
-        for (id, callers) in suspect.ends() {
-            let at = self.ends.get(*id)?.at;
-            own |= at.is_own();
+        for (id, callers) in suspect.crashes() {
+            let at = self.crashes.get(*id)?.at;
+            own |= at.is_local();
             let with = |caller: &CallerHash| Fingerprint {
                 request,
                 caller: *caller,
@@ -146,7 +161,7 @@
             let prints: Vec<Fingerprint> = callers.iter().map(with).collect();
             ends.extend(Finding::crashed(*id, at.age(now), &prints));
         }
-        let kept = u64::try_from((left + SUSPECTED).as_millis()).unwrap_or(u64::MAX);
+        let kept = u64::try_from((left + SUSPECT_RETENTION).as_millis()).unwrap_or(u64::MAX);
         own.then_some(QuarantineRecord {
             request,
             written_ms: unix_ms,
@@ -155,86 +170,96 @@
         })
     }
 
-    /// Returns at how many ends a request was running, whichever service it came from.
+    /// Returns the number of crashes at which a request was running, for any calling service.
     #[must_use]
     pub fn crash_count(&self, request: RequestDigest) -> usize {
-        self.ends.suspect(request).map_or(0, Suspect::len)
+        self.crashes.suspect(request).map_or(0, Suspect::len)
     }
 
-    /// Tells whether a request that has ended a backend server just now would do so again. Who ran
-    /// beside another one at each of its ends would not.
+    /// Returns `true` if a request that has just crashed a backend server is expected to crash the
+    /// next one too.
+    ///
+    /// A request that shared each of its crashes with the same other request is expected to do so
+    /// only after `MIN_SHARED_CRASHES`.
     #[must_use]
     pub fn would_crash_again(&self, request: RequestDigest) -> bool {
-        let suspect = self.ends.suspect(request);
-        let own = suspect.map(|suspect| self.ends.own(suspect));
-        own.is_some_and(|own| match own.len() {
-            ENDS_IN_ANY_CASE.. => true,
-            ENDS_BEFORE_ANOTHER.. => is_alone(&own),
+        let suspect = self.crashes.suspect(request);
+        let attributed = suspect.map(|suspect| self.crashes.attributed(suspect));
+        attributed.is_some_and(|crashes| match crashes.len() {
+            MIN_SHARED_CRASHES.. => true,
+            MIN_CRASHES_TO_STOP_RETRY.. => has_single_suspect(&crashes),
             _ => false,
         })
     }
 
-    /// Notes an end and what was running, or more that was; returns whether that is news.
+    /// Records a crash and the requests that were running, or adds requests to a known crash.
+    ///
+    /// Returns `true` if any of them was not recorded before.
     pub fn crashed(&mut self, now: Instant, id: CrashId, prints: &[Fingerprint]) -> bool {
-        self.note(now, id, Past::now(now), prints)
+        self.record_finding(now, id, PastTime::now(now), prints)
     }
 
-    /// Notes that a request ran to its end; returns whether that is news.
+    /// Records that a request has completed. Returns `true` if that clears a suspect.
     pub fn finished(&mut self, now: Instant, print: Fingerprint) -> bool {
-        let suspect = self.ends.suspect(print.request);
+        let suspect = self.crashes.suspect(print.request);
         let known = suspect.is_some_and(|suspect| suspect.callers().contains(&print.caller));
-        known && self.clear(now, Past::now(now), print)
+        known && self.clear(now, PastTime::now(now), print)
     }
 
-    /// Takes in what another node has found.
+    /// Merges findings of another node.
     pub fn merge(&mut self, now: Instant, findings: &[Finding]) {
         for finding in findings {
-            let at = Past::heard(now, finding.age());
+            let at = PastTime::reported(now, finding.age());
             match finding {
-                Finding::Crashed { id, prints, .. } => drop(self.note(now, *id, at, prints)),
+                Finding::Crashed { id, prints, .. } => {
+                    drop(self.record_finding(now, *id, at, prints))
+                }
                 Finding::Finished { print, .. } => drop(self.clear(now, at, *print)),
             }
         }
     }
 
-    /// Returns what is to be passed on in this round.
+    /// Returns the findings to forward in this gossip round.
     pub fn due_findings(&mut self, now: Instant) -> DueFindings {
         let mut due = DueFindings::default();
-        for (id, end) in self.ends.due() {
-            end.rounds -= 1;
-            due.own |= end.at.is_own();
-            due.list.extend(told(*id, end, now));
+        for (id, crash) in self.crashes.due() {
+            crash.rounds -= 1;
+            due.own |= crash.at.is_local();
+            due.list.extend(crash_findings(*id, crash, now));
         }
         for (print, cleared) in self.cleared.iter_mut().filter(|(_, c)| c.rounds > 0) {
             cleared.rounds -= 1;
-            due.own |= cleared.at.is_own();
+            due.own |= cleared.at.is_local();
             let finished = Finding::finished(*print, cleared.at.age(now));
             due.list.push(finished);
         }
         due
     }
 
-    /// Returns everything that is known, for a node that knows something else.
+    /// Returns all findings, for a node whose digest differs.
     #[must_use]
     pub fn all(&self, now: Instant) -> Vec<Finding> {
-        let ends = self.ends.iter().flat_map(|(id, end)| told(*id, end, now));
+        let crashes = self
+            .crashes
+            .iter()
+            .flat_map(|(id, crash)| crash_findings(*id, crash, now));
         let cleared = self.cleared.iter();
         let cleared = cleared.map(|(print, c)| Finding::finished(*print, c.at.age(now)));
-        ends.chain(cleared).collect()
+        crashes.chain(cleared).collect()
     }
 
-    /// Stands for everything that is known: equal where two nodes know the same.
+    /// Returns a digest of all findings. It is equal on two nodes that have the same findings.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let ends = self.ends.iter().map(|(id, _)| id.0);
+        let crashes = self.crashes.iter().map(|(id, _)| id.0);
         let cleared = self.cleared.keys().map(|print| {
             let RequestDigest { head, body } = print.request;
             (head.0 ^ body.0).rotate_left(1) ^ u64::from(print.caller.0)
         });
-        ends.chain(cleared).fold(0, |digest, one| digest ^ one)
+        crashes.chain(cleared).fold(0, |digest, hash| digest ^ hash)
     }
 
-    /// Returns what a node says that compares itself with another one.
+    /// Returns the message that starts an anti-entropy exchange: the digest without findings.
     #[must_use]
     pub fn summary(&self) -> Findings {
         Findings {
@@ -243,7 +268,7 @@
         }
     }
 
-    /// Returns the question for everything that the receiver knows.
+    /// Returns the message that requests all findings of the receiver.
     #[must_use]
     pub fn full_sync(&self) -> Findings {
         Findings {
@@ -252,56 +277,63 @@
         }
     }
 
-    /// Returns that question where `findings` show that the sender knows something else.
+    /// Returns a request for all findings if `findings` is a summary whose digest differs from the
+    /// local one.
     #[must_use]
     pub fn sync_request(&self, findings: &Findings) -> Option<Findings> {
         let compares = findings.list.is_empty() && !findings.asks;
         (compares && self.digest() != findings.digest).then(|| self.full_sync())
     }
 
-    /// Forgets what is over.
+    /// Removes expired entries.
     pub fn sweep(&mut self, now: Instant) {
-        self.cleared.retain(|_, c| c.at.age(now) < CLEARED);
-        let over = |(request, suspect): (&RequestDigest, &Suspect)| {
-            let kept = self.hold(suspect).unwrap_or_default() + SUSPECTED;
-            (self.ends.youngest(now, suspect) >= kept).then_some(*request)
+        self.cleared
+            .retain(|_, c| c.at.age(now) < CLEARED_RETENTION);
+        let expired = |(request, suspect): (&RequestDigest, &Suspect)| {
+            let kept = self.hold_time(suspect).unwrap_or_default() + SUSPECT_RETENTION;
+            (self.crashes.last_age(now, suspect) >= kept).then_some(*request)
         };
-        let over: Vec<RequestDigest> = self.ends.suspects().filter_map(over).collect();
-        for request in over {
-            self.ends.forget_request(request);
+        let expired: Vec<RequestDigest> = self.crashes.suspects().filter_map(expired).collect();
+        for request in expired {
+            self.crashes.forget_request(request);
         }
-        self.ends.prune();
+        self.crashes.prune();
     }
 
-    fn note(&mut self, now: Instant, id: CrashId, at: Past, prints: &[Fingerprint]) -> bool {
-        if at.age(now) >= HOLD_MOST {
+    fn record_finding(
+        &mut self,
+        now: Instant,
+        id: CrashId,
+        at: PastTime,
+        prints: &[Fingerprint],
+    ) -> bool {
+        if at.age(now) >= MAX_HOLD {
             return false;
         }
-        // Where a request was running that is known to end backend servers, the others are not
-        // the cause.
+        // If a held request was running, it is taken as the cause, and the others are not blamed.
         let culprits = prints.iter().filter(|p| self.held(now, **p).is_some());
         let culprits: Vec<Fingerprint> = culprits.copied().collect();
         let blamed = match culprits.is_empty() {
             true => prints,
             false => &culprits[..],
         };
-        let fresh = |print: &&Fingerprint| !self.cleared.contains_key(print);
-        let blamed: Vec<Fingerprint> = blamed.iter().filter(fresh).copied().collect();
-        let news = self.ends.note(now, id, at, &blamed);
-        if news {
-            self.ends.pass_on(id, ROUNDS);
+        let not_cleared = |print: &&Fingerprint| !self.cleared.contains_key(print);
+        let blamed: Vec<Fingerprint> = blamed.iter().filter(not_cleared).copied().collect();
+        let changed = self.crashes.record(now, id, at, &blamed);
+        if changed {
+            self.crashes.forward(id, GOSSIP_ROUNDS);
         }
-        news
+        changed
     }
 
-    fn clear(&mut self, now: Instant, at: Past, print: Fingerprint) -> bool {
-        if at.age(now) >= CLEARED || self.cleared.contains_key(&print) {
+    fn clear(&mut self, now: Instant, at: PastTime, print: Fingerprint) -> bool {
+        if at.age(now) >= CLEARED_RETENTION || self.cleared.contains_key(&print) {
             return false;
         }
-        self.ends.forget(print);
-        let rounds = ROUNDS;
+        self.crashes.forget(print);
+        let rounds = GOSSIP_ROUNDS;
         self.cleared.insert(print, Cleared { at, rounds });
-        if self.cleared.len() > CLEARED_MOST {
+        if self.cleared.len() > MAX_CLEARED {
             let oldest = self.cleared.iter().max_by_key(|(_, c)| c.at.age(now));
             if let Some(print) = oldest.map(|(print, _)| *print) {
                 self.cleared.remove(&print);
@@ -310,36 +342,40 @@
         true
     }
 
-    /// Returns for how long a request is held from now on.
-    fn left(&self, now: Instant, suspect: &Suspect) -> Option<Duration> {
-        let hold = self.hold(suspect)?;
-        let left = hold.saturating_sub(self.ends.youngest(now, suspect));
+    /// Returns the time for which a request is still held.
+    fn remaining_hold(&self, now: Instant, suspect: &Suspect) -> Option<Duration> {
+        let hold = self.hold_time(suspect)?;
+        let left = hold.saturating_sub(self.crashes.last_age(now, suspect));
         (!left.is_zero()).then_some(left)
     }
 
-    /// Returns for how long a request is held after the last of its ends.
-    fn hold(&self, suspect: &Suspect) -> Option<Duration> {
-        if suspect.len() < ENDS {
+    /// Returns the time for which a request is held after the last of its crashes.
+    fn hold_time(&self, suspect: &Suspect) -> Option<Duration> {
+        if suspect.len() < MIN_CRASHES {
             return None;
         }
-        let own = self.ends.own(suspect);
-        let held = own.len() >= ENDS_IN_ANY_CASE || (own.len() == ENDS && is_alone(&own));
-        let further = u32::try_from(own.len().saturating_sub(ENDS)).unwrap_or(u32::MAX);
-        let times = 2_u32.saturating_pow(further);
-        held.then(|| HOLD.saturating_mul(times).min(HOLD_MOST))
+        let attributed = self.crashes.attributed(suspect);
+        let held = attributed.len() >= MIN_SHARED_CRASHES
+            || (attributed.len() == MIN_CRASHES && has_single_suspect(&attributed));
+        let extra = u32::try_from(attributed.len().saturating_sub(MIN_CRASHES)).unwrap_or(u32::MAX);
+        let factor = 2_u32.saturating_pow(extra);
+        held.then(|| BASE_HOLD.saturating_mul(factor).min(MAX_HOLD))
     }
 }
 
-/// Tells whether only one request was running at all these ends.
-fn is_alone(ends: &[&End]) -> bool {
-    let requests = |end: &&End| -> BTreeSet<RequestDigest> {
-        end.prints.iter().map(|print| print.request).collect()
+/// Returns `true` if exactly one request was running at all of these crashes.
+fn has_single_suspect(crashes: &[&CrashEntry]) -> bool {
+    let requests = |crash: &&CrashEntry| -> BTreeSet<RequestDigest> {
+        crash.prints.iter().map(|print| print.request).collect()
     };
-    let everywhere = ends.iter().map(requests).reduce(|all, here| &all & &here);
-    everywhere.is_some_and(|requests| requests.len() == 1)
+    let common = crashes
+        .iter()
+        .map(requests)
+        .reduce(|common, running| &common & &running);
+    common.is_some_and(|requests| requests.len() == 1)
 }
 
-fn told(id: CrashId, end: &End, now: Instant) -> Vec<Finding> {
-    let prints: Vec<Fingerprint> = end.prints.iter().copied().collect();
-    Finding::crashed(id, end.at.age(now), &prints)
+fn crash_findings(id: CrashId, crash: &CrashEntry, now: Instant) -> Vec<Finding> {
+    let prints: Vec<Fingerprint> = crash.prints.iter().copied().collect();
+    Finding::crashed(id, crash.at.age(now), &prints)
 }
