--- a/crates/swiftcart-core/src/crash/finding.rs
+++ b/crates/swiftcart-core/src/crash/finding.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of requests and the ends of backend servers.
+//! Messages with which nodes exchange crashes and completed requests.
 
 use std::time::Duration;
 
@@ -6,52 +6,54 @@
 
 use super::{CrashId, Fingerprint};
 
-/// The most bytes of findings in one datagram; the rest is room for the seal and the digest.
-const DATAGRAM_BYTES: usize = 1000;
+/// Maximum size of the findings in one datagram, in bytes. The rest is for the seal and the digest.
+const MAX_FINDINGS_BYTES: usize = 1000;
 
-/// The most fingerprints in one finding: with bodies, some 20 bytes each, they fit one datagram.
-const PRINTS_MOST: usize = 40;
+/// Maximum number of fingerprints in one finding. With a body hash a fingerprint takes about 20 bytes,
+/// so that the finding fits into one datagram.
+const MAX_FINGERPRINTS: usize = 40;
 
-/// One thing that a node has found out.
+/// Crash or completed request that a node has observed.
 ///
-/// The age travels along, since the clocks of two processes have nothing in common.
+/// A finding carries its age, because the clocks of two processes are not comparable.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Finding {
-    /// A backend server has ended.
+    /// A backend server has crashed.
     Crashed {
-        /// Which end.
+        /// Id of the crash.
         id: CrashId,
-        /// How long ago, in milliseconds.
+        /// Age in milliseconds.
         age_ms: u32,
-        /// What it was running, or a part of it.
+        /// Requests that were running, or a part of them.
         prints: Vec<Fingerprint>,
     },
-    /// A backend server has run a request to its end, so that it is harmless.
+    /// A backend server has completed a request, which shows that the request is harmless.
     Finished {
-        /// The request.
+        /// Completed request.
         print: Fingerprint,
-        /// How long ago, in milliseconds.
+        /// Age in milliseconds.
         age_ms: u32,
     },
 }
 
-/// Findings on their way, and what their sender knows in all.
+/// Message with findings and a digest of all findings of the sender.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Findings {
-    /// Stands for everything that the sender knows.
+    /// Digest of all findings of the sender.
     pub digest: u64,
-    /// Whether the sender asks for everything that the receiver knows.
+    /// `true` if the sender requests all findings of the receiver.
     pub asks: bool,
-    /// The findings.
+    /// Findings in this message.
     pub list: Vec<Finding>,
 }
 
 impl Finding {
-    /// Creates the findings for one end; many requests make several of them.
+    /// Creates the findings for one crash. More than `MAX_FINGERPRINTS` requests are split into
+    /// several findings.
     #[must_use]
     pub fn crashed(id: CrashId, age: Duration, prints: &[Fingerprint]) -> Vec<Self> {
         let age_ms = millis(age);
-        let parts = prints.chunks(PRINTS_MOST);
+        let parts = prints.chunks(MAX_FINGERPRINTS);
         let parts = parts.map(|part| Self::Crashed {
             id,
             age_ms,
@@ -60,14 +62,14 @@
         parts.collect()
     }
 
-    /// Creates the finding for a request that has run to its end.
+    /// Creates the finding for a completed request.
     #[must_use]
     pub fn finished(print: Fingerprint, age: Duration) -> Self {
         let age_ms = millis(age);
         Self::Finished { print, age_ms }
     }
 
-    /// Returns it when `by` more has passed.
+    /// Returns the finding with its age increased by `by`.
     #[must_use]
     pub fn older(mut self, by: Duration) -> Self {
         match &mut self {
@@ -78,7 +80,7 @@
         self
     }
 
-    /// Returns how long ago it was.
+    /// Returns the age.
     #[must_use]
     pub const fn age(&self) -> Duration {
         match self {
@@ -90,19 +92,19 @@
 }
 
 impl Findings {
-    /// Spreads findings over as many messages as it takes for each to fit one datagram.
+    /// Splits findings into messages that fit into one datagram each.
     #[must_use]
     pub fn pack(digest: u64, list: Vec<Finding>) -> Vec<Self> {
         let mut packed: Vec<Self> = Vec::new();
         let mut room = 0;
         for finding in list {
-            let size = size_of(&finding);
+            let size = encoded_size(&finding);
             if size > room {
                 packed.push(Self {
                     digest,
                     ..Self::default()
                 });
-                room = DATAGRAM_BYTES;
+                room = MAX_FINDINGS_BYTES;
             }
             room = room.saturating_sub(size);
             if let Some(last) = packed.last_mut() {
@@ -113,9 +115,10 @@
     }
 }
 
-fn size_of(finding: &Finding) -> usize {
-    // What cannot be encoded gets a message of its own, which is not sent then.
-    postcard::experimental::serialized_size(finding).unwrap_or(DATAGRAM_BYTES)
+fn encoded_size(finding: &Finding) -> usize {
+    // A finding that cannot be encoded gets its own message, so that the failure to send that
+    // message affects no other finding.
+    postcard::experimental::serialized_size(finding).unwrap_or(MAX_FINDINGS_BYTES)
 }
 
 fn millis(time: Duration) -> u32 {
--- a/crates/swiftcart-core/src/crash/fingerprint.rs
+++ b/crates/swiftcart-core/src/crash/fingerprint.rs
@@ -1,43 +1,43 @@
-//! What makes two requests the same one, come again.
+//! Fingerprints by which repeated requests are recognised.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The fields of a request's head that stay when its caller sends it again.
+/// Fields of a request head that stay the same when the caller sends the request again.
 ///
-/// The request's id and its deadline are new each time. Who identifies itself otherwise sends
-/// another request.
+/// The request id and the deadline differ each time. A request with other credentials is a different
+/// request.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct HeadFields<'a> {
-    /// What the caller identifies itself with, a header a value.
+    /// Credentials of the caller, one value per header.
     pub credentials: [&'a [u8]; 2],
-    /// The method.
+    /// HTTP method.
     pub method: &'a [u8],
-    /// The host that it is for.
+    /// Host that the request addresses.
     pub host: &'a [u8],
-    /// Path and query.
+    /// Path and query of the request target.
     pub target: &'a [u8],
 }
 
-/// Stands for the head of a request, whatever its body.
+/// Hash of a request head, without the body.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct HeadHash(pub u64);
 
-/// Stands for the body of a request; 0 for none.
+/// Hash of a request body, or 0 for an empty body.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct BodyHash(pub u64);
 
-/// Stands for a request, whichever service it comes from.
+/// Digest of a request, independent of the calling service.
 ///
-/// Head and body are told apart, so that a node reads a body before it sends it on only where the
-/// head is one that it has to look for. An empty body costs one byte on the way to other nodes.
+/// The head and the body have separate hashes, so that a node buffers a body before forwarding it
+/// only if the head matches a suspect. An empty body takes one byte in a datagram.
 ///
 /// # Examples
 ///
@@ -54,49 +54,50 @@
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestDigest {
-    /// The head's.
+    /// Hash of the head.
     pub head: HeadHash,
-    /// The body's.
+    /// Hash of the body.
     pub body: BodyHash,
 }
 
-/// Stands for the service that a request comes from.
+/// Hash of the name of the service that sends a request.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct CallerHash(pub u16);
 
-/// Stands for a request of a service: the same for every time that it is sent.
+/// Fingerprint of a request and its calling service, equal each time that the request is sent.
 ///
-/// A backend server is told the service, and may treat the same request of two services otherwise.
+/// A backend server is told the calling service, and may handle the same request from two services
+/// differently.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint {
-    /// The request.
+    /// Digest of the request.
     pub request: RequestDigest,
-    /// Where it comes from.
+    /// Calling service.
     pub caller: CallerHash,
 }
 
 impl HeadHash {
-    /// Returns what stands for `fields`.
+    /// Returns the hash of `fields`.
     #[must_use]
     pub fn new(fields: &HeadFields<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         let [first, second] = fields.credentials;
         for part in [first, second, fields.method, fields.host, fields.target] {
-            // The length keeps neighbouring parts apart.
+            // The length prefix keeps a byte from counting to the neighbouring field.
             hasher.update(&part.len().to_le_bytes());
             hasher.update(part);
         }
-        Self(short(&hasher))
+        Self(truncated_hash(&hasher))
     }
 }
 
 impl CallerHash {
-    /// Returns what stands for a service; a mesh has some dozens of them.
+    /// Returns the hash of a service name. Two bytes are enough for the few dozen services of a mesh.
     #[must_use]
     pub fn new(service: &[u8]) -> Self {
         let hash = blake3::hash(service);
@@ -106,7 +107,7 @@
 }
 
 impl BodyHash {
-    /// Returns what stands for the body that `chunks` make up, however it was cut.
+    /// Returns the hash of the body that consists of `chunks`, regardless of the chunk boundaries.
     #[must_use]
     pub fn new<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -115,14 +116,16 @@
         }
         match hasher.count() {
             0 => Self::default(),
-            _ => Self(short(&hasher)),
+            _ => Self(truncated_hash(&hasher)),
         }
     }
 }
 
-/// Returns 64 bits of the hash: among a million requests two are alike once in 37 million times,
-/// and nobody finds one that is like another caller's.
-fn short(hasher: &blake3::Hasher) -> u64 {
+/// Returns the first 64 bits of the hash.
+///
+/// Among a million requests, the probability of a collision is one in 37 million. It is infeasible to
+/// find a request that collides with the request of another caller.
+fn truncated_hash(hasher: &blake3::Hasher) -> u64 {
     let mut bytes = [0; 8];
     hasher.finalize_xof().fill(&mut bytes);
     u64::from_le_bytes(bytes)
--- a/crates/swiftcart-core/src/crash/record.rs
+++ b/crates/swiftcart-core/src/crash/record.rs
@@ -1,4 +1,4 @@
-//! What lasts of a held request when every process that knew it is gone.
+//! Persistent record of a held request, for the case that all nodes that knew it have ended.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use super::{Finding, RequestDigest};
 
-/// A held request and the ends that speak against it, with wall-clock times.
+/// Persistent record of a held request and its crashes, with wall-clock times.
 ///
-/// Processes that start later have clocks of their own. A wall clock that is off by some seconds
-/// lengthens or shortens a hold by as much.
+/// Monotonic clocks of processes that start later are not comparable. A wall clock that is off by a
+/// few seconds lengthens or shortens the hold by the same time.
 ///
 /// # Examples
 ///
@@ -24,22 +24,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuarantineRecord {
-    /// The request.
+    /// Held request.
     pub request: RequestDigest,
-    /// When this was written, in Unix milliseconds; the ages of the ends are as of then.
+    /// Time at which the record was written, in Unix milliseconds. The ages of the crashes refer to it.
     pub written_ms: u64,
-    /// Until when it counts, in Unix milliseconds.
+    /// Time at which the record expires, in Unix milliseconds.
     pub until_ms: u64,
-    /// The ends at which the request was running.
+    /// Crashes at which the request was running.
     pub ends: Vec<Finding>,
 }
 
 impl QuarantineRecord {
-    /// Returns the ends with their ages as of `unix_ms`; `None` when the memo is over.
+    /// Returns the crashes with their ages as of `unix_ms`, or `None` if the record has expired.
     #[must_use]
     pub fn findings(&self, unix_ms: u64) -> Option<Vec<Finding>> {
-        let since = Duration::from_millis(unix_ms.saturating_sub(self.written_ms));
-        let aged = || self.ends.iter().map(|end| end.clone().older(since));
+        let elapsed = Duration::from_millis(unix_ms.saturating_sub(self.written_ms));
+        let aged = || self.ends.iter().map(|crash| crash.clone().older(elapsed));
         (unix_ms < self.until_ms).then(|| aged().collect())
     }
 }
--- a/crates/swiftcart-core/src/deadline.rs
+++ b/crates/swiftcart-core/src/deadline.rs
@@ -1,4 +1,4 @@
-//! The time by which a caller needs its answer.
+//! Deadline by which a caller needs its answer.
 
 use std::num::ParseIntError;
 use std::time::Duration;
@@ -7,15 +7,14 @@
 
 use crate::Instant;
 
-/// The time that one level keeps for itself: the way there and back between two
-/// failure domains (3 ms) and the handling.
+/// Time that each hop reserves: the round trip between two failure domains (3 ms) and the processing.
 pub const HOP_ALLOWANCE: Duration = Duration::from_millis(5);
 
 quick_error! {
-    /// Says what is wrong with a deadline that a caller sent.
+    /// Error of a deadline that a caller sent.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum DeadlineError {
-        /// The text is no count of milliseconds.
+        /// The text is not a whole number of milliseconds.
         Malformed(err: ParseIntError) {
             display("Swiftcart-Deadline-Ms: {err}; send the time left in whole milliseconds")
             source(err)
@@ -23,9 +22,9 @@
     }
 }
 
-/// Holds the instant by which an answer is due, on this process's clock.
+/// Instant by which an answer is due, on this process's clock.
 ///
-/// Between processes only the time left travels, since clocks differ.
+/// Nodes send each other only the remaining time, because their clocks differ.
 ///
 /// # Examples
 ///
@@ -43,53 +42,54 @@
 pub struct Deadline(Instant);
 
 impl Deadline {
-    /// Creates the deadline that ends `time` after `now`.
+    /// Creates the deadline that lies `time` after `now`.
     #[must_use]
     pub fn new(now: Instant, time: Duration) -> Self {
         Self(now + time)
     }
 
-    /// Creates the deadline that ends at `instant`.
+    /// Creates the deadline at `instant`.
     #[must_use]
     pub const fn at_instant(instant: Instant) -> Self {
         Self(instant)
     }
 
-    /// Reads the time left in milliseconds, cut down to `longest`.
+    /// Parses the remaining time in milliseconds and limits it to `longest`.
     ///
     /// # Errors
     ///
-    /// [`DeadlineError::Malformed`] when `text` is no whole number.
+    /// [`DeadlineError::Malformed`] if `text` is not a whole number.
     pub fn parse(now: Instant, text: &str, longest: Duration) -> Result<Self, DeadlineError> {
         let ms = text.trim().parse().map_err(DeadlineError::Malformed)?;
         Ok(Self::new(now, Duration::from_millis(ms).min(longest)))
     }
 
-    /// Brings the deadline forward to `time` after `now` when it lies behind that.
+    /// Returns the earlier of this deadline and `time` after `now`.
     #[must_use]
     pub fn within(self, now: Instant, time: Duration) -> Self {
         self.min(Self::new(now, time))
     }
 
-    /// Brings the deadline forward by the time that this level keeps for itself.
+    /// Returns a deadline that is `allowance` earlier.
     #[must_use]
     pub const fn minus(self, allowance: Duration) -> Self {
         Self(Instant::new(self.0.elapsed().saturating_sub(allowance)))
     }
 
-    /// Returns the instant at which the time is over.
+    /// Returns the instant of the deadline.
     #[must_use]
     pub const fn at(self) -> Instant {
         self.0
     }
 
-    /// Returns the time left, zero when it is over.
+    /// Returns the remaining time, or zero after the deadline.
     #[must_use]
     pub const fn left(self, now: Instant) -> Duration {
         self.0.since(now)
     }
 
-    /// Returns the time left in whole milliseconds for the next level, or `None` when it is over.
+    /// Returns the remaining time for the next hop in whole milliseconds, or `None` if less than 1 ms
+    /// remains.
     #[must_use]
     pub fn left_ms(self, now: Instant) -> Option<u64> {
         match self.left(now).as_millis() {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tells whether less than `needed` is left.
+    /// Returns `true` if the deadline has passed or less than `needed` remains.
     #[must_use]
     pub fn misses(self, now: Instant, needed: Duration) -> bool {
         self.0 <= now || self.left(now) < needed
--- a/crates/swiftcart-core/src/notice.rs
+++ b/crates/swiftcart-core/src/notice.rs
@@ -1,5 +1,5 @@
-//! What backend servers say of themselves in the heads of their answers: the rate that they take, and
-//! that they leave.
+//! Notices that backend servers give in the heads of their answers: a rate limit or a coming
+//! shutdown.
 
 mod cache;
 mod rate;
@@ -9,7 +9,7 @@
 pub use rate::*;
 pub use tracker::*;
 
-/// Holds what one answer says of the backend server that gave it.
+/// Notice that one answer gives about its backend server.
 ///
 /// # Examples
 ///
@@ -22,21 +22,21 @@
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// The requests a second that it takes from all callers together; without one, as many as it has slots for.
+    /// Rate limit for all callers together. Without one, only the number of slots limits the requests.
     pub rate: Option<ServerRate>,
-    /// Whether it leaves, and takes no new work.
+    /// `true` if the backend server is shutting down and accepts no new requests.
     pub leaving: bool,
 }
 
 impl Notice {
-    /// Sets the rate.
+    /// Sets the rate limit.
     #[must_use]
     pub const fn with_rate(mut self, rate: Option<ServerRate>) -> Self {
         self.rate = rate;
         self
     }
 
-    /// Sets whether the backend server leaves.
+    /// Sets whether the backend server is shutting down.
     #[must_use]
     pub const fn with_leaving(mut self, leaving: bool) -> Self {
         self.leaving = leaving;
--- a/crates/swiftcart-core/src/notice/cache.rs
+++ b/crates/swiftcart-core/src/notice/cache.rs
@@ -1,4 +1,4 @@
-//! What guards tell ingresses of their backend servers, and are told again after they have started anew.
+//! Notices that guards send to ingresses, and that ingresses send back to restarted guards.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,24 +9,25 @@
 use super::{Notice, RateError, ServerRate};
 use crate::{NodeId, StartTime};
 
-/// Guards whose word is remembered at most; more than a mesh has backend servers in need.
-const MOST: usize = 4096;
+/// Maximum number of guards whose notices are cached: more than the backend servers of a mesh that
+/// give notices at the same time.
+const MAX_GUARDS: usize = 4096;
 
-/// What stands for no rate between nodes.
+/// Text that stands for no rate limit between nodes.
 const NO_RATE: &str = "-";
 
-/// What says that a backend server leaves, between nodes.
+/// Text that stands for a shutdown notice between nodes.
 const LEAVING: &str = "leaving";
 
 quick_error! {
-    /// Tells why a text between nodes is no notice.
+    /// Error of a text from another node that is not a valid notice.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum NoticeError {
-        /// The process is not named by 16 hexadecimal digits.
+        /// The text does not begin with the 16 hexadecimal digits of a process tag.
         Process {
-            display("a notice begins with the 16 hexadecimal digits of a process")
+            display("the notice does not begin with the 16 hexadecimal digits of a process tag")
         }
-        /// The rate cannot be read.
+        /// The rate limit is invalid.
         Rate(err: RateError) {
             from()
             source(err)
@@ -35,11 +36,11 @@
     }
 }
 
-/// Stands for one process of a backend server.
+/// Hash that identifies one process of a backend server.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ProcessTag(u64);
 
-/// Holds what one process of a backend server has said of itself.
+/// Notice of one process of a backend server.
 ///
 /// # Examples
 ///
@@ -48,22 +49,22 @@
 ///
 /// let notice = Notice::default().with_rate(ServerRate::new(49.2));
 /// let process = ProcessTag::new(b"i-1", Some(StartTime(1_700_000_000_000)));
-/// let told = ProcessNotice { process, notice };
-/// assert_eq!(told.to_string().parse(), Ok(told));
+/// let sent = ProcessNotice { process, notice };
+/// assert_eq!(sent.to_string().parse(), Ok(sent));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProcessNotice {
-    /// The process.
+    /// Process that gave the notice.
     pub process: ProcessTag,
-    /// What it said.
+    /// Notice that the process gave.
     pub notice: Notice,
 }
 
-/// Remembers at an ingress what it was told with the answers of each guard.
+/// Cache of the last notice that an ingress has received from each guard.
 ///
-/// A guard forgets with its process what its backend server has said, and would hand it many requests
-/// before the first answer says so again. Ingresses send along what they were told, so that a
-/// guard knows before it hands over the first request of an ingress that does.
+/// A restarted guard no longer knows the notice of its backend server, and would hand over many
+/// requests before the first answer repeats it. An ingress therefore sends the cached notice with its
+/// requests, so that the guard applies it before it hands over the first of them.
 ///
 /// # Examples
 ///
@@ -72,12 +73,12 @@
 ///
 /// let guard = NodeId(([10, 0, 0, 1], 7000).into());
 /// let process = ProcessTag::new(b"i-1", None);
-/// let told = ProcessNotice { process, notice: Notice::default().with_leaving(true) };
-/// let mut notices = NoticeCache::default();
-/// notices.note(guard, told);
-/// assert_eq!(notices.of(guard), Some(told));
-/// notices.note(guard, ProcessNotice { process, notice: Notice::default() });
-/// assert_eq!(notices.of(guard), None);
+/// let leaving = ProcessNotice { process, notice: Notice::default().with_leaving(true) };
+/// let mut cache = NoticeCache::default();
+/// cache.note(guard, leaving);
+/// assert_eq!(cache.of(guard), Some(leaving));
+/// cache.note(guard, ProcessNotice { process, notice: Notice::default() });
+/// assert_eq!(cache.of(guard), None);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct NoticeCache {
@@ -85,7 +86,7 @@
 }
 
 impl ProcessTag {
-    /// Returns what stands for the process of the backend server `id` that started at `start`.
+    /// Returns the tag of the process of the backend server `id` that started at `start`.
     #[must_use]
     pub fn new(id: &[u8], start: Option<StartTime>) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -100,16 +101,16 @@
 }
 
 impl NoticeCache {
-    /// Takes what a guard told; nothing is kept of a backend server that has nothing to say any more.
-    pub fn note(&mut self, guard: NodeId, told: ProcessNotice) {
-        if told.notice == Notice::default() {
+    /// Stores the notice that a guard sent. A default notice removes the entry of the guard.
+    pub fn note(&mut self, guard: NodeId, received: ProcessNotice) {
+        if received.notice == Notice::default() {
             self.by_guard.remove(&guard);
-        } else if self.by_guard.len() < MOST || self.by_guard.contains_key(&guard) {
-            self.by_guard.insert(guard, told);
+        } else if self.by_guard.len() < MAX_GUARDS || self.by_guard.contains_key(&guard) {
+            self.by_guard.insert(guard, received);
         }
     }
 
-    /// Returns what a guard told last.
+    /// Returns the last notice that a guard sent.
     #[must_use]
     pub fn of(&self, guard: NodeId) -> Option<ProcessNotice> {
         self.by_guard.get(&guard).copied()
--- a/crates/swiftcart-core/src/notice/rate.rs
+++ b/crates/swiftcart-core/src/notice/rate.rs
@@ -1,4 +1,4 @@
-//! A rate as a backend server names it.
+//! Rate limit that a backend server states in a notice.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,21 +6,21 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Tells why a text names no rate.
+    /// Error of a text that is not a valid rate limit.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum RateError {
-        /// It is no decimal number.
+        /// The text is not a decimal number.
         Syntax {
-            display("a rate is a decimal number of requests a second, for example 49.2")
+            display("the rate limit must be a decimal number of requests per second, for example 49.2")
         }
-        /// It is below zero or without bounds.
+        /// The number is negative or not finite.
         Range {
-            display("a rate is a number of requests a second from 0 on")
+            display("the rate limit must be a finite number of requests per second, 0 or more")
         }
     }
 }
 
-/// Requests a second that a backend server takes from all callers together, 0 or more.
+/// Rate limit of a backend server for all callers together, in requests per second; 0 or more.
 ///
 /// # Examples
 ///
@@ -35,19 +35,19 @@
 pub struct ServerRate(f64);
 
 impl ServerRate {
-    /// Creates a rate; `None` when `per_second` is below zero or not finite.
+    /// Creates a rate limit, or returns `None` if `per_second` is negative or not finite.
     #[must_use]
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Returns the lower one of two rates.
+    /// Returns the lower of two rate limits.
     #[must_use]
     pub const fn lower(self, other: Self) -> Self {
         Self(self.0.min(other.0))
     }
 
-    /// Returns the requests a second.
+    /// Returns the requests per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
         self.0
--- a/crates/swiftcart-core/src/notice/tracker.rs
+++ b/crates/swiftcart-core/src/notice/tracker.rs
@@ -1,13 +1,13 @@
-//! What the guard beside a backend server believes of it from its answers.
+//! Current notice of a backend server, as its guard derives it from answers.
 
 use super::Notice;
 use crate::Instant;
 
-/// Follows what one process of a backend server says of itself.
+/// Tracker of the current notice of one backend server process.
 ///
-/// Answers overtake each other. A rate that rises or ends counts only in an answer to a request that
-/// was handed over after the rate was last confirmed; a lower one counts at once. A process
-/// that leaves does not come back.
+/// Answers may arrive out of order. A lower rate limit takes effect at once. A higher or removed rate
+/// limit takes effect only if the request of the answer was handed over after the current rate limit
+/// was last confirmed. A shutdown notice is never revoked.
 ///
 /// # Examples
 ///
@@ -15,60 +15,61 @@
 /// use swiftcart_core::{Instant, Notice, NoticeTracker, ServerRate};
 ///
 /// let at = Instant::from_millis;
-/// let named = Notice::default().with_rate(ServerRate::new(20.0));
-/// let mut belief = NoticeTracker::default();
-/// assert!(belief.observe(at(50), at(0), named));
-/// assert!(!belief.observe(at(51), at(10), Notice::default()), "it was sent before the rate was named");
-/// assert!(belief.observe(at(90), at(60), Notice::default()));
-/// assert_eq!(belief.now(), Notice::default());
+/// let limited = Notice::default().with_rate(ServerRate::new(20.0));
+/// let mut tracker = NoticeTracker::default();
+/// assert!(tracker.observe(at(50), at(0), limited));
+/// assert!(!tracker.observe(at(51), at(10), Notice::default()), "the request was sent before the rate limit was confirmed");
+/// assert!(tracker.observe(at(90), at(60), Notice::default()));
+/// assert_eq!(tracker.now(), Notice::default());
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct NoticeTracker {
-    now: Notice,
-    /// When the rate was last confirmed; `None` before the first answer.
+    current: Notice,
+    /// Time at which the rate limit was last confirmed, or `None` before the first answer.
     confirmed: Option<Instant>,
 }
 
 impl NoticeTracker {
-    /// Takes the notice of an answer to a request that was handed over at `sent`; returns whether the
-    /// belief changed.
-    pub fn observe(&mut self, now: Instant, sent: Instant, said: Notice) -> bool {
-        let old = self.now;
-        self.now.leaving |= said.leaving;
-        let later = self.confirmed.is_none_or(|confirmed| sent > confirmed);
-        if said.rate == old.rate || later || is_lower(old, said) {
-            self.now.rate = said.rate;
+    /// Applies the notice of an answer to a request that was handed over at `sent`. Returns `true` if
+    /// the current notice changed.
+    pub fn observe(&mut self, now: Instant, sent: Instant, notice: Notice) -> bool {
+        let old = self.current;
+        self.current.leaving |= notice.leaving;
+        let is_newer = self.confirmed.is_none_or(|confirmed| sent > confirmed);
+        if notice.rate == old.rate || is_newer || has_lower_rate(old, notice) {
+            self.current.rate = notice.rate;
             self.confirmed = Some(now);
         }
-        self.now != old
+        self.current != old
     }
 
-    /// Takes what the process has said according to another node; returns whether the belief changed.
+    /// Applies a notice of the process that another node relays. Returns `true` if the current notice
+    /// changed.
     ///
-    /// The lowest rate counts until an answer of the process itself was heard.
-    pub fn relay(&mut self, said: Notice) -> bool {
-        let old = self.now;
-        self.now.leaving |= said.leaving;
+    /// The lowest relayed rate limit applies until the process itself has answered.
+    pub fn relay(&mut self, notice: Notice) -> bool {
+        let old = self.current;
+        self.current.leaving |= notice.leaving;
         if self.confirmed.is_none() {
-            self.now.rate = match (old.rate, said.rate) {
-                (Some(old), Some(said)) => Some(old.lower(said)),
-                (old, said) => old.or(said),
+            self.current.rate = match (old.rate, notice.rate) {
+                (Some(old), Some(new)) => Some(old.lower(new)),
+                (old, new) => old.or(new),
             };
         }
-        self.now != old
+        self.current != old
     }
 
-    /// Returns what is believed now.
+    /// Returns the current notice.
     #[must_use]
     pub const fn now(&self) -> Notice {
-        self.now
+        self.current
     }
 }
 
-fn is_lower(old: Notice, said: Notice) -> bool {
-    match (old.rate, said.rate) {
+fn has_lower_rate(old: Notice, notice: Notice) -> bool {
+    match (old.rate, notice.rate) {
         (None, Some(_)) => true,
-        (Some(old), Some(said)) => said < old,
+        (Some(old), Some(new)) => new < old,
         (_, None) => false,
     }
 }
--- a/crates/swiftcart-core/src/outcome.rs
+++ b/crates/swiftcart-core/src/outcome.rs
@@ -1,19 +1,19 @@
-//! What a caller is told about its request: the outcome, and the reason of a refusal or failure.
+//! Outcome of a request as reported to its caller, and the reason for a refusal or failure.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Tells a caller what became of its request.
+/// Outcome of a request, as reported to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The backend server gave a whole answer.
+    /// The backend server gave a complete answer.
     Done,
     /// The request never reached a backend server.
     NotRun,
-    /// The request was handed over and no whole answer came back.
+    /// The request was handed over, and no complete answer came back.
     Unknown,
 }
 
@@ -41,14 +41,14 @@
     }
 }
 
-/// Declares [`Reason`] from one table, so that no list of its variants can miss one.
+/// Declares [`Reason`] from one table, so that each list of its variants is complete.
 macro_rules! reasons {
     ($($(#[doc = $doc:literal])+ $variant:ident, $name:literal, $status:literal, $outcome:ident;)+) => {
-        /// Tells why a node refused a request or could not finish it.
+        /// Reason for which a node refused a request or could not complete it.
         ///
-        /// The set is closed: each reason has one counter, one HTTP status and one
-        /// [`Outcome`]. Where a reason can be met both before and after the
-        /// hand-over to a backend server, its outcome is the careful one, `unknown`.
+        /// The set is closed: each reason has one counter, one HTTP status and one [`Outcome`].
+        /// A reason that can occur both before and after the hand-over to a backend server has
+        /// the conservative outcome, `unknown`.
         #[derive(
             Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -58,7 +58,7 @@
         }
 
         impl Reason {
-            /// Every reason, for registering counters.
+            /// All reasons, for the registration of counters.
             pub const ALL: &'static [Self] = &[$(Self::$variant),+];
 
             /// Returns the name used in headers, logs and metrics.
@@ -75,7 +75,7 @@
                 }
             }
 
-            /// Returns what has happened, in one sentence.
+            /// Returns a description of the reason, in one sentence.
             ///
             /// # Examples
             ///
@@ -91,7 +91,7 @@
                 text.trim()
             }
 
-            /// Returns the HTTP status of an answer that a node makes for this reason.
+            /// Returns the HTTP status with which a node answers for this reason.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self {
@@ -99,7 +99,7 @@
                 }
             }
 
-            /// Returns what the caller may conclude about its request.
+            /// Returns the outcome that the caller may conclude for its request.
             #[must_use]
             pub const fn outcome(self) -> Outcome {
                 match self {
@@ -111,91 +111,91 @@
 }
 
 reasons! {
-    /// No route of the table takes the path.
+    /// No route of the table matches the path.
     NoRoute, "no-route", 404, NotRun;
-    /// The table routes the path, and no backend server of its services is known.
+    /// A route matches the path, but no backend server of its services is known.
     NoBackend, "no-backend", 503, NotRun;
-    /// No backend server that takes new work is in a region in which the request may be run.
+    /// No backend server that accepts new requests is in a region where the request may run.
     NoHome, "no-home", 503, NotRun;
-    /// Backend servers are known, and none of them takes new work.
+    /// Backend servers are known, but none of them accepts new requests.
     NotReady, "not-ready", 503, NotRun;
-    /// The guard's queue holds as many requests as it may.
+    /// The guard's queue is full.
     QueueFull, "queue-full", 503, NotRun;
-    /// Long answers fill the link of the guard's instance.
+    /// Long answers use the full link bandwidth of the guard's instance.
     LinkBusy, "link-busy", 503, NotRun;
     /// The guard expects the wait in its queue to be too long.
     Overloaded, "overloaded", 503, NotRun;
-    /// The backend server gets as many requests a second as it has named.
+    /// The rate limit that the backend server has stated is reached.
     Throttled, "throttled", 503, NotRun;
-    /// The deadline passed, or cannot be met any more, before the hand-over.
+    /// The deadline passed before the hand-over, or could no longer be met.
     DeadlinePassed, "deadline-passed", 504, NotRun;
     /// The service's rate limit has no token left at this guard.
     RateLimited, "rate-limited", 429, NotRun;
-    /// The backend server finishes what it has and takes no new work.
+    /// The backend server completes its running requests and accepts no new ones.
     Draining, "draining", 503, NotRun;
     /// The backend server is starting.
     Warming, "warming", 503, NotRun;
-    /// The backend server's release is on trial, and has run what it may for now.
+    /// The backend server runs a canary release that has reached its request limit for now.
     OnTrial, "on-trial", 503, NotRun;
     /// The node is stopping.
     Stopping, "stopping", 503, NotRun;
-    /// The platform's log, which holds the claims, cannot be reached.
+    /// The platform's log, which stores the claims, is unreachable.
     PlatformDown, "platform-down", 503, NotRun;
-    /// The idempotency key came before with another body.
+    /// The idempotency key was already used with another request body.
     KeyReused, "key-reused", 422, NotRun;
     /// A request with the same idempotency key is still running.
     KeyInProgress, "key-in-progress", 409, Unknown;
-    /// A request with the same idempotency key was handed over and its answer is lost.
+    /// A request with the same idempotency key was handed over, and its answer is lost.
     KeyUnknown, "key-unknown", 502, Unknown;
-    /// The node has not read the claims of the key's partition to their end yet.
+    /// The node has not yet read all claims of the key's partition.
     CatchingUp, "catching-up", 503, NotRun;
-    /// No more idempotency keys can be remembered until some expire.
+    /// The store for idempotency keys is full until some of them expire.
     LedgerFull, "ledger-full", 503, NotRun;
-    /// A newer release wrote claims that this one cannot judge.
+    /// A newer release of the node wrote claims that this release cannot evaluate.
     ClaimRule, "claim-rule", 503, NotRun;
-    /// The claim's time was over before the hand-over.
+    /// The claim expired before the hand-over.
     ClaimLapsed, "claim-lapsed", 503, NotRun;
-    /// The answer is larger than a node keeps for an idempotency key.
+    /// The answer exceeds the size limit for stored answers of an idempotency key.
     AnswerTooLarge, "answer-too-large", 502, Unknown;
-    /// The answer did not fit this node's memory for answers.
+    /// The answer did not fit into the node's memory for stored answers.
     AnswerDropped, "answer-dropped", 502, Unknown;
     /// The request is malformed.
     BadRequest, "bad-request", 400, NotRun;
-    /// The request's header is larger than a node takes.
+    /// The request header exceeds the size limit.
     HeaderTooLarge, "header-too-large", 431, NotRun;
-    /// The request's body is larger than a node takes.
+    /// The request body exceeds the size limit.
     BodyTooLarge, "body-too-large", 413, NotRun;
-    /// The node beside the backend server does not serve the service that was asked for.
+    /// The node beside the backend server does not serve the requested service.
     Misdirected, "misdirected", 421, NotRun;
-    /// The node holds as many connections as it may.
+    /// The node has reached its connection limit.
     TooManyConnections, "too-many-connections", 503, NotRun;
-    /// The backend server says that it did not run the request.
+    /// The backend server states that it did not run the request.
     Shed, "shed", 503, NotRun;
-    /// The backend server did not take the connection.
+    /// The backend server did not accept the connection.
     ConnectFailed, "connect-failed", 502, NotRun;
-    /// The other node did not take the connection.
+    /// The other node did not accept the connection.
     PeerUnreachable, "peer-unreachable", 502, NotRun;
     /// The answer broke off, or was no HTTP, after the hand-over.
     AnswerBroken, "answer-broken", 502, Unknown;
-    /// Backend servers have ended under this request; it is not handed to another one for now.
+    /// The request has crashed backend servers and is quarantined for now.
     Quarantined, "quarantined", 503, NotRun;
-    /// The backend server ended while it was running the request.
+    /// The backend server crashed while it was running the request.
     Crashed, "crashed", 502, Unknown;
-    /// The backend server answered that it has failed.
+    /// The backend server answered with a server error.
     ServerError, "server-error", 502, Unknown;
-    /// No whole answer came within the deadline, after the hand-over.
+    /// No complete answer came before the deadline, after the hand-over.
     Timeout, "timeout", 504, Unknown;
     /// The caller went away.
     CallerGone, "caller-gone", 499, Unknown;
     /// A retry was refused: the retry budget is empty.
     RetryBudget, "retry-budget", 503, Unknown;
-    /// A retry was refused: the request may have run and is not idempotent.
+    /// A retry was refused: the request may have run, and it is not idempotent.
     NotIdempotent, "not-idempotent", 502, Unknown;
-    /// A retry was refused: this level or another one has made the tries allowed.
+    /// A retry was refused: the allowed attempts are used up, at this hop or at another one.
     TriesSpent, "tries-spent", 502, Unknown;
-    /// The request has no key of a client account, and its route is not public.
+    /// The request has no key of a client account, and the route is not public.
     Unauthenticated, "unauthenticated", 401, NotRun;
-    /// The client account has sent more than its quota.
+    /// The client account has exceeded its quota.
     OverQuota, "over-quota", 429, NotRun;
 }
 
@@ -205,17 +205,17 @@
     }
 }
 
-/// Says that a request is not taken, and when coming back can help.
+/// Refusal of a request, with the time after which a retry can succeed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// Why the request is not taken.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// The time after which the caller should come back, when that can help.
+    /// Time after which the caller should retry, if a retry can succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Creates a refusal that coming back does not mend.
+    /// Creates a refusal without a retry time.
     #[must_use]
     pub const fn new(reason: Reason) -> Self {
         Self {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Says after which time the caller should come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub const fn with_retry(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
--- a/crates/swiftcart-core/src/time.rs
+++ b/crates/swiftcart-core/src/time.rs
@@ -1,11 +1,11 @@
-//! Time as the state machines see it: an offset handed in by the caller.
+//! Time types for the state machines, which take the current time as an argument.
 
 use std::ops::Add;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// A point on a process's monotonic clock, counted from an arbitrary start.
+/// Point in time on the monotonic clock of a process, counted from an arbitrary start.
 ///
 /// Values of two processes are not comparable.
 ///
@@ -36,7 +36,7 @@
         Self(Duration::from_millis(ms))
     }
 
-    /// Returns the time passed since `earlier`, or zero when `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this point.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
@@ -57,10 +57,10 @@
     }
 }
 
-/// A point on the platform's own clock, in Unix milliseconds.
+/// Point in time on the platform's clock, in Unix milliseconds.
 ///
-/// The platform stamps each record with it; it never decreases along a stream. No
-/// node's clock is compared with it.
+/// The platform stamps each record with this time. It never decreases along a stream, and is never
+/// compared with a node's clock.
 ///
 /// # Examples
 ///
@@ -78,13 +78,13 @@
 pub struct PlatformTime(pub u64);
 
 impl PlatformTime {
-    /// Returns the point that lies `d` before this one, or the epoch.
+    /// Returns the point `d` before this one, but not before the Unix epoch.
     #[must_use]
     pub const fn before(self, d: Duration) -> Self {
         Self(self.0.saturating_sub(millis(d)))
     }
 
-    /// Returns the time passed since `earlier`, or zero when `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than this point.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns whole milliseconds; no configured duration comes near the limit.
+/// Returns whole milliseconds, limited to `u64::MAX`, which no configured duration reaches.
 const fn millis(d: Duration) -> u64 {
     let ms = d.as_millis();
     if ms > u64::MAX as u128 {
