--- a/crates/swiftcart-core/tests/fingerprint.rs
+++ b/crates/swiftcart-core/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same one, come again.
+//! Tests of the fingerprints by which repeated requests are recognised.
 
 use rstest::rstest;
 use swiftcart_core::{BodyHash, HeadFields, HeadHash};
@@ -11,24 +11,24 @@
 };
 
 #[test]
-fn the_same_fields_are_the_same_request() {
+fn equal_fields_have_equal_hashes() {
     assert_eq!(HeadHash::new(&FIELDS), HeadHash::new(&FIELDS));
 }
 
 #[rstest]
-#[case::another_account(HeadFields { credentials: [b"Bearer two", b""], ..FIELDS })]
-#[case::the_account_elsewhere(HeadFields { credentials: [b"", b"Bearer one"], ..FIELDS })]
-#[case::another_method(HeadFields { method: b"POST", ..FIELDS })]
-#[case::another_host(HeadFields { host: b"b.example", ..FIELDS })]
-#[case::another_path(HeadFields { target: b"/pump/8?x=1", ..FIELDS })]
-#[case::another_query(HeadFields { target: b"/pump/7?x=2", ..FIELDS })]
-#[case::parts_cut_elsewhere(HeadFields { host: b"a.exampl", target: b"e/pump/7?x=1", ..FIELDS })]
-fn other_fields_are_another_request(#[case] other: HeadFields<'_>) {
+#[case::other_credentials(HeadFields { credentials: [b"Bearer two", b""], ..FIELDS })]
+#[case::credentials_in_another_header(HeadFields { credentials: [b"", b"Bearer one"], ..FIELDS })]
+#[case::other_method(HeadFields { method: b"POST", ..FIELDS })]
+#[case::other_host(HeadFields { host: b"b.example", ..FIELDS })]
+#[case::other_path(HeadFields { target: b"/pump/8?x=1", ..FIELDS })]
+#[case::other_query(HeadFields { target: b"/pump/7?x=2", ..FIELDS })]
+#[case::other_field_boundaries(HeadFields { host: b"a.exampl", target: b"e/pump/7?x=1", ..FIELDS })]
+fn different_fields_have_different_hashes(#[case] other: HeadFields<'_>) {
     assert_ne!(HeadHash::new(&FIELDS), HeadHash::new(&other));
 }
 
 #[test]
-fn a_body_counts_by_its_bytes_and_not_by_its_pieces() {
+fn a_body_hash_does_not_depend_on_chunk_boundaries() {
     let whole = BodyHash::new([b"water on".as_slice()]);
     assert_eq!(whole, BodyHash::new([b"water".as_slice(), b" on"]));
     assert_ne!(whole, BodyHash::new([b"water off".as_slice()]));
--- a/crates/swiftcart-core/tests/notice.rs
+++ b/crates/swiftcart-core/tests/notice.rs
@@ -1,4 +1,4 @@
-//! What a guard believes of its backend server from the heads of its answers.
+//! Tests of the notices that backend servers give in the heads of their answers.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use rstest::rstest;
@@ -15,118 +15,123 @@
     Notice::default().with_rate(ServerRate::new(per_second))
 }
 
-const NOTHING: Notice = Notice {
+const NO_NOTICE: Notice = Notice {
     rate: None,
     leaving: false,
 };
 
 #[rstest]
-#[case::a_whole_number("56", Ok(56.0))]
-#[case::a_decimal_one("49.2", Ok(49.2))]
-#[case::white_space_around_it(" 0.5 ", Ok(0.5))]
-#[case::nothing_at_all("0", Ok(0.0))]
-#[case::below_zero("-1", Err(RateError::Range))]
-#[case::without_bounds("inf", Err(RateError::Range))]
-#[case::no_number("NaN", Err(RateError::Range))]
+#[case::an_integer("56", Ok(56.0))]
+#[case::a_decimal_number("49.2", Ok(49.2))]
+#[case::surrounding_white_space(" 0.5 ", Ok(0.5))]
+#[case::zero("0", Ok(0.0))]
+#[case::a_negative_number("-1", Err(RateError::Range))]
+#[case::infinity("inf", Err(RateError::Range))]
+#[case::not_a_number("NaN", Err(RateError::Range))]
 #[case::a_word("few", Err(RateError::Syntax))]
 #[case::empty("", Err(RateError::Syntax))]
-fn a_rate_is_read_from(#[case] text: &str, #[case] expected: Result<f64, RateError>) {
-    let read: Result<ServerRate, RateError> = text.parse();
-    assert_eq!(read.map(ServerRate::per_second), expected);
+fn a_rate_limit_is_parsed_from(#[case] text: &str, #[case] expected: Result<f64, RateError>) {
+    let parsed: Result<ServerRate, RateError> = text.parse();
+    assert_eq!(parsed.map(ServerRate::per_second), expected);
 }
 
-/// Each step: when the answer came, when its request was handed over, and what it said.
+/// Each answer has the time of its arrival, the time of the hand-over of its request, and a notice.
 #[rstest]
-#[case::a_rate_counts_from_its_first_answer(&[(100, 0, rate(20.0))], rate(20.0))]
-#[case::an_answer_without_it_ends_it(&[(100, 0, rate(20.0)), (200, 110, NOTHING)], NOTHING)]
-#[case::an_overtaken_answer_does_not_end_it(&[(100, 0, rate(20.0)), (101, 50, NOTHING)], rate(20.0))]
-#[case::a_lower_one_counts_at_once(&[(100, 0, rate(20.0)), (101, 50, rate(10.0))], rate(10.0))]
-#[case::an_overtaken_higher_one_does_not(&[(100, 0, rate(10.0)), (101, 50, rate(20.0))], rate(10.0))]
-#[case::a_later_higher_one_does(&[(100, 0, rate(10.0)), (200, 150, rate(20.0))], rate(20.0))]
-#[case::who_leaves_leaves_for_good(
-    &[(100, 0, NOTHING.with_leaving(true)), (200, 150, NOTHING)], NOTHING.with_leaving(true))]
-#[case::who_leaves_names_its_rate_too(
+#[case::the_first_answer_sets_the_rate(&[(100, 0, rate(20.0))], rate(20.0))]
+#[case::a_later_answer_without_a_rate_removes_it(&[(100, 0, rate(20.0)), (200, 110, NO_NOTICE)], NO_NOTICE)]
+#[case::an_older_answer_without_a_rate_does_not_remove_it(&[(100, 0, rate(20.0)), (101, 50, NO_NOTICE)], rate(20.0))]
+#[case::a_lower_rate_applies_at_once(&[(100, 0, rate(20.0)), (101, 50, rate(10.0))], rate(10.0))]
+#[case::an_older_answer_does_not_raise_the_rate(&[(100, 0, rate(10.0)), (101, 50, rate(20.0))], rate(10.0))]
+#[case::a_later_answer_raises_the_rate(&[(100, 0, rate(10.0)), (200, 150, rate(20.0))], rate(20.0))]
+#[case::a_shutdown_notice_is_not_revoked(
+    &[(100, 0, NO_NOTICE.with_leaving(true)), (200, 150, NO_NOTICE)], NO_NOTICE.with_leaving(true))]
+#[case::the_rate_changes_during_shutdown(
     &[(100, 0, rate(5.0).with_leaving(true)), (200, 150, rate(4.0))], rate(4.0).with_leaving(true))]
-fn belief(#[case] answers: &[(u64, u64, Notice)], #[case] expected: Notice) {
-    let mut belief = NoticeTracker::default();
-    for (came, sent, said) in answers {
-        belief.observe(at(*came), at(*sent), *said);
+fn answers_set_the_current_notice(
+    #[case] answers: &[(u64, u64, Notice)],
+    #[case] expected: Notice,
+) {
+    let mut tracker = NoticeTracker::default();
+    for (arrived, sent, notice) in answers {
+        tracker.observe(at(*arrived), at(*sent), *notice);
     }
-    assert_eq!(belief.now(), expected);
+    assert_eq!(tracker.now(), expected);
 }
 
 #[test]
-fn an_answer_that_says_nothing_new_changes_nothing() {
-    let mut belief = NoticeTracker::default();
-    assert!(!belief.observe(at(10), at(0), NOTHING));
-    assert!(belief.observe(at(20), at(11), rate(8.0)));
-    assert!(!belief.observe(at(30), at(21), rate(8.0)));
+fn an_answer_with_the_same_notice_changes_nothing() {
+    let mut tracker = NoticeTracker::default();
+    assert!(!tracker.observe(at(10), at(0), NO_NOTICE));
+    assert!(tracker.observe(at(20), at(11), rate(8.0)));
+    assert!(!tracker.observe(at(30), at(21), rate(8.0)));
 }
 
 #[test]
-fn what_others_were_told_counts_until_the_process_itself_is_heard() {
-    let mut belief = NoticeTracker::default();
-    assert!(belief.relay(rate(8.0)));
-    assert_eq!(belief.now(), rate(8.0));
+fn a_relayed_notice_applies_until_the_process_answers() {
+    let mut tracker = NoticeTracker::default();
+    assert!(tracker.relay(rate(8.0)));
+    assert_eq!(tracker.now(), rate(8.0));
     assert!(
-        belief.observe(at(20), at(11), NOTHING),
-        "it names none any more"
+        tracker.observe(at(20), at(11), NO_NOTICE),
+        "the process no longer states a rate limit"
     );
-    assert!(!belief.relay(rate(8.0)));
-    assert_eq!(belief.now(), NOTHING);
+    assert!(!tracker.relay(rate(8.0)));
+    assert_eq!(tracker.now(), NO_NOTICE);
 }
 
 #[test]
-fn who_leaves_according_to_others_leaves_whatever_its_answers_say() {
-    let mut belief = NoticeTracker::default();
-    belief.observe(at(20), at(11), NOTHING);
-    assert!(belief.relay(NOTHING.with_leaving(true)));
-    belief.observe(at(40), at(31), NOTHING);
-    assert!(belief.now().leaving);
+fn a_relayed_shutdown_notice_is_not_revoked_by_answers() {
+    let mut tracker = NoticeTracker::default();
+    tracker.observe(at(20), at(11), NO_NOTICE);
+    assert!(tracker.relay(NO_NOTICE.with_leaving(true)));
+    tracker.observe(at(40), at(31), NO_NOTICE);
+    assert!(tracker.now().leaving);
 }
 
 #[rstest]
 #[case::a_rate(rate(49.2), "49.2")]
-#[case::a_small_one(rate(0.125), "0.125")]
-#[case::a_leaving(NOTHING.with_leaving(true), "- leaving")]
+#[case::a_small_rate(rate(0.125), "0.125")]
+#[case::a_shutdown(NO_NOTICE.with_leaving(true), "- leaving")]
 #[case::both(rate(3.0).with_leaving(true), "3 leaving")]
-#[case::nothing(NOTHING, "-")]
-fn a_notice_travels_between_nodes(#[case] notice: Notice, #[case] text: &str) {
+#[case::nothing(NO_NOTICE, "-")]
+fn a_notice_is_parsed_from_its_text(#[case] notice: Notice, #[case] text: &str) {
     let process = ProcessTag::new(b"i-1", Some(StartTime(5)));
-    let told = ProcessNotice { process, notice };
-    assert!(told.to_string().ends_with(&format!(" {text}")), "{told}");
-    assert_eq!(told.to_string().parse(), Ok(told));
+    let sent = ProcessNotice { process, notice };
+    assert!(sent.to_string().ends_with(&format!(" {text}")), "{sent}");
+    assert_eq!(sent.to_string().parse(), Ok(sent));
 }
 
 #[rstest]
-#[case::nothing("", NoticeError::Process)]
-#[case::no_process("fast 3", NoticeError::Process)]
-#[case::no_rate("0000000000000001 fast", NoticeError::Rate(RateError::Syntax))]
-fn no_notice_is_read_from(#[case] text: &str, #[case] expected: NoticeError) {
+#[case::empty("", NoticeError::Process)]
+#[case::invalid_process("fast 3", NoticeError::Process)]
+#[case::invalid_rate("0000000000000001 fast", NoticeError::Rate(RateError::Syntax))]
+fn an_invalid_notice_is_rejected(#[case] text: &str, #[case] expected: NoticeError) {
     assert_eq!(text.parse::<ProcessNotice>(), Err(expected));
 }
 
 #[rstest]
-#[case::another_id(b"i-2", Some(5))]
-#[case::another_start(b"i-1", Some(6))]
+#[case::other_id(b"i-2", Some(5))]
+#[case::other_start(b"i-1", Some(6))]
 #[case::no_start(b"i-1", None)]
-fn processes_are_told_apart_by(#[case] id: &[u8], #[case] start: Option<u64>) {
+fn process_tags_differ_by(#[case] id: &[u8], #[case] start: Option<u64>) {
     let one = ProcessTag::new(b"i-1", Some(StartTime(5)));
     assert_ne!(ProcessTag::new(id, start.map(StartTime)), one);
 }
 
 #[test]
-fn what_guards_told_is_bounded() {
-    let mut told = NoticeCache::default();
+fn the_notice_cache_is_bounded() {
+    let mut cache = NoticeCache::default();
     let guard = |n: u32| NodeId((n.to_be_bytes(), 7000).into());
     let process = ProcessTag::new(b"i-1", None);
     let notice = rate(1.0);
-    (0..10_000).for_each(|n| told.note(guard(n), ProcessNotice { process, notice }));
+    (0..10_000).for_each(|n| cache.note(guard(n), ProcessNotice { process, notice }));
     assert_eq!(
-        (0..10_000).filter(|n| told.of(guard(*n)).is_some()).count(),
+        (0..10_000)
+            .filter(|n| cache.of(guard(*n)).is_some())
+            .count(),
         4096
     );
     let notice = rate(2.0);
-    told.note(guard(7), ProcessNotice { process, notice });
-    assert_eq!(told.of(guard(7)).map(|told| told.notice), Some(notice));
+    cache.note(guard(7), ProcessNotice { process, notice });
+    assert_eq!(cache.of(guard(7)).map(|cached| cached.notice), Some(notice));
 }
--- a/crates/swiftcart-core/tests/outcome.rs
+++ b/crates/swiftcart-core/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! Each reason has one name, one status and one outcome.
+//! Tests of the names, statuses and outcomes of reasons.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use swiftcart_core::*;
 
 #[rstest]
-fn names_are_unique_and_the_serialised_ones() {
+fn names_are_unique_and_equal_the_serialized_ones() {
     let names: BTreeSet<_> = Reason::ALL.iter().map(|r| r.as_str()).collect();
     assert_eq!(names.len(), Reason::ALL.len());
     for reason in Reason::ALL {
@@ -15,10 +15,10 @@
     }
 }
 
-/// A careless entry here would tell a caller "not run" of a request that ran.
+/// Guards against a reason that reports `not-run` to the caller of a request that may have run.
 #[rstest]
-fn what_can_follow_a_hand_over_is_never_not_run() {
-    let after = [
+fn reasons_after_a_handover_never_have_the_outcome_not_run() {
+    let after_handover = [
         Reason::AnswerBroken,
         Reason::Crashed,
         Reason::ServerError,
@@ -36,10 +36,10 @@
         .iter()
         .filter(|r| r.outcome() != Outcome::NotRun);
     let unknown: BTreeSet<_> = unknown.copied().collect();
-    assert_eq!(unknown, after.into());
+    assert_eq!(unknown, after_handover.into());
 }
 
 #[rstest]
-fn every_status_is_an_error() {
+fn every_status_is_an_http_error() {
     assert!(Reason::ALL.iter().all(|r| (400..600).contains(&r.status())));
 }
--- a/crates/swiftcart-core/tests/quarantine.rs
+++ b/crates/swiftcart-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from backend servers, and what nodes tell each other of them.
+//! Tests of the quarantine of requests that crash backend servers, and of its gossip.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -20,7 +20,7 @@
     request_of(n, 1)
 }
 
-/// Returns the fingerprint of request `n` when the service `caller` sends it.
+/// Returns the fingerprint of request `n` from the service `caller`.
 fn request_of(n: u64, caller: u16) -> Fingerprint {
     let request = RequestDigest {
         head: HeadHash(n),
@@ -34,11 +34,12 @@
     numbers.iter().map(|n| request(*n)).collect()
 }
 
-/// Returns a quarantine that heard of one end a second: a word for each, and in it a digit for each
-/// request that was running.
-fn after(ends: &str) -> Quarantine {
+/// Returns a quarantine that has recorded one crash per second.
+///
+/// `crashes` has a word for each crash, with a digit for each request that was running.
+fn quarantine_after(crashes: &str) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for (id, word) in (1..).zip(ends.split(' ')) {
+    for (id, word) in (1..).zip(crashes.split(' ')) {
         let numbers: Vec<u64> = word
             .chars()
             .filter_map(|c| c.to_digit(10))
@@ -49,39 +50,39 @@
     quarantine
 }
 
-/// Returns when the last of these ends was.
-fn last(ends: &str) -> Instant {
-    at(ends.split(' ').count() as u64 * 1000)
+/// Returns the time of the last of these crashes.
+fn last_crash(crashes: &str) -> Instant {
+    at(crashes.split(' ').count() as u64 * 1000)
 }
 
-/// Returns which of the requests 1 to 9 are held a little after `ends`.
-fn held(ends: &str) -> Vec<u64> {
-    let quarantine = after(ends);
-    let now = last(ends) + Duration::from_millis(10);
+/// Returns the requests among 1 to 9 that are held 10 ms after the last of `crashes`.
+fn held(crashes: &str) -> Vec<u64> {
+    let quarantine = quarantine_after(crashes);
+    let now = last_crash(crashes) + Duration::from_millis(10);
     let is_held = |n: &u64| quarantine.held(now, request(*n)).is_some();
     (1..=9).filter(is_held).collect()
 }
 
 #[rstest]
-#[case::one_end("123", &[])]
-#[case::two_ends("12 13", &[])]
-#[case::three_ends_with_one_request_at_all("12 13 14", &[1])]
-#[case::three_ends_with_two_requests_at_all("12 12 12", &[])]
-#[case::the_end_that_tells_them_apart("12 12 12 1", &[1])]
-#[case::four_ends_with_two_requests_at_all("12 12 12 12", &[1, 2])]
-#[case::a_neighbour_of_three_ends("12 12 12 13 1", &[1])]
-#[case::a_neighbour_of_four_ends("1 12 12 12 12", &[1])]
-#[case::two_causes_at_ends_of_their_own("1 2 1 2 1 2", &[1, 2])]
-#[case::two_causes_that_met_once("12 1 2 1 2 2 1", &[1, 2])]
-#[case::the_lesser_of_two_causes_that_met("12 1 2 1 2 2", &[2])]
-#[case::nobody_was_running("- - - -", &[])]
-#[case::all_at_once_without_a_common_one("12 34 56 78", &[])]
-fn is_held_after(#[case] ends: &str, #[case] expected: &[u64]) {
-    assert_eq!(held(ends), expected);
-}
-
-/// Returns for which of three services request 1 is held after these ends, one for each service
-/// that sent it.
+#[case::one_crash("123", &[])]
+#[case::two_crashes("12 13", &[])]
+#[case::three_crashes_with_one_common_request("12 13 14", &[1])]
+#[case::three_crashes_with_two_common_requests("12 12 12", &[])]
+#[case::a_fourth_crash_with_only_one_of_them("12 12 12 1", &[1])]
+#[case::four_crashes_with_two_common_requests("12 12 12 12", &[1, 2])]
+#[case::a_concurrent_request_at_three_crashes("12 12 12 13 1", &[1])]
+#[case::a_concurrent_request_at_four_crashes("1 12 12 12 12", &[1])]
+#[case::two_causes_at_separate_crashes("1 2 1 2 1 2", &[1, 2])]
+#[case::two_causes_with_one_shared_crash("12 1 2 1 2 2 1", &[1, 2])]
+#[case::only_the_cause_with_more_crashes("12 1 2 1 2 2", &[2])]
+#[case::no_request_running("- - - -", &[])]
+#[case::no_common_request("12 34 56 78", &[])]
+fn requests_are_held_after(#[case] crashes: &str, #[case] expected: &[u64]) {
+    assert_eq!(held(crashes), expected);
+}
+
+/// Returns the services among 1 to 3 for which request 1 is held after one crash for each of
+/// `callers`.
 fn held_for(callers: &[u16]) -> Vec<u16> {
     let mut quarantine = Quarantine::default();
     for (id, caller) in (1..).zip(callers) {
@@ -96,18 +97,18 @@
 }
 
 #[rstest]
-#[case::its_own_service(&[1, 1, 1], &[1])]
-#[case::the_one_that_ended_many(&[2, 2, 2, 2, 2], &[2])]
-#[case::every_service_once_a_second_one_ended_another(&[1, 1, 1, 2], &[1, 2, 3])]
-#[case::every_service_when_they_take_turns(&[1, 2, 3], &[1, 2, 3])]
-#[case::nobody_after_two(&[1, 2], &[])]
-fn the_same_request_is_held_for(#[case] callers: &[u16], #[case] expected: &[u16]) {
+#[case::the_only_caller(&[1, 1, 1], &[1])]
+#[case::the_only_caller_after_five_crashes(&[2, 2, 2, 2, 2], &[2])]
+#[case::all_callers_after_a_crash_by_a_second_one(&[1, 1, 1, 2], &[1, 2, 3])]
+#[case::all_callers_after_one_crash_each(&[1, 2, 3], &[1, 2, 3])]
+#[case::no_caller_after_two_crashes(&[1, 2], &[])]
+fn a_request_is_held_for(#[case] callers: &[u16], #[case] expected: &[u16]) {
     assert_eq!(held_for(callers), expected);
 }
 
 #[test]
-fn what_runs_to_its_end_for_one_service_says_nothing_of_another() {
-    let mut quarantine = after("1 1 1");
+fn completing_for_one_caller_does_not_clear_another() {
+    let mut quarantine = quarantine_after("1 1 1");
     quarantine.crashed(at(4000), CrashId(4), &[request_of(1, 2)]);
     assert!(quarantine.finished(at(5000), request_of(1, 2)));
     let held = |caller| quarantine.held(at(5001), request_of(1, caller)).is_some();
@@ -115,20 +116,20 @@
 }
 
 #[rstest]
-#[case::one_end("12", &[])]
-#[case::two_ends_alone("12 13", &[1])]
-#[case::two_ends_beside_another("12 12", &[])]
-#[case::a_neighbour_of_three("12 12 1", &[1])]
-#[case::four_ends_beside_another("12 12 12 12", &[1, 2])]
-fn is_not_tried_again_after(#[case] ends: &str, #[case] expected: &[u64]) {
-    let quarantine = after(ends);
+#[case::one_crash("12", &[])]
+#[case::two_crashes_with_one_common_request("12 13", &[1])]
+#[case::two_crashes_with_two_common_requests("12 12", &[])]
+#[case::a_concurrent_request_at_two_of_three("12 12 1", &[1])]
+#[case::four_crashes_with_two_common_requests_stop_both("12 12 12 12", &[1, 2])]
+fn requests_are_not_retried_after(#[case] crashes: &str, #[case] expected: &[u64]) {
+    let quarantine = quarantine_after(crashes);
     let again = |n: &u64| quarantine.would_crash_again(request(*n).request);
     let again: Vec<u64> = (1..=3).filter(again).collect();
     assert_eq!(again, expected);
 }
 
 #[test]
-fn an_end_is_counted_once_however_often_it_is_told() {
+fn a_repeated_crash_report_is_counted_once() {
     let mut quarantine = Quarantine::default();
     for ms in 0..9 {
         quarantine.crashed(at(ms), CrashId(1), &requests(&[1]));
@@ -137,8 +138,8 @@
 }
 
 #[test]
-fn who_runs_beside_a_held_request_is_not_blamed() {
-    let mut quarantine = after("1 1 1");
+fn a_request_running_beside_a_held_one_is_not_suspected() {
+    let mut quarantine = quarantine_after("1 1 1");
     for id in 4..9 {
         quarantine.crashed(at(id * 1000), CrashId(id), &requests(&[1, 2]));
     }
@@ -147,8 +148,8 @@
 }
 
 #[test]
-fn who_has_run_to_its_end_is_not_suspected_any_more() {
-    let mut quarantine = after("12 12");
+fn a_completed_request_is_not_suspected_again() {
+    let mut quarantine = quarantine_after("12 12");
     assert!(quarantine.finished(at(2500), request(2)));
     for id in 3..8 {
         quarantine.crashed(at(id * 1000), CrashId(id), &requests(&[2, 1]));
@@ -158,57 +159,57 @@
 }
 
 #[test]
-fn who_was_held_wrongly_and_ran_after_all_is_let_go() {
-    let mut quarantine = after("1 1 1");
+fn a_held_request_that_completes_is_released() {
+    let mut quarantine = quarantine_after("1 1 1");
     assert!(quarantine.finished(at(3500), request(1)));
     assert_eq!(quarantine.held(at(3501), request(1)), None);
 }
 
 #[test]
-fn a_request_that_nobody_suspects_leaves_no_trace() {
-    let mut quarantine = after("1");
+fn a_completed_request_that_is_no_suspect_is_not_recorded() {
+    let mut quarantine = quarantine_after("1");
     let before = quarantine.clone();
     assert!(!quarantine.finished(at(1500), request(5)));
     assert_eq!(quarantine, before);
 }
 
 #[rstest]
-#[case::after_three(3, MINUTE)]
-#[case::after_four(4, MINUTE * 2)]
-#[case::after_five(5, MINUTE * 4)]
-#[case::after_many(40, MINUTE * 60)]
-fn the_time_doubles_with_each_end(#[case] ends: u64, #[case] expected: Duration) {
+#[case::three_crashes(3, MINUTE)]
+#[case::four_crashes(4, MINUTE * 2)]
+#[case::five_crashes(5, MINUTE * 4)]
+#[case::many_crashes_reach_the_maximum(40, MINUTE * 60)]
+fn the_hold_doubles_with_each_crash(#[case] crashes: u64, #[case] expected: Duration) {
     let mut quarantine = Quarantine::default();
-    for id in 1..=ends {
+    for id in 1..=crashes {
         quarantine.crashed(at(5), CrashId(id), &requests(&[1]));
     }
     assert_eq!(quarantine.held(at(5), request(1)), Some(expected));
 }
 
 #[test]
-fn who_ends_another_one_when_its_time_is_over_is_held_at_once_and_longer() {
-    let mut quarantine = after("1 1 1");
-    let over = at(3000) + MINUTE;
-    quarantine.sweep(over);
-    assert_eq!(quarantine.held(over, request(1)), None);
-    quarantine.crashed(over, CrashId(9), &requests(&[1, 2]));
-    assert_eq!(quarantine.held(over, request(1)), Some(MINUTE * 2));
-    assert_eq!(quarantine.held(over, request(2)), None);
+fn a_crash_after_the_hold_starts_a_longer_hold_at_once() {
+    let mut quarantine = quarantine_after("1 1 1");
+    let hold_end = at(3000) + MINUTE;
+    quarantine.sweep(hold_end);
+    assert_eq!(quarantine.held(hold_end, request(1)), None);
+    quarantine.crashed(hold_end, CrashId(9), &requests(&[1, 2]));
+    assert_eq!(quarantine.held(hold_end, request(1)), Some(MINUTE * 2));
+    assert_eq!(quarantine.held(hold_end, request(2)), None);
 }
 
 #[rstest]
 #[case::a_suspect("1", MINUTE)]
 #[case::a_held_request("1 1 1", MINUTE * 2)]
-fn nothing_is_left_after_its_time(#[case] ends: &str, #[case] time: Duration) {
-    let mut quarantine = after(ends);
-    quarantine.sweep(last(ends) + (time - Duration::from_millis(1)));
+fn entries_expire_after(#[case] crashes: &str, #[case] retention: Duration) {
+    let mut quarantine = quarantine_after(crashes);
+    quarantine.sweep(last_crash(crashes) + (retention - Duration::from_millis(1)));
     assert!(!quarantine.is_empty());
-    quarantine.sweep(last(ends) + time);
+    quarantine.sweep(last_crash(crashes) + retention);
     assert_eq!(quarantine, Quarantine::default());
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_the_oldest_end_goes_first() {
+fn stored_suspects_are_bounded_and_the_oldest_crash_is_evicted() {
     let mut quarantine = Quarantine::default();
     for id in 0..5_000_u64 {
         let many: Vec<Fingerprint> = (0..500).map(|n| request(id * 1000 + n)).collect();
@@ -225,12 +226,12 @@
 }
 
 #[rstest]
-#[case::a_crowd(40, 18)]
-#[case::the_most_that_one_end_has(3, 500)]
-fn every_message_fits_a_datagram(#[case] ends: u64, #[case] running: u64) {
+#[case::many_crashes(40, 18)]
+#[case::more_requests_than_one_crash_keeps(3, 500)]
+fn every_message_fits_into_a_datagram(#[case] crashes: u64, #[case] running: u64) {
     let mut quarantine = Quarantine::default();
     let mut rng = SmallRng::seed_from_u64(7);
-    for id in 0..ends {
+    for id in 0..crashes {
         let print = |_| Fingerprint {
             request: RequestDigest {
                 head: HeadHash(rng.random()),
@@ -243,48 +244,50 @@
     }
     let key = MeshKey::from_secret("some secret of thirty-two letters");
     let packed = Findings::pack(quarantine.digest(), quarantine.all(at(9)));
-    let mut told = Quarantine::default();
+    let mut receiver = Quarantine::default();
     for findings in packed {
         let node = NodeId(([10, 0, 0, 1], 7000).into());
         let sealed = seal(&Datagram::Findings(findings), node, &key).unwrap();
         let (_, Datagram::Findings(findings)) = open(&sealed, &key).unwrap() else {
-            panic!("another message");
+            panic!("not a findings message");
         };
-        told.merge(at(9), &findings.list);
+        receiver.merge(at(9), &findings.list);
     }
-    assert_eq!(told.digest(), quarantine.digest());
+    assert_eq!(receiver.digest(), quarantine.digest());
 }
 
 #[test]
-fn the_age_of_an_end_travels_along() {
-    let mut told = Quarantine::default();
-    let quarantine = after("1 1 1");
-    // The other process has just started, so that the ends lie before its clock.
-    told.merge(at(2), &quarantine.all(at(43_000)));
+fn findings_carry_the_age_of_a_crash() {
+    let mut receiver = Quarantine::default();
+    let quarantine = quarantine_after("1 1 1");
+    // The receiver has just started, so that the crashes lie before the start of its clock.
+    receiver.merge(at(2), &quarantine.all(at(43_000)));
     assert_eq!(
-        told.held(at(2), request(1)),
+        receiver.held(at(2), request(1)),
         Some(MINUTE - Duration::from_secs(40))
     );
 }
 
 #[test]
-fn what_is_over_is_not_taken_from_others() {
-    let mut told = Quarantine::default();
-    let quarantine = after("1 1 1");
-    told.merge(at(2), &quarantine.all(at(3_000) + MINUTE * 60));
-    assert!(told.is_empty());
-}
-
-/// Plays how nodes tell each other: each round goes to three random ones, a part of the datagrams
-/// is lost; and each second everyone compares with one other.
-struct Spread {
+fn expired_findings_are_not_merged() {
+    let mut receiver = Quarantine::default();
+    let quarantine = quarantine_after("1 1 1");
+    receiver.merge(at(2), &quarantine.all(at(3_000) + MINUTE * 60));
+    assert!(receiver.is_empty());
+}
+
+/// Simulation of the gossip between nodes with packet loss.
+///
+/// Each node sends its findings to three random nodes per round, and runs an anti-entropy exchange
+/// with one random node on each call of `compare`.
+struct GossipSimulation {
     nodes: Vec<Quarantine>,
     rng: SmallRng,
     loss: f64,
     sent: usize,
 }
 
-impl Spread {
+impl GossipSimulation {
     fn new(count: usize, loss: f64) -> Self {
         Self {
             nodes: vec![Quarantine::default(); count],
@@ -304,13 +307,14 @@
     }
 
     fn round(&mut self, now: Instant) {
-        let places: Vec<usize> = (0..self.nodes.len()).collect();
-        for from in &places {
+        let indices: Vec<usize> = (0..self.nodes.len()).collect();
+        for from in &indices {
             let due = self.nodes[*from].due_findings(now).list;
             let digest = self.nodes[*from].digest();
             for findings in Findings::pack(digest, due) {
-                let told: Vec<usize> = places.choose_multiple(&mut self.rng, 3).copied().collect();
-                for to in told {
+                let targets: Vec<usize> =
+                    indices.choose_multiple(&mut self.rng, 3).copied().collect();
+                for to in targets {
                     self.send(now, to, &findings);
                 }
             }
@@ -323,117 +327,120 @@
             if self.nodes[from].is_empty() {
                 continue;
             }
-            let mine = self.nodes[from].summary();
-            let question = match self.send(now, to, &mine) {
-                true => self.nodes[to].sync_request(&mine),
+            let summary = self.nodes[from].summary();
+            let sync_request = match self.send(now, to, &summary) {
+                true => self.nodes[to].sync_request(&summary),
                 false => None,
             };
-            if question.is_some_and(|question| question.asks) {
-                self.tell_all(now, from, to);
+            if sync_request.is_some_and(|request| request.asks) {
+                self.send_all(now, from, to);
             }
         }
     }
 
-    fn tell_all(&mut self, now: Instant, from: usize, to: usize) {
+    fn send_all(&mut self, now: Instant, from: usize, to: usize) {
         let (digest, all) = (self.nodes[from].digest(), self.nodes[from].all(now));
         for findings in Findings::pack(digest, all) {
             self.send(now, to, &findings);
         }
     }
 
-    /// Starts a node anew, which asks three others what they know.
-    fn restart(&mut self, now: Instant, place: usize) {
-        self.nodes[place] = Quarantine::default();
-        assert!(self.nodes[place].full_sync().asks);
+    /// Restarts a node, which requests all findings of three other nodes.
+    fn restart(&mut self, now: Instant, index: usize) {
+        self.nodes[index] = Quarantine::default();
+        assert!(self.nodes[index].full_sync().asks);
         for _ in 0..3 {
-            let asked = self.rng.random_range(0..self.nodes.len());
-            self.tell_all(now, asked, place);
+            let peer = self.rng.random_range(0..self.nodes.len());
+            self.send_all(now, peer, index);
         }
     }
 
-    fn know(&self, now: Instant) -> usize {
-        let knows = |node: &&Quarantine| node.held(now, request(1)).is_some();
-        self.nodes.iter().filter(knows).count()
+    fn count_holding(&self, now: Instant) -> usize {
+        let is_holding = |node: &&Quarantine| node.held(now, request(1)).is_some();
+        self.nodes.iter().filter(is_holding).count()
     }
 }
 
 #[rstest]
 #[case::thirteen_nodes(13, 0.0)]
 #[case::three_hundred_nodes(300, 0.0)]
-#[case::three_hundred_nodes_and_a_tenth_lost(300, 0.1)]
+#[case::three_hundred_nodes_with_a_tenth_lost(300, 0.1)]
 #[case::a_thousand_nodes(1_000, 0.03)]
-fn all_nodes_know_within_a_second_and_a_half(#[case] count: usize, #[case] loss: f64) {
-    let mut spread = Spread::new(count, loss);
+fn all_nodes_hold_a_request_within_a_second_and_a_half(#[case] count: usize, #[case] loss: f64) {
+    let mut mesh = GossipSimulation::new(count, loss);
     for id in 1..=3_u64 {
-        spread.nodes[id as usize].crashed(at(0), CrashId(id), &requests(&[1, 10 + id]));
+        mesh.nodes[id as usize].crashed(at(0), CrashId(id), &requests(&[1, 10 + id]));
     }
     for round in 1..=10 {
-        spread.round(at(round * 100));
+        mesh.round(at(round * 100));
     }
-    let early = spread.know(at(1000));
+    let early = mesh.count_holding(at(1000));
     assert!(
         early >= count * 99 / 100,
-        "{early} of {count} after a second"
+        "{early} of {count} nodes hold the request after one second"
     );
-    spread.compare(at(1100));
-    spread.compare(at(1500));
-    assert_eq!(spread.know(at(1500)), count);
-    let each = spread.sent as f64 / count as f64;
-    assert!(each <= 32.0, "{each} datagrams a node for three ends");
+    mesh.compare(at(1100));
+    mesh.compare(at(1500));
+    assert_eq!(mesh.count_holding(at(1500)), count);
+    let each = mesh.sent as f64 / count as f64;
+    assert!(each <= 32.0, "{each} datagrams per node for three crashes");
 }
 
 #[test]
-fn who_starts_later_learns_it_from_whom_it_asks() {
-    let mut spread = Spread::new(20, 0.0);
+fn a_restarted_node_gets_the_findings_from_its_peers() {
+    let mut mesh = GossipSimulation::new(20, 0.0);
     for id in 1..=3_u64 {
-        spread.nodes[0].crashed(at(0), CrashId(id), &requests(&[1]));
+        mesh.nodes[0].crashed(at(0), CrashId(id), &requests(&[1]));
     }
     for round in 1..=10 {
-        spread.round(at(round * 100));
+        mesh.round(at(round * 100));
     }
-    spread.restart(at(2000), 7);
-    assert!(spread.nodes[7].held(at(2000), request(1)).is_some());
+    mesh.restart(at(2000), 7);
+    assert!(mesh.nodes[7].held(at(2000), request(1)).is_some());
 }
 
 #[test]
-fn equal_nodes_ask_nothing_and_a_question_is_not_answered_with_another() {
-    let (one, other) = (after("1"), after("1"));
+fn only_a_summary_with_another_digest_causes_a_sync_request() {
+    let (one, other) = (quarantine_after("1"), quarantine_after("1"));
     assert_eq!(other.sync_request(&one.summary()), None);
     let empty = Quarantine::default();
-    let question = empty.sync_request(&one.summary()).unwrap();
-    assert!(question.asks);
-    assert_eq!(one.sync_request(&question), None);
+    let sync_request = empty.sync_request(&one.summary()).unwrap();
+    assert!(sync_request.asks);
+    assert_eq!(one.sync_request(&sync_request), None);
 }
 
 #[test]
-fn a_memo_holds_the_request_for_the_time_that_was_left() {
-    let written = after("12 12 1 1");
-    let memo = written
+fn a_record_restores_the_remaining_hold_time() {
+    let writer = quarantine_after("12 12 1 1");
+    let record = writer
         .record(at(14_000), 1_000_000, request(1).request)
         .unwrap();
-    let mut anew = Quarantine::default();
-    anew.merge(at(5), &memo.findings(1_030_000).unwrap());
+    let mut restarted = Quarantine::default();
+    restarted.merge(at(5), &record.findings(1_030_000).unwrap());
     let left = Duration::from_secs(120 - 10 - 30);
-    assert_eq!(anew.held(at(5), request(1)), Some(left));
-    assert_eq!(anew.held(at(5), request(2)), None);
+    assert_eq!(restarted.held(at(5), request(1)), Some(left));
+    assert_eq!(restarted.held(at(5), request(2)), None);
     assert_eq!(
-        memo.findings(1_000_000 + 110_000 + 60_000),
+        record.findings(1_000_000 + 110_000 + 60_000),
         None,
-        "it is over"
+        "the record has expired"
     );
 }
 
 #[rstest]
 #[case::a_request_that_is_not_held("1 1", 1)]
-#[case::one_that_nobody_suspects("1 1 1", 2)]
-fn there_is_no_memo_of(#[case] ends: &str, #[case] n: u64) {
-    assert_eq!(after(ends).record(at(4_000), 0, request(n).request), None);
+#[case::a_request_that_is_no_suspect("1 1 1", 2)]
+fn no_record_is_written_for(#[case] crashes: &str, #[case] n: u64) {
+    assert_eq!(
+        quarantine_after(crashes).record(at(4_000), 0, request(n).request),
+        None
+    );
 }
 
 #[test]
-fn who_heard_of_all_ends_from_others_leaves_the_memo_to_them() {
-    let mut told = Quarantine::default();
-    told.merge(at(9), &after("1 1 1").all(at(3_500)));
-    assert!(told.held(at(9), request(1)).is_some());
-    assert_eq!(told.record(at(9), 0, request(1).request), None);
+fn a_node_that_saw_no_crash_itself_writes_no_record() {
+    let mut receiver = Quarantine::default();
+    receiver.merge(at(9), &quarantine_after("1 1 1").all(at(3_500)));
+    assert!(receiver.held(at(9), request(1)).is_some());
+    assert_eq!(receiver.record(at(9), 0, request(1).request), None);
 }
