--- a/crates/swiftcart-core/src/crash/detector.rs
+++ b/crates/swiftcart-core/src/crash/detector.rs
@@ -28,8 +28,8 @@
 /// Unexpected end of a backend server process, with the requests that were running.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash<T> {
-    /// Id of the crash. Requests whose answers turn out to be lost later are reported under the same
-    /// id.
+    /// Id of the crash. Requests whose answers turn out to be lost later are reported under the
+    /// same id.
     pub id: CrashId,
     /// Requests that were running.
     pub runs: Vec<T>,
@@ -37,24 +37,24 @@
 
 /// Detector that tells a crash of a backend server from connections that break while it runs.
 ///
-/// A lost answer alone is no proof of a crash, because connections are also reset for other reasons.
-/// The backend server counts as crashed if, after a lost answer, its address refuses connections or
-/// a later process has replaced it. An answer to a request that was handed over after the loss shows
-/// that the backend server is running, and clears earlier losses. The end of a backend server that
-/// has announced its shutdown is not a crash.
+/// A lost answer alone is no proof of a crash, because connections are also reset for other
+/// reasons. The backend server counts as crashed if, after a lost answer, its address refuses
+/// connections or a later process has replaced it. An answer to a request that was handed over
+/// after the loss shows that the backend server is running, and clears earlier losses. The end of a
+/// backend server that has announced its shutdown is not a crash.
 ///
 /// `T` is the description that the caller keeps for each request.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{CrashId, Instant, CrashDetector};
+/// use swiftcart_core::{CrashDetector, CrashId, Instant};
 ///
 /// let now = Instant::from_millis(0);
 /// let mut detector = CrashDetector::default();
 /// let (first, _second) = (detector.start(now, "first"), detector.start(now, "second"));
 /// assert_eq!(detector.answer_lost(now, first), None);
-/// let crash = detector.connect_refused(now, CrashId(7)).expect("two requests under way");
+/// let crash = detector.connect_refused(now, CrashId(7)).expect("two requests in flight");
 /// assert_eq!(crash.runs, ["first", "second"]);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/swiftcart-core/src/crash/finding.rs
+++ b/crates/swiftcart-core/src/crash/finding.rs
@@ -9,8 +9,8 @@
 /// Maximum size of the findings in one datagram, in bytes. The rest is for the seal and the digest.
 const MAX_FINDINGS_BYTES: usize = 1000;
 
-/// Maximum number of fingerprints in one finding. With a body hash a fingerprint takes about 20 bytes,
-/// so that the finding fits into one datagram.
+/// Maximum number of fingerprints in one finding. With a body hash a fingerprint takes about 20
+/// bytes, so that the finding fits into one datagram.
 const MAX_FINGERPRINTS: usize = 40;
 
 /// Crash or completed request that a node has observed.
--- a/crates/swiftcart-core/src/crash/fingerprint.rs
+++ b/crates/swiftcart-core/src/crash/fingerprint.rs
@@ -6,8 +6,8 @@
 
 /// Fields of a request head that stay the same when the caller sends the request again.
 ///
-/// The request id and the deadline differ each time. A request with other credentials is a different
-/// request.
+/// The request id and the deadline differ each time. A request with other credentials is a
+/// different request.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct HeadFields<'a> {
     /// Credentials of the caller, one value per header.
@@ -97,7 +97,8 @@
 }
 
 impl CallerHash {
-    /// Returns the hash of a service name. Two bytes are enough for the few dozen services of a mesh.
+    /// Returns the hash of a service name. Two bytes are enough for the few dozen services of a
+    /// mesh.
     #[must_use]
     pub fn new(service: &[u8]) -> Self {
         let hash = blake3::hash(service);
@@ -123,8 +124,8 @@
 
 /// Returns the first 64 bits of the hash.
 ///
-/// Among a million requests, the probability of a collision is one in 37 million. It is infeasible to
-/// find a request that collides with the request of another caller.
+/// Among a million requests, the probability of a collision is one in 37 million. It is infeasible
+/// to find a request that collides with the request of another caller.
 fn truncated_hash(hasher: &blake3::Hasher) -> u64 {
     let mut bytes = [0; 8];
     hasher.finalize_xof().fill(&mut bytes);
--- a/crates/swiftcart-core/src/crash/history.rs
+++ b/crates/swiftcart-core/src/crash/history.rs
@@ -7,8 +7,8 @@
 use super::{CallerHash, CrashId, Fingerprint, HeadHash, RequestDigest};
 use crate::Instant;
 
-/// Maximum number of crashes that are remembered: about ten times the backend servers of the largest
-/// service. The oldest is evicted first.
+/// Maximum number of crashes that are remembered: about ten times the backend servers of the
+/// largest service. The oldest is evicted first.
 const MAX_CRASHES: usize = 256;
 
 /// Maximum number of suspects per crash: the slots of a large backend server.
@@ -31,7 +31,8 @@
         Self { reported, age }
     }
 
-    /// Returns `true` if this node saw the event itself. Events reported by other nodes have an age.
+    /// Returns `true` if this node saw the event itself. Events reported by other nodes have an
+    /// age.
     pub const fn is_local(self) -> bool {
         self.age.is_zero()
     }
--- a/crates/swiftcart-core/src/crash/quarantine.rs
+++ b/crates/swiftcart-core/src/crash/quarantine.rs
@@ -196,7 +196,7 @@
     ///
     /// Returns `true` if any of them was not recorded before.
     pub fn crashed(&mut self, now: Instant, id: CrashId, prints: &[Fingerprint]) -> bool {
-        self.record_finding(now, id, PastTime::now(now), prints)
+        self.insert(now, id, PastTime::now(now), prints)
     }
 
     /// Records that a request has completed. Returns `true` if that clears a suspect.
@@ -211,9 +211,7 @@
         for finding in findings {
             let at = PastTime::reported(now, finding.age());
             match finding {
-                Finding::Crashed { id, prints, .. } => {
-                    drop(self.record_finding(now, *id, at, prints))
-                }
+                Finding::Crashed { id, prints, .. } => drop(self.insert(now, *id, at, prints)),
                 Finding::Finished { print, .. } => drop(self.clear(now, at, *print)),
             }
         }
@@ -300,13 +298,7 @@
         self.crashes.prune();
     }
 
-    fn record_finding(
-        &mut self,
-        now: Instant,
-        id: CrashId,
-        at: PastTime,
-        prints: &[Fingerprint],
-    ) -> bool {
+    fn insert(&mut self, now: Instant, id: CrashId, at: PastTime, prints: &[Fingerprint]) -> bool {
         if at.age(now) >= MAX_HOLD {
             return false;
         }
--- a/crates/swiftcart-core/src/crash/record.rs
+++ b/crates/swiftcart-core/src/crash/record.rs
@@ -17,16 +17,17 @@
 /// use swiftcart_core::{QuarantineRecord, RequestDigest};
 ///
 /// let request = RequestDigest::default();
-/// let memo = QuarantineRecord { request, written_ms: 1_000, until_ms: 61_000, ends: Vec::new() };
-/// assert_eq!(memo.findings(2_000), Some(Vec::new()));
-/// assert_eq!(memo.findings(61_000), None);
+/// let record = QuarantineRecord { request, written_ms: 1_000, until_ms: 61_000, ends: Vec::new() };
+/// assert_eq!(record.findings(2_000), Some(Vec::new()));
+/// assert_eq!(record.findings(61_000), None);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuarantineRecord {
     /// Held request.
     pub request: RequestDigest,
-    /// Time at which the record was written, in Unix milliseconds. The ages of the crashes refer to it.
+    /// Time at which the record was written, in Unix milliseconds. The ages of the crashes refer to
+    /// it.
     pub written_ms: u64,
     /// Time at which the record expires, in Unix milliseconds.
     pub until_ms: u64,
--- a/crates/swiftcart-core/src/deadline.rs
+++ b/crates/swiftcart-core/src/deadline.rs
@@ -7,7 +7,8 @@
 
 use crate::Instant;
 
-/// Time that each hop reserves: the round trip between two failure domains (3 ms) and the processing.
+/// Time that each hop reserves: the round trip between two failure domains (3 ms) and the
+/// processing.
 pub const HOP_ALLOWANCE: Duration = Duration::from_millis(5);
 
 quick_error! {
@@ -88,8 +89,8 @@
         self.0.since(now)
     }
 
-    /// Returns the remaining time for the next hop in whole milliseconds, or `None` if less than 1 ms
-    /// remains.
+    /// Returns the remaining time for the next hop in whole milliseconds, or `None` if less than 1
+    /// ms remains.
     #[must_use]
     pub fn left_ms(self, now: Instant) -> Option<u64> {
         match self.left(now).as_millis() {
--- a/crates/swiftcart-core/src/notice.rs
+++ b/crates/swiftcart-core/src/notice.rs
@@ -22,7 +22,8 @@
 /// ```
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// Rate limit for all callers together. Without one, only the number of slots limits the requests.
+    /// Rate limit for all callers together. Without one, only the number of slots limits the
+    /// requests.
     pub rate: Option<ServerRate>,
     /// `true` if the backend server is shutting down and accepts no new requests.
     pub leaving: bool,
--- a/crates/swiftcart-core/src/notice/cache.rs
+++ b/crates/swiftcart-core/src/notice/cache.rs
@@ -63,8 +63,8 @@
 /// Cache of the last notice that an ingress has received from each guard.
 ///
 /// A restarted guard no longer knows the notice of its backend server, and would hand over many
-/// requests before the first answer repeats it. An ingress therefore sends the cached notice with its
-/// requests, so that the guard applies it before it hands over the first of them.
+/// requests before the first answer repeats it. An ingress therefore sends the cached notice with
+/// its requests, so that the guard applies it before it hands over the first of them.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/notice/tracker.rs
+++ b/crates/swiftcart-core/src/notice/tracker.rs
@@ -5,9 +5,9 @@
 
 /// Tracker of the current notice of one backend server process.
 ///
-/// Answers may arrive out of order. A lower rate limit takes effect at once. A higher or removed rate
-/// limit takes effect only if the request of the answer was handed over after the current rate limit
-/// was last confirmed. A shutdown notice is never revoked.
+/// Answers may arrive out of order. A lower rate limit takes effect at once. A higher or removed
+/// rate limit takes effect only if the request of the answer was handed over after the current rate
+/// limit was last confirmed. A shutdown notice is never revoked.
 ///
 /// # Examples
 ///
@@ -18,7 +18,7 @@
 /// let limited = Notice::default().with_rate(ServerRate::new(20.0));
 /// let mut tracker = NoticeTracker::default();
 /// assert!(tracker.observe(at(50), at(0), limited));
-/// assert!(!tracker.observe(at(51), at(10), Notice::default()), "the request was sent before the rate limit was confirmed");
+/// assert!(!tracker.observe(at(51), at(10), Notice::default()), "sent before the rate limit");
 /// assert!(tracker.observe(at(90), at(60), Notice::default()));
 /// assert_eq!(tracker.now(), Notice::default());
 /// ```
@@ -30,8 +30,8 @@
 }
 
 impl NoticeTracker {
-    /// Applies the notice of an answer to a request that was handed over at `sent`. Returns `true` if
-    /// the current notice changed.
+    /// Applies the notice of an answer to a request that was handed over at `sent`. Returns `true`
+    /// if the current notice changed.
     pub fn observe(&mut self, now: Instant, sent: Instant, notice: Notice) -> bool {
         let old = self.current;
         self.current.leaving |= notice.leaving;
@@ -43,8 +43,8 @@
         self.current != old
     }
 
-    /// Applies a notice of the process that another node relays. Returns `true` if the current notice
-    /// changed.
+    /// Applies a notice of the process that another node relays. Returns `true` if the current
+    /// notice changed.
     ///
     /// The lowest relayed rate limit applies until the process itself has answered.
     pub fn relay(&mut self, notice: Notice) -> bool {
