--- a/crates/swiftcart-core/examples/call_cost/run/guard.rs
+++ b/crates/swiftcart-core/examples/call_cost/run/guard.rs
@@ -12,7 +12,7 @@
 
 impl Simulation<'_> {
     pub(super) fn on_guard_arrival(&mut self, attempt: AttemptId, guard: usize) {
-        let deadline = self.calls[attempt.call].due.less(HOP_ALLOWANCE);
+        let deadline = self.calls[attempt.call].due.minus(HOP_ALLOWANCE);
         let state = &mut self.guards[guard];
         let Some(admission) = &mut state.admission else {
             return self.pass_to_backend(attempt, None, guard);
--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -474,7 +474,10 @@
     ) -> Ticket {
         self.make_room(now, self.urgency(now, &request), rng);
         let ticket = self.new_ticket();
-        let latest = request.due.less(self.service_times.min_service_time()).at();
+        let latest = request
+            .due
+            .minus(self.service_times.min_service_time())
+            .at();
         let queue_wait = now + self.queue_wait(&request);
         let reason = match queue_wait < latest {
             true => Reason::Overloaded,
--- a/crates/swiftcart-core/src/refusal_history.rs
+++ b/crates/swiftcart-core/src/refusal_history.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use crate::{HeadPrint, Instant};
+use crate::{HeadHash, Instant};
 
 /// Time for which a refused request is remembered. Callers retry within their deadlines.
 const RETENTION: Duration = Duration::from_secs(10);
@@ -20,21 +20,21 @@
 /// # Examples
 ///
 /// ```
-/// use swiftcart_core::{HeadPrint, Instant, RefusalHistory};
+/// use swiftcart_core::{HeadHash, Instant, RefusalHistory};
 ///
 /// let at = Instant::from_millis;
 /// let mut history = RefusalHistory::new();
-/// assert_eq!(history.first_attempt(at(0), HeadPrint(7)), None);
-/// history.refused(at(5), HeadPrint(7), at(0));
-/// assert_eq!(history.first_attempt(at(300), HeadPrint(7)), Some(at(0)));
-/// assert_eq!(history.first_attempt(at(310), HeadPrint(7)), None, "another caller");
+/// assert_eq!(history.first_attempt(at(0), HeadHash(7)), None);
+/// history.refused(at(5), HeadHash(7), at(0));
+/// assert_eq!(history.first_attempt(at(300), HeadHash(7)), Some(at(0)));
+/// assert_eq!(history.first_attempt(at(310), HeadHash(7)), None, "another caller");
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct RefusalHistory {
     /// Times of the first attempts of refused requests, earliest first.
-    first_attempts: HashMap<HeadPrint, VecDeque<Instant>>,
+    first_attempts: HashMap<HeadHash, VecDeque<Instant>>,
     /// Remembered refusals in the order of their time.
-    order: VecDeque<(Instant, HeadPrint)>,
+    order: VecDeque<(Instant, HeadHash)>,
 }
 
 impl RefusalHistory {
@@ -45,7 +45,7 @@
     }
 
     /// Records the refusal of a request whose first attempt was at `first`.
-    pub fn refused(&mut self, now: Instant, head: HeadPrint, first: Instant) {
+    pub fn refused(&mut self, now: Instant, head: HeadHash, first: Instant) {
         self.evict_expired(now);
         if self.order.len() >= MAX_REFUSALS {
             self.drop_oldest();
@@ -59,7 +59,7 @@
 
     /// Returns the time of the first attempt if the request matches an earlier refusal, which is
     /// then removed.
-    pub fn first_attempt(&mut self, now: Instant, head: HeadPrint) -> Option<Instant> {
+    pub fn first_attempt(&mut self, now: Instant, head: HeadHash) -> Option<Instant> {
         self.evict_expired(now);
         let attempts = self.first_attempts.get_mut(&head)?;
         let first = attempts.pop_front();
@@ -70,7 +70,7 @@
     }
 
     fn evict_expired(&mut self, now: Instant) {
-        let is_expired = |(at, _): &(Instant, HeadPrint)| now.since(*at) >= RETENTION;
+        let is_expired = |(at, _): &(Instant, HeadHash)| now.since(*at) >= RETENTION;
         while self.order.front().is_some_and(is_expired) {
             self.drop_oldest();
         }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -15,10 +15,10 @@
 use hyper::body::{Body, Incoming};
 use slog::error;
 use swiftcart_core::{
-    BalanceSettings, Balancer, CallResult, Candidate, Instant, MeshRetryBudget, NodeId, Outcome,
-    Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal, RefusalHistory,
-    ResolvedAccount, RetryBudget, RetrySettings, RetryState, RetryTarget, RouteProfiles,
-    ServiceEntry, SlotSearch, ToldNotices, Version, startup_retry_after,
+    BalanceSettings, Balancer, CallResult, Candidate, Instant, MeshRetryBudget, NodeId,
+    NoticeCache, Outcome, Pick, PickRequirements, PickRule, PolicyRetryState, Reason, Refusal,
+    RefusalHistory, ResolvedAccount, RetryBudget, RetrySettings, RetryState, RetryTarget,
+    RouteProfiles, ServiceEntry, SlotSearch, Version, startup_retry_after,
 };
 
 use tokio::task::JoinError;
@@ -51,7 +51,7 @@
     profiles: Mutex<RouteProfiles>,
     refusal_history: Mutex<RefusalHistory>,
     /// What guards told of their backend servers.
-    told: Mutex<ToldNotices>,
+    told: Mutex<NoticeCache>,
 }
 
 /// How far one call is: the tries that were made of it.
