--- a/crates/swiftcart-node/src/calls/conn.rs
+++ b/crates/swiftcart-node/src/calls/conn.rs
@@ -46,7 +46,7 @@
             display("cannot connect: {err}")
         }
         /// The connection took too long.
-        Slow {
+        TimedOut {
             display("the connection took too long")
         }
         /// The connection failed before the first request.
@@ -91,7 +91,7 @@
     /// Returns why the connection did not open.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Self, OpenError> {
         let opened = timeout(limit, TcpStream::connect(addr)).await;
-        let socket = opened.map_err(|_| OpenError::Slow)??;
+        let socket = opened.map_err(|_| OpenError::TimedOut)??;
         socket.set_nodelay(true)?;
         bound_silence(&socket)?;
         let wrote = Arc::new(AtomicBool::new(false));
@@ -110,7 +110,7 @@
 
     /// Tells whether the connection was last used before `then`.
     #[must_use]
-    pub fn is_older(&self, then: Instant) -> bool {
+    pub fn used_before(&self, then: Instant) -> bool {
         self.used < then
     }
 
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -15,7 +15,7 @@
 use super::admissions::Slot;
 use super::answer::Answer;
 use super::body::Outgoing;
-use super::headers::{strip_hop, strip_internal};
+use super::headers::{strip_hop_by_hop, strip_internal};
 use super::keyed::Keyed;
 use super::request::Call;
 use super::runs::Handed;
@@ -353,7 +353,7 @@
             return Err(reason.into());
         }
         let (mut head, body) = response.into_parts();
-        strip_hop(&mut head.headers);
+        strip_hop_by_hop(&mut head.headers);
         strip_internal(&mut head.headers);
         let answer = Answer::stream(body, pooled).with_slot(slot).with_run(run);
         Ok(Response::from_parts(head, answer))
--- a/crates/swiftcart-node/src/calls/headers.rs
+++ b/crates/swiftcart-node/src/calls/headers.rs
@@ -56,7 +56,7 @@
 ];
 
 /// Removes the headers that belong to one connection; the framing stays unambiguous.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/swiftcart-node/src/calls/ingress/forward.rs
+++ b/crates/swiftcart-node/src/calls/ingress/forward.rs
@@ -10,8 +10,8 @@
 use crate::calls::exchange::exchange;
 use crate::calls::guard::Report;
 use crate::calls::headers::{
-    ATTEMPT, LOAD, NOTICE, RETRIED, SERVICE, TERMS, retry_after, strip_hop, strip_internal, told,
-    verdict,
+    ATTEMPT, LOAD, NOTICE, RETRIED, SERVICE, TERMS, retry_after, strip_hop_by_hop, strip_internal,
+    told, verdict,
 };
 use crate::calls::request::Call;
 
@@ -77,7 +77,7 @@
 fn judge(mut response: Response<Answer>) -> Result<Response<Answer>, Failed> {
     let Some(reason) = verdict(response.headers()) else {
         let load = response.headers_mut().remove(LOAD);
-        strip_hop(response.headers_mut());
+        strip_hop_by_hop(response.headers_mut());
         strip_internal(response.headers_mut());
         if let Some(load) = load {
             response.headers_mut().insert(LOAD, load);
--- a/crates/swiftcart-node/src/calls/keyed/work.rs
+++ b/crates/swiftcart-node/src/calls/keyed/work.rs
@@ -20,7 +20,7 @@
 use crate::calls::answer::{Answer, is_framed};
 use crate::calls::body::Outgoing;
 use crate::calls::guard::Guard;
-use crate::calls::headers::{strip_hop, strip_internal};
+use crate::calls::headers::{strip_hop_by_hop, strip_internal};
 use crate::calls::request::Call;
 use crate::calls::rng::with_rng;
 use crate::calls::upstream::{Sent, Upstream};
@@ -118,7 +118,7 @@
         if !is_framed(&self.head.method, head.status, &head.headers) {
             return Err(Reason::AnswerBroken);
         }
-        strip_hop(&mut head.headers);
+        strip_hop_by_hop(&mut head.headers);
         strip_internal(&mut head.headers);
         let bound = self.guard.shared().settings.limits.keyed_bytes as usize;
         let body = Limited::new(Answer::stream(body, sent.pooled).with_run(sent.run), bound)
--- a/crates/swiftcart-node/src/calls/pipelining.rs
+++ b/crates/swiftcart-node/src/calls/pipelining.rs
@@ -121,7 +121,7 @@
     }
 
     /// Looks at bytes that have just arrived.
-    pub fn look(&self, bytes: &[u8]) {
+    pub fn scan_bytes(&self, bytes: &[u8]) {
         let mut state = self.lock();
         if state.place == Place::Lost && state.seen <= state.answered {
             state.place = Place::Head;
--- a/crates/swiftcart-node/src/calls/pool.rs
+++ b/crates/swiftcart-node/src/calls/pool.rs
@@ -107,7 +107,7 @@
     /// Returns why no connection opened.
     pub async fn take(self: &Arc<Self>) -> Result<Pooled, OpenError> {
         let permit = Arc::clone(&self.permits).acquire_owned().await;
-        let permit = permit.map_err(|_| OpenError::Slow)?;
+        let permit = permit.map_err(|_| OpenError::TimedOut)?;
         let (conn, reused) = match self.reuse() {
             Some(conn) => (conn, true),
             None => (Conn::open(self.addr, self.connect_time).await?, false),
@@ -173,7 +173,7 @@
 
     fn is_stale(&self, conn: &Conn, now: Instant) -> bool {
         now.checked_sub(self.idle_time)
-            .is_some_and(|then| conn.is_older(then))
+            .is_some_and(|then| conn.used_before(then))
     }
 }
 
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -13,7 +13,8 @@
 };
 
 use super::headers::{
-    ATTEMPT, IDEMPOTENCY_KEY, SERVICE, TERMS, number, strip_caller, strip_hop, strip_internal,
+    ATTEMPT, IDEMPOTENCY_KEY, SERVICE, TERMS, number, strip_caller, strip_hop_by_hop,
+    strip_internal,
 };
 use super::rng::with_rng;
 use super::terms::CallTerms;
@@ -291,7 +292,7 @@
             true => key(headers, idempotent)?,
             false => None,
         };
-        strip_hop(headers);
+        strip_hop_by_hop(headers);
         Ok(Self {
             id,
             due: Deadline::new(now, due),
--- a/crates/swiftcart-node/src/calls/socket.rs
+++ b/crates/swiftcart-node/src/calls/socket.rs
@@ -93,7 +93,7 @@
             Ok(()) => {
                 self.ahead.extend_from_slice(buf.filled());
                 if let Some(pipeline) = &self.pipeline {
-                    pipeline.look(buf.filled());
+                    pipeline.scan_bytes(buf.filled());
                 }
             }
             Err(err) => self.end = Some(Err(err)),
