--- a/crates/swiftcart-node/src/calls.rs
+++ b/crates/swiftcart-node/src/calls.rs
@@ -1,4 +1,4 @@
-//! The call path: from a caller through ingress and guard to a backend server and back.
+//! The request path from a caller through ingress and guard to a backend server and back.
 
 mod admissions;
 mod answer;
@@ -41,10 +41,10 @@
 use serve::Server;
 use service::{GuardService, IngressService};
 
-/// Time between two sweeps for unused connections.
-const SWEEP: Duration = Duration::from_secs(1);
+/// Interval between sweeps that close idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The running call path of a node.
+/// Running request path of a node: its listeners, guard and background tasks.
 #[derive(Debug)]
 pub struct Calls {
     callers: Server,
@@ -54,37 +54,37 @@
 }
 
 impl Calls {
-    /// Starts to serve callers and peers.
+    /// Starts serving callers and peer nodes.
     #[must_use]
     pub fn start(shared: &Arc<Shared>, callers: TcpListener, peers: TcpListener) -> Self {
         let limits = &shared.settings.limits;
         let guard = Arc::new(Guard::new(shared));
         let ingress = Arc::new(Ingress::new(shared, &guard));
-        let for_peers = Server::new(shared, limits.header_timeout().max(limits.peer_idle() * 2));
-        let guarding = GuardService::new(shared, &guard);
-        let accepting = IngressService::new(shared, &ingress);
-        let for_callers =
-            Server::new(shared, limits.header_timeout()).with_starter(accepting.starter());
+        let peer_server = Server::new(shared, limits.header_timeout().max(limits.peer_idle() * 2));
+        let guard_service = GuardService::new(shared, &guard);
+        let ingress_service = IngressService::new(shared, &ingress);
+        let caller_server =
+            Server::new(shared, limits.header_timeout()).with_starter(ingress_service.starter());
         let kept = Arc::clone(&guard);
         let background = vec![
-            tokio::spawn(for_callers.clone().run(callers, accepting)),
-            tokio::spawn(for_peers.clone().run(peers, guarding)),
+            tokio::spawn(caller_server.clone().run(callers, ingress_service)),
+            tokio::spawn(peer_server.clone().run(peers, guard_service)),
             tokio::spawn(sweep(Arc::clone(&ingress), Arc::clone(&guard))),
             tokio::spawn(async move { ingress.follow().await }),
             tokio::spawn(async move { guard.follow().await }),
         ];
         Self {
-            callers: for_callers,
-            peers: for_peers,
+            callers: caller_server,
+            peers: peer_server,
             guard: kept,
             background,
         }
     }
 
-    /// Finishes every request in flight, however long it takes.
+    /// Waits until every request in flight has finished, without a time limit.
     ///
-    /// The node's phase says by then that it is stopping, so that new requests are refused;
-    /// for `notice` they are, and then nothing listens any more.
+    /// The node's phase must be stopping already, so that new requests are refused. The listeners
+    /// stay open for `notice` to send these refusals, and close afterwards.
     pub async fn finish(self, notice: Duration) {
         sleep(notice).await;
         tokio::join!(self.callers.finish(), self.peers.finish());
@@ -96,7 +96,7 @@
 }
 
 async fn sweep(ingress: Arc<Ingress>, guard: Arc<Guard>) {
-    let mut ticks = interval(SWEEP);
+    let mut ticks = interval(SWEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/swiftcart-node/src/calls/conn.rs
+++ b/crates/swiftcart-node/src/calls/conn.rs
@@ -1,9 +1,8 @@
-//! One HTTP connection to a peer or backend server, driven by the request that uses it.
+//! HTTP connection to a peer or backend server, driven by the request that uses it.
 //!
-//! No task stands between a request and its connection: whoever sends polls the
-//! connection, and dropping the conn closes it at once, which cancels the work on
-//! the other side. Counting the written bytes tells for certain whether anything
-//! of a request can have been handed over.
+//! No task runs between a request and its connection: the sender polls the connection itself.
+//! Dropping the [`Conn`] closes the connection immediately, which cancels the work on the remote
+//! side. Tracking writes shows reliably whether any part of a request may have been sent.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -26,59 +25,61 @@
 
 use super::body::Outgoing;
 
-/// How long what was sent may stay without the other kernel's word. On a full link packets wait
-/// for up to a second, and a lost one is sent again after 0.2 s and 0.6 s.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Maximum time that sent data may stay unacknowledged (`TCP_USER_TIMEOUT`).
+///
+/// On a saturated link packets are queued for up to 1 s, and a lost packet is retransmitted after
+/// 0.2 s and 0.6 s.
+const USER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a connection has nothing to send before the other kernel is asked, and how often it
-/// is asked then: the least that the socket takes.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keepalive probe, the smallest value that the socket accepts.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Interval between TCP keepalive probes, the smallest value that the socket accepts.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Tells why no connection could be opened.
+    /// Error while opening a connection.
     #[derive(Debug)]
     pub enum OpenError {
-        /// The other side did not take the connection.
+        /// The remote side did not accept the connection.
         Connect(err: io::Error) {
             from()
             source(err)
             display("cannot connect: {err}")
         }
-        /// The connection took too long.
+        /// The connection was not established in time.
         TimedOut {
-            display("the connection took too long")
+            display("connection attempt timed out")
         }
-        /// The connection failed before the first request.
+        /// The HTTP handshake failed before the first request.
         Handshake(err: hyper::Error) {
             from()
             source(err)
-            display("the connection failed: {err}")
+            display("HTTP handshake failed: {err}")
         }
     }
 }
 
-/// Tells how a request failed on its connection.
+/// Error while sending a request on a connection.
 #[derive(Debug)]
 pub enum SendError {
-    /// Nothing of the request was written; it comes back, so that it can be sent again.
+    /// Nothing of the request was written. The request is returned, so that it can be sent again.
     Unsent(Option<Box<Request<Outgoing>>>),
-    /// Something of the request was written, or may have been.
+    /// At least part of the request was written, or may have been.
     Sent(hyper::Error),
 }
 
-/// An open connection that takes one request at a time.
+/// Open connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Conn {
     sender: SendRequest<Outgoing>,
-    conn: Option<Connection<Watched, Outgoing>>,
+    conn: Option<Connection<WriteTracker, Outgoing>>,
     wrote: Arc<AtomicBool>,
     used: Instant,
 }
 
-/// A socket that notes whether anything was written.
+/// Socket that records whether anything was written.
 #[derive(Debug)]
-struct Watched {
+struct WriteTracker {
     io: TokioIo<TcpStream>,
     wrote: Arc<AtomicBool>,
 }
@@ -88,14 +89,14 @@
     ///
     /// # Errors
     ///
-    /// Returns why the connection did not open.
+    /// Returns an [`OpenError`] if the connection cannot be established within `limit`.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Self, OpenError> {
         let opened = timeout(limit, TcpStream::connect(addr)).await;
         let socket = opened.map_err(|_| OpenError::TimedOut)??;
         socket.set_nodelay(true)?;
-        bound_silence(&socket)?;
+        set_socket_timeouts(&socket)?;
         let wrote = Arc::new(AtomicBool::new(false));
-        let io = Watched {
+        let io = WriteTracker {
             io: TokioIo::new(socket),
             wrote: Arc::clone(&wrote),
         };
@@ -108,31 +109,31 @@
         })
     }
 
-    /// Tells whether the connection was last used before `then`.
+    /// Returns `true` if the connection was last used before `then`.
     #[must_use]
     pub fn used_before(&self, then: Instant) -> bool {
         self.used < then
     }
 
-    /// Looks once at an unused connection and tells whether it can take a request.
+    /// Polls an idle connection once and returns `true` if it can take a request.
     pub fn check(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
         self.drive(&mut cx);
         self.conn.is_some() && self.sender.is_ready()
     }
 
-    /// Notes that the connection was used now.
+    /// Sets the time of last use to now.
     pub fn touch(&mut self) {
         self.used = Instant::now();
     }
 
-    /// Tells whether anything of the last request was written.
+    /// Returns `true` if any part of the last request was written.
     #[must_use]
     pub fn wrote(&self) -> bool {
         self.wrote.load(Ordering::Relaxed)
     }
 
-    /// Moves bytes both ways until the connection waits.
+    /// Transfers data in both directions until the connection is pending.
     pub fn drive(&mut self, cx: &mut Context<'_>) {
         let over = |conn: &mut Connection<_, _>| Pin::new(conn).poll(cx).is_ready();
         if self.conn.as_mut().is_some_and(over) {
@@ -140,11 +141,11 @@
         }
     }
 
-    /// Sends `request` and returns the answer's head; [`drive`](Self::drive) moves the bodies.
+    /// Sends `request` and returns the response's head. [`drive`](Self::drive) transfers the bodies.
     ///
     /// # Errors
     ///
-    /// Returns whether anything of the request was written.
+    /// Returns a [`SendError`] that states whether any part of the request was written.
     pub async fn send(
         &mut self,
         request: Request<Outgoing>,
@@ -152,7 +153,8 @@
         self.wrote.store(false, Ordering::Relaxed);
         let mut answer = pin!(self.sender.try_send_request(request));
         let conn = &mut self.conn;
-        // The answer only moves when the connection does, and that is polled right here.
+        // The response makes progress only when the connection does, and the connection is polled
+        // here. The response therefore needs no waker.
         let result = poll_fn(|cx| {
             if conn
                 .as_mut()
@@ -173,21 +175,21 @@
     }
 }
 
-/// Has the kernel give the connection up when the other side's kernel is silent for too long.
+/// Sets TCP keepalive and user timeout, so that the kernel closes unresponsive connections.
 ///
-/// A connection may fall silent without a reset while new ones open. What waits for an answer
-/// on it would wait for its whole time otherwise. A backend server that takes long keeps its
-/// kernel answering, so that no answer is ended for that.
-fn bound_silence(socket: &TcpStream) -> io::Result<()> {
+/// A connection may stop delivering packets without a reset while new connections can be opened.
+/// Without these timeouts a request on it would wait until its deadline. The kernel of a slow
+/// backend server still acknowledges packets, so slow responses are not cut off.
+fn set_socket_timeouts(socket: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(socket);
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)?;
-    socket.set_tcp_user_timeout(Some(SILENCE))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-impl Read for Watched {
+impl Read for WriteTracker {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -197,7 +199,7 @@
     }
 }
 
-impl Write for Watched {
+impl Write for WriteTracker {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -229,8 +231,8 @@
     }
 }
 
-impl Watched {
-    /// Notes a write; a failed one counts too, unless the socket took nothing for certain.
+impl WriteTracker {
+    /// Records a write that transferred at least one byte.
     fn note(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(result, Poll::Ready(Ok(1..))) {
             self.wrote.store(true, Ordering::Relaxed);
--- a/crates/swiftcart-node/src/calls/exchange.rs
+++ b/crates/swiftcart-node/src/calls/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and the head of its answer, over a pooled connection.
+//! Exchange of one request and its response head over a pooled connection.
 
 use std::sync::Arc;
 
@@ -11,33 +11,33 @@
 use super::conn::SendError;
 use super::pool::{Pool, Pooled};
 
-/// Stale connections that one request may meet before it fails.
-const MAX_STALE: usize = 4;
+/// Maximum number of connections tried for one request before it fails.
+const MAX_STALE_CONNECTIONS: usize = 4;
 
-/// Sends `request` and waits until `until` for the answer's head.
+/// Sends `request` and waits until `until` for the response's head.
 ///
-/// A connection that turns out to be closed before anything was written is
-/// replaced by another one. When the pool is ended, no answer can come any more. `handing` is
-/// called each time that a connection is about to take the request.
+/// A reused connection that was closed before anything was written is replaced by another one. If
+/// the pool is shut down, no response can arrive any more and the exchange fails. `on_send` is
+/// called each time before the request is sent on a connection.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer: `unreachable` when no connection took the
-/// request; the reason's outcome is `not-run` only when nothing was written.
+/// Returns the reason why there is no response, or `unreachable` if no connection took the request.
+/// The outcome of the reason is `not-run` only if nothing was written.
 pub async fn exchange(
     pool: &Arc<Pool>,
     until: Instant,
     mut request: Request<Outgoing>,
     unreachable: Reason,
-    mut handing: impl FnMut(),
+    mut on_send: impl FnMut(),
 ) -> Result<(Response<Incoming>, Pooled), Reason> {
-    for _ in 0..MAX_STALE {
+    for _ in 0..MAX_STALE_CONNECTIONS {
         let mut pooled = match timeout_at(until, pool.take()).await {
             Ok(Ok(pooled)) => pooled,
             Ok(Err(_)) => return Err(unreachable),
             Err(_) => return Err(Reason::DeadlinePassed),
         };
-        handing();
+        on_send();
         let sent = tokio::select! {
             sent = timeout_at(until, pooled.conn().send(request)) => sent,
             () = pool.ended() => {
--- a/crates/swiftcart-node/src/calls/headers.rs
+++ b/crates/swiftcart-node/src/calls/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that nodes, callers and backend servers use among themselves.
+//! HTTP headers exchanged between nodes, callers and backend servers.
 
 use std::time::Duration;
 
@@ -10,35 +10,36 @@
 
 use crate::settings::Headers;
 
-/// The number of this try over all levels, from 1.
+/// Number of this attempt across all levels that retry, starting at 1.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("swiftcart-attempt");
-/// The key under which a request runs at most once.
+/// Idempotency key, under which a request runs at most once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// The service that an ingress asks a guard for.
+/// Service that an ingress requests from a guard.
 pub const SERVICE: HeaderName = HeaderName::from_static("swiftcart-service");
-/// The deadline that a backend server gets, in Unix milliseconds.
+/// Deadline passed to a backend server, in Unix milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("swiftcart-deadline");
-/// How the route's policy treats a request, between nodes.
+/// Terms of the route's policy for a request, sent between nodes.
 pub const TERMS: HeaderName = HeaderName::from_static("swiftcart-terms");
-/// What became of a request, in answers that a node makes.
+/// Outcome of a request, in responses that a node generates.
 pub const OUTCOME: HeaderName = HeaderName::from_static("swiftcart-outcome");
-/// Why, in answers that a node makes.
+/// Reason for the outcome, in responses that a node generates.
 pub const REASON: HeaderName = HeaderName::from_static("swiftcart-reason");
-/// The guard's load, in answers to other nodes.
+/// Load of the guard, in responses to other nodes.
 pub const LOAD: HeaderName = HeaderName::from_static("swiftcart-load");
 
-/// What the guard's backend server has said of itself: in answers to other nodes, and in their
-/// requests, which bring it back.
+/// Process notice of the guard's backend server.
+///
+/// A guard sends the notice in responses to other nodes, and they return it in their requests.
 pub const NOTICE: HeaderName = HeaderName::from_static("swiftcart-notice");
 
-/// Marks an answer whose request was tried more than once.
+/// Marker of a response whose request was attempted more than once.
 pub const RETRIED: HeaderName = HeaderName::from_static("swiftcart-retried");
 
-/// How long an unused connection is kept.
+/// Time for which an idle connection is kept open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that mean something to one connection only.
-const HOP: [HeaderName; 9] = [
+/// Hop-by-hop headers, which apply to a single connection.
+const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
     HeaderName::from_static("proxy-connection"),
@@ -50,12 +51,14 @@
     EXPECT,
 ];
 
-/// Headers that only nodes set; a caller's or backend server's are dropped.
+/// Headers that only nodes may set. Values from callers and backend servers are dropped.
 const INTERNAL: [HeaderName; 8] = [
     SERVICE, DEADLINE, TERMS, OUTCOME, REASON, LOAD, NOTICE, RETRIED,
 ];
 
-/// Removes the headers that belong to one connection; the framing stays unambiguous.
+/// Removes the hop-by-hop headers.
+///
+/// The framing stays unambiguous: `Content-Length` is removed along with `Transfer-Encoding`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -65,7 +68,7 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != CONTENT_LENGTH && *name != TRANSFER_ENCODING)
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
     if headers.remove(TRANSFER_ENCODING).is_some() {
@@ -73,14 +76,14 @@
     }
 }
 
-/// Removes the headers that only nodes set.
+/// Removes the headers that only nodes may set.
 pub fn strip_internal(headers: &mut HeaderMap) {
     for name in &INTERNAL {
         headers.remove(name);
     }
 }
 
-/// Removes what a caller may not say to a backend server.
+/// Removes the headers that a caller may not pass to a backend server.
 pub fn strip_caller(headers: &mut HeaderMap, names: &Headers) {
     strip_internal(headers);
     let set_by_nodes = [&names.target, &names.caller, &names.account];
@@ -89,12 +92,12 @@
     }
 }
 
-/// Returns the number in the header `name`, or `None` when it is absent.
+/// Returns the number in the header `name`, or `None` if the header is absent.
 ///
 /// # Errors
 ///
-/// [`Reason::BadRequest`] when the header is repeated or no number.
-pub fn number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Reason> {
+/// Returns [`Reason::BadRequest`] if the header is repeated or is not a number.
+pub fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, Reason> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
@@ -106,23 +109,24 @@
     }
 }
 
-/// Returns what another node said that became of a request, when it made the answer itself.
+/// Returns the refusal reason of a response that another node generated itself, or `None` for
+/// other responses.
 #[must_use]
-pub fn verdict(headers: &HeaderMap) -> Option<Reason> {
+pub fn refusal_reason(headers: &HeaderMap) -> Option<Reason> {
     headers.get(OUTCOME)?;
     let name = headers.get(REASON)?.to_str().ok()?;
     Reason::ALL.iter().copied().find(|r| r.as_str() == name)
 }
 
-/// Returns the time after which an answer asks to come back.
+/// Returns the delay in the `Retry-After` header of a response.
 #[must_use]
 pub fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(http::header::RETRY_AFTER)?.to_str().ok()?;
     Duration::try_from_secs_f64(text.parse().ok()?).ok()
 }
 
-/// Returns what another node says that a backend server has said of itself; what cannot be read says nothing.
+/// Returns the process notice in the headers, or `None` if it is absent or malformed.
 #[must_use]
-pub fn told(headers: &HeaderMap) -> Option<ProcessNotice> {
+pub fn process_notice(headers: &HeaderMap) -> Option<ProcessNotice> {
     headers.get(NOTICE)?.to_str().ok()?.parse().ok()
 }
--- a/crates/swiftcart-node/src/calls/in_flight.rs
+++ b/crates/swiftcart-node/src/calls/in_flight.rs
@@ -1,4 +1,4 @@
-//! One try of a call, as the ingress accounts for it.
+//! Accounting of one attempt of a call at the ingress.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::guard::Report;
 use crate::shared::Shared;
 
-/// A try that runs at one node; the balancer learns how it ended, also when it is dropped.
+/// Attempt that runs at one node. Its result is reported to the balancer, also on drop.
 #[derive(Debug)]
 pub struct InFlight {
     shared: Arc<Shared>,
@@ -17,13 +17,13 @@
     id: NodeId,
     start: Instant,
     report: Option<Report>,
-    /// When the guard takes the next request.
-    again: Option<Duration>,
+    /// Delay until the guard accepts the next request.
+    retry_after: Option<Duration>,
     open: bool,
 }
 
 impl InFlight {
-    /// Counts a try that starts at `id` now.
+    /// Registers an attempt that starts now at node `id`.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, balancer: &Arc<Mutex<Balancer>>, id: NodeId) -> Self {
         balancer
@@ -36,42 +36,43 @@
             id,
             start: shared.clock.now(),
             report: None,
-            again: None,
+            retry_after: None,
             open: true,
         }
     }
 
-    /// Returns when the try started.
+    /// Returns the start time of the attempt.
     #[must_use]
     pub const fn start(&self) -> Instant {
         self.start
     }
 
-    /// Adds what the guard told.
+    /// Sets the load that the guard reported.
     pub const fn set_load(&mut self, report: Option<Report>) {
         self.report = report;
     }
 
-    /// Adds when the guard takes the next request, where a rate bounds what it takes.
-    pub const fn set_again(&mut self, again: Option<Duration>) {
-        self.again = again;
+    /// Sets the delay until the guard accepts the next request, if a rate limit applies.
+    pub const fn set_retry_after(&mut self, retry_after: Option<Duration>) {
+        self.retry_after = retry_after;
     }
 
-    /// Accounts for the end of the answer that the caller got.
+    /// Records the end of the response that the caller received.
     pub fn close(mut self, end: End) {
         self.shared.counters.call(end.outcome());
-        self.learn(end.result());
+        self.record(end.result());
     }
 
-    /// Accounts for a try without an answer.
+    /// Records an attempt without a response for the caller.
     pub fn fail(mut self, result: CallResult) {
-        self.learn(result);
+        self.record(result);
     }
 
-    fn learn(&mut self, result: CallResult) {
+    fn record(&mut self, result: CallResult) {
         self.open = false;
         let now = self.shared.clock.now();
-        let mut sample = Sample::new(now.since(self.start), result).with_retry_after(self.again);
+        let mut sample =
+            Sample::new(now.since(self.start), result).with_retry_after(self.retry_after);
         sample.load = self.report.map(|report| report.load);
         sample.pace = self.report.and_then(|report| report.pace);
         let mut balancer = self.balancer.lock().unwrap_or_else(PoisonError::into_inner);
@@ -87,11 +88,11 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         if self.open {
-            // The caller went away before there was an answer.
+            // The caller disconnected before there was a response.
             let counters = &self.shared.counters;
             counters.call(Outcome::Unknown);
             counters.refuse(Reason::CallerGone.as_str());
-            self.learn(CallResult::Cancelled);
+            self.record(CallResult::Cancelled);
         }
     }
 }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -1,4 +1,4 @@
-//! The ingress: routes callers' requests to a guard, and tries again where that is safe.
+//! The ingress: routes callers' requests to a guard and retries them where that is safe.
 
 mod account;
 mod failed;
@@ -34,12 +34,12 @@
 use crate::counters::Stage;
 use crate::logging::Event;
 use crate::shared::{Phase, Shared};
-use failed::{Failed, blame, has_failed};
-use forward::take_load;
-use log::Pending;
-use original::Original;
+use failed::{FailedAttempt, call_result, is_retryable_failure};
+use forward::take_load_report;
+use log::PendingCall;
+use original::OriginalRequest;
 
-/// Takes callers' requests to a backend server, beside this node or another.
+/// Router of callers' requests to backend servers, beside this node or another.
 #[derive(Debug)]
 pub struct Ingress {
     shared: Arc<Shared>,
@@ -50,23 +50,23 @@
     mesh_budget: Option<Mutex<MeshRetryBudget>>,
     profiles: Mutex<RouteProfiles>,
     refusal_history: Mutex<RefusalHistory>,
-    /// What guards told of their backend servers.
-    told: Mutex<ToldNotices>,
+    /// Latest process notice of each backend server, as reported by its guard.
+    notices: Mutex<ToldNotices>,
 }
 
-/// How far one call is: the tries that were made of it.
+/// State of one call across its attempts.
 #[derive(Debug)]
 struct CallState {
     start: Instant,
-    tries: RetryState,
-    under_policy: PolicyRetryState,
+    retry_state: RetryState,
+    policy_retries: PolicyRetryState,
     slot_search: SlotSearch,
-    /// The tries that failed.
-    asked: u32,
+    /// Number of failed attempts.
+    failures: u32,
 }
 
 impl Ingress {
-    /// Creates an ingress that hands requests for the own backend server to `guard`.
+    /// Creates an ingress that passes requests for the local backend server to `guard`.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, guard: &Arc<Guard>) -> Self {
         let now = shared.clock.now();
@@ -83,11 +83,11 @@
                 .map(|retries| Mutex::new(MeshRetryBudget::new(retries.budget()))),
             profiles: Mutex::default(),
             refusal_history: Mutex::default(),
-            told: Mutex::default(),
+            notices: Mutex::default(),
         }
     }
 
-    /// Takes over the candidates of each new view.
+    /// Updates the balancer's candidates from each new view, until the views end.
     pub async fn follow(&self) {
         let mut views = self.shared.views.subscribe();
         loop {
@@ -101,19 +101,19 @@
         }
     }
 
-    /// Closes unused connections.
+    /// Closes idle connections to peers.
     pub fn sweep(&self) {
         self.peers.sweep();
     }
 
-    /// Answers one request of a caller.
+    /// Answers one request from a caller.
     pub async fn answer(&self, head: Parts, body: Option<Incoming>) -> Response<Answer> {
         let start = self.shared.clock.now();
         let id = head.headers.get(&self.shared.headers.request_id.0).cloned();
         let target = format!("{}{}", host(&head).unwrap_or("-"), head.uri.path());
-        let pending = Pending::new(self, id.as_ref(), &target, start);
+        let pending = PendingCall::new(self, id.as_ref(), &target, start);
         let result = self.route(head, body).await;
-        pending.settle();
+        pending.complete();
         let counters = &self.shared.counters;
         let now = self.shared.clock.now();
         counters.stage(Stage::Ingress, now.since(start));
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Tells whether a request without a body may be started before its turn.
+    /// Returns `true` if a pipelined request without a body may start before earlier requests on
+    /// its connection are answered.
     #[must_use]
     pub fn may_start(&self, head: &Parts) -> bool {
         let view = self.shared.view.load();
@@ -141,9 +142,9 @@
         }
     }
 
-    /// Answers a request whose task has failed.
+    /// Logs the failure of a request's task and answers the request with a refusal.
     #[must_use]
-    pub fn fail(&self, err: &JoinError) -> Response<Answer> {
+    pub fn answer_failed_task(&self, err: &JoinError) -> Response<Answer> {
         let logger = &self.shared.logger;
         error!(logger, ""; "event" => Event::Failed, "part" => "ingress", "error" => %err);
         refuse(
@@ -157,7 +158,7 @@
         &self,
         mut head: Parts,
         body: Option<Incoming>,
-    ) -> Result<Response<Answer>, Failed> {
+    ) -> Result<Response<Answer>, FailedAttempt> {
         let settings = &self.shared.settings;
         let now = self.shared.clock.now();
         let mut call = Call::from_caller(&mut head, settings, now)?;
@@ -172,23 +173,25 @@
         }
         let view = self.shared.view.load_full();
         if view.version() == Version::NONE {
-            // A node may be asked to stop before it has a configuration; it knows of no route
-            // whether there is one.
+            // A node that is stopped before it received a configuration cannot tell whether a
+            // route exists.
             return Err(Reason::NotReady.into());
         }
         let routed = with_rng(|rng| view.find(host(&head), head.uri.path(), rng))?;
         let account = self.identify(&mut head, view.accounts(), routed.access)?;
-        call.take_route(&routed, lock(&self.profiles).of(routed.route), now);
-        let homes = account.as_ref().map(|account| &account.regions);
-        call.regions =
-            homes.map_or_else(|| routed.regions.clone(), |homes| routed.regions.and(homes));
-        self.name_caller(&mut head);
-        call.take_print(&head, &settings.headers);
+        call.apply_route(&routed, lock(&self.profiles).of(routed.route), now);
+        let account_regions = account.as_ref().map(|account| &account.regions);
+        call.regions = account_regions.map_or_else(
+            || routed.regions.clone(),
+            |account_regions| routed.regions.and(account_regions),
+        );
+        self.set_caller_header(&mut head);
+        call.compute_print(&head, &settings.headers);
         let first_attempt = lock(&self.refusal_history).first_attempt(now, call.print.head);
         let first = first_attempt.unwrap_or(now);
-        call.tried_for(now.since(first));
+        call.raise_age(now.since(first));
         let limits = &settings.limits;
-        let original = Original::new(head, body, limits.replay_bytes, limits.body_timeout());
+        let original = OriginalRequest::new(head, body, limits.replay_bytes, limits.body_timeout());
         let result = self
             .serve(call.clone(), account, routed.entry, &original)
             .await;
@@ -206,25 +209,26 @@
         result
     }
 
-    /// Sends a request to a backend server that is not held, and within its account's quota.
+    /// Sends a request to a backend server, unless the request is quarantined or exceeds its
+    /// account's quota.
     async fn serve(
         &self,
         mut call: Call,
         account: Option<Arc<Identity>>,
         entry: &ServiceEntry,
-        original: &Original,
-    ) -> Result<Response<Answer>, Failed> {
-        self.pass(&call, original).await?;
-        let admitted = self.admit(&mut call, account)?;
-        let result = self.tries(&call, entry, original).await;
-        if let Some(admitted) = admitted {
-            admitted.settle(&result);
+        original: &OriginalRequest,
+    ) -> Result<Response<Answer>, FailedAttempt> {
+        self.check_quarantine(&call, original).await?;
+        let charge = self.charge_quota(&mut call, account)?;
+        let result = self.run_attempts(&call, entry, original).await;
+        if let Some(charge) = charge {
+            charge.settle(&result);
         }
         result
     }
 
-    /// Tells the backend server which service the request comes from.
-    fn name_caller(&self, head: &mut Parts) {
+    /// Sets the header that names the calling service to the backend server.
+    fn set_caller_header(&self, head: &mut Parts) {
         let settings = &self.shared.settings;
         let (Some(name), Some(service)) = (&settings.headers.caller, &settings.service) else {
             return;
@@ -234,25 +238,25 @@
         }
     }
 
-    async fn tries(
+    async fn run_attempts(
         &self,
         call: &Call,
         entry: &ServiceEntry,
-        original: &Original,
-    ) -> Result<Response<Answer>, Failed> {
+        original: &OriginalRequest,
+    ) -> Result<Response<Answer>, FailedAttempt> {
         let mut state = CallState {
             start: self.shared.clock.now(),
-            tries: RetryState::new(call.attempt),
-            under_policy: PolicyRetryState::default(),
+            retry_state: RetryState::new(call.attempt),
+            policy_retries: PolicyRetryState::default(),
             slot_search: match call.terms {
                 Some(_) => SlotSearch::new(entry.candidates().len(), call.payload),
                 None => SlotSearch::queueing(),
             },
-            asked: 0,
+            failures: 0,
         };
-        let mut last: Option<Failed> = None;
+        let mut last: Option<FailedAttempt> = None;
         let mut next = RetryTarget::Other;
-        self.count_first(entry);
+        self.record_first_attempt(entry);
         loop {
             let pick = self.pick_next(call, entry, &state, next);
             if state.slot_search.switch_to_queueing(pick.as_ref()) {
@@ -274,12 +278,12 @@
                 }
                 Err(failed) => failed,
             };
-            state.asked += 1;
+            state.failures += 1;
             state.slot_search.failed(pick.id, failed.refusal.reason);
-            failed.retried |= state.tries.retried();
-            let again = self.may_retry(call, entry, original, &mut state, &pick, &failed);
-            self.log_try(call, entry, &state, &pick, &failed, again);
-            let kept = Failed::worse(last.take(), failed);
+            failed.retried |= state.retry_state.retried();
+            let again = self.decide_retry(call, entry, original, &mut state, &pick, &failed);
+            self.log_failed_attempt(call, entry, &state, &pick, &failed, again);
+            let kept = FailedAttempt::merge(last.take(), failed);
             match again {
                 Ok(RetryTarget::Other) => next = RetryTarget::Other,
                 Ok(RetryTarget::Same) => {
@@ -292,7 +296,7 @@
         }
     }
 
-    /// Chooses the guard of the next try.
+    /// Chooses the guard for the next attempt.
     fn pick_next(
         &self,
         call: &Call,
@@ -303,7 +307,7 @@
         match next {
             RetryTarget::Other => self.pick(call, entry, state.slot_search.excluded()),
             RetryTarget::Same => {
-                let reached = state.under_policy.reached();
+                let reached = state.policy_retries.reached();
                 let again = |c: &&Candidate| reached.contains(&c.id);
                 let all = entry.candidates().iter().chain(entry.tried());
                 let others: Vec<NodeId> = all.filter(|c| !again(c)).map(|c| c.id).collect();
@@ -312,7 +316,7 @@
         }
     }
 
-    fn count_first(&self, entry: &ServiceEntry) {
+    fn record_first_attempt(&self, entry: &ServiceEntry) {
         match &self.mesh_budget {
             Some(mesh_budget) => {
                 let now = self.shared.clock.now();
@@ -322,7 +326,8 @@
         }
     }
 
-    /// Chooses a guard; those with a key prefer the few that follow the key's claims.
+    /// Chooses a guard. A request with an idempotency key prefers the guards that follow the
+    /// key's claims.
     fn pick(&self, call: &Call, entry: &ServiceEntry, tried: &[NodeId]) -> Option<Pick> {
         let now = self.shared.clock.now();
         let balancer = self.balancer();
@@ -349,44 +354,50 @@
         call: &Call,
         pick: &Pick,
         entry: &ServiceEntry,
-        original: &Original,
+        original: &OriginalRequest,
         state: &CallState,
-    ) -> Result<Response<Answer>, Failed> {
-        let call = &call.attempt(
-            state.under_policy.is_retry(),
+    ) -> Result<Response<Answer>, FailedAttempt> {
+        let call = &call.for_attempt(
+            state.policy_retries.is_retry(),
             state.slot_search.queue_wait(),
         );
-        let tries = state.tries;
+        let retry_state = state.retry_state;
         let mut in_flight = InFlight::new(&self.shared, &self.balancer, pick.id);
         let service = entry.name().as_str();
         let result = match pick.id == self.shared.id {
             true => {
-                // The guard forgets with an announcement that has lapsed.
-                let told = lock(&self.told).of(pick.id);
-                told.into_iter().for_each(|told| self.guard.relay(told));
+                // The guard drops its notice when an announcement lapses; this restores the notice.
+                let notice = lock(&self.notices).of(pick.id);
+                notice
+                    .into_iter()
+                    .for_each(|notice| self.guard.relay(notice));
                 let result = self.run_here(call, service, original).await;
-                if let Some(told) = self.guard.told() {
-                    lock(&self.told).note(pick.id, told);
+                if let Some(notice) = self.guard.told() {
+                    lock(&self.notices).note(pick.id, notice);
                 }
-                let result = self.hold(call, result.map_err(Failed::from)).await;
+                let result = self
+                    .buffer_start(call, result.map_err(FailedAttempt::from))
+                    .await;
                 in_flight.set_load(self.guard.report());
                 result
             }
             false => {
-                let result = self.forward(call, pick, service, original, tries).await;
-                self.hold(call, result).await
+                let result = self
+                    .forward(call, pick, service, original, retry_state)
+                    .await;
+                self.buffer_start(call, result).await
             }
         };
         match result {
             Ok(mut response) => {
-                if let Some(report) = take_load(&mut response) {
+                if let Some(report) = take_load_report(&mut response) {
                     in_flight.set_load(Some(report));
                 }
-                if has_failed(call, &response) {
+                if is_retryable_failure(call, &response) {
                     in_flight.fail(CallResult::ErrorResponse);
-                    return Err(Failed::with_answer(response));
+                    return Err(FailedAttempt::with_answer(response));
                 }
-                if tries.retried() {
+                if retry_state.retried() {
                     let headers = response.headers_mut();
                     headers.insert(RETRIED, HeaderValue::from_static("1"));
                 }
@@ -399,19 +410,20 @@
                 if failed.refusal.reason == Reason::PeerUnreachable {
                     self.shared.unreached.note(pick.id, in_flight.start());
                 }
-                in_flight.set_again(failed.again());
-                in_flight.fail(blame(failed.refusal.reason));
+                in_flight.set_retry_after(failed.throttle_wait());
+                in_flight.fail(call_result(failed.refusal.reason));
                 Err(failed)
             }
         }
     }
 
-    /// Runs the request at the own backend server; an upload is read before it takes a slot.
+    /// Runs the request on the local backend server. An upload's body is read before the upload
+    /// takes a slot.
     async fn run_here(
         &self,
         call: &Call,
         service: &str,
-        original: &Original,
+        original: &OriginalRequest,
     ) -> Result<Response<Answer>, Refusal> {
         if call.is_upload() {
             let bytes = self.shared.settings.limits.replay_bytes as usize;
@@ -421,14 +433,14 @@
         self.guard.run(call, service, original.request(None)).await
     }
 
-    /// Reads the beginning of an answer before its head is passed on.
+    /// Buffers the start of a response before its head is passed on.
     ///
-    /// A short answer that breaks off has then not been begun towards the caller.
-    async fn hold(
+    /// If a short response breaks off, nothing of it has reached the caller yet.
+    async fn buffer_start(
         &self,
         call: &Call,
-        result: Result<Response<Answer>, Failed>,
-    ) -> Result<Response<Answer>, Failed> {
+        result: Result<Response<Answer>, FailedAttempt>,
+    ) -> Result<Response<Answer>, FailedAttempt> {
         let bytes = self.shared.settings.limits.held_bytes as usize;
         let mut response = result?;
         if bytes > 0 {
@@ -443,7 +455,7 @@
     }
 }
 
-/// Returns the host that a request names, in its target or its header.
+/// Returns the host from the request's target, or else from its `Host` header.
 fn host(head: &Parts) -> Option<&str> {
     let named = head.headers.get(http::header::HOST);
     head.uri
--- a/crates/swiftcart-node/src/calls/ingress/account.rs
+++ b/crates/swiftcart-node/src/calls/ingress/account.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether its client account may send it now.
+//! Authentication of client accounts and enforcement of their quotas.
 
 use std::sync::Arc;
 
@@ -9,26 +9,27 @@
 use swiftcart_core::{Access, Accounts, Identity, KeyHash, Outcome, QuotaMeter, Reason, Refusal};
 
 use super::log::ms;
-use super::{Failed, Ingress};
-use crate::calls::origin::Origin;
+use super::{FailedAttempt, Ingress};
+use crate::calls::origin::CallerAddr;
 use crate::calls::request::Call;
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// The longest value of the header that carries a key, in bytes.
-const MAX_CREDENTIALS: usize = 512;
+/// Maximum length of the header value that carries an API key, in bytes.
+const MAX_CREDENTIALS_BYTES: usize = 512;
 
-/// A request that was counted for its account. One whose caller goes away may have run, and stays
-/// counted.
+/// Charge of one request against its account's quota.
+///
+/// The charge stays if the caller disconnects, since the request may have run.
 #[derive(Debug)]
-pub(super) struct Admitted<'a> {
+pub(super) struct QuotaCharge<'a> {
     shared: &'a Shared,
     account: Arc<Identity>,
 }
 
-impl Admitted<'_> {
-    /// Gives the request back to the quota when it ended without having run.
-    pub(super) fn settle<T>(self, result: &Result<T, Failed>) {
+impl QuotaCharge<'_> {
+    /// Refunds the charge if the request ended without having run.
+    pub(super) fn settle<T>(self, result: &Result<T, FailedAttempt>) {
         match result {
             Err(failed) if failed.refusal.reason.outcome() == Outcome::NotRun => {
                 self.shared.quotas.give_back(&self.account);
@@ -39,13 +40,14 @@
 }
 
 impl Ingress {
-    /// Finds the account of a request and takes its key out of the head.
+    /// Finds the account of a request and removes the API key from the head.
     ///
-    /// Calls of the own backend server carry no key and belong to no account.
+    /// Requests from the local backend server carry no key and belong to no account.
     ///
     /// # Errors
     ///
-    /// [`Reason::Unauthenticated`] where the route asks for a key and there is none that is known.
+    /// Returns [`Reason::Unauthenticated`] if the route requires an account and the request has no
+    /// known key.
     pub(super) fn identify(
         &self,
         head: &mut Parts,
@@ -56,11 +58,11 @@
             return Ok(None);
         }
         let settings = &self.shared.settings;
-        let given = credentials(&head.headers, &settings.headers.scheme);
+        let given = api_key(&head.headers, &settings.headers.scheme);
         let holder = given.and_then(|key| accounts.holder(KeyHash::of(key)).cloned());
         let is_keyless = !head.headers.contains_key(AUTHORIZATION);
-        let origin = Origin::noted(&head.extensions);
-        let is_own = origin.is_some_and(|origin| origin.is_at(settings.listen.calls.ip()));
+        let origin = CallerAddr::from_extensions(&head.extensions);
+        let is_local = origin.is_some_and(|origin| origin.is_instance(settings.listen.calls.ip()));
         head.headers.remove(AUTHORIZATION);
         match (holder, access) {
             (Some(account), _) => {
@@ -72,32 +74,34 @@
                 Ok(Some(account))
             }
             (None, Access::Public) => Ok(None),
-            (None, Access::Accounts) if is_keyless && is_own => Ok(None),
+            (None, Access::Accounts) if is_keyless && is_local => Ok(None),
             (None, Access::Accounts) => Err(Reason::Unauthenticated),
         }
     }
 
-    /// Counts a request for its account, whose rank goes before that of the route.
+    /// Charges a request to its account's quota.
+    ///
+    /// The account's priority, if any, overrides the priority of the route.
     ///
     /// # Errors
     ///
-    /// [`Reason::OverQuota`] with the time after which the account may send again.
-    pub(super) fn admit(
+    /// Returns [`Reason::OverQuota`] with the time after which the account may send again.
+    pub(super) fn charge_quota(
         &self,
         call: &mut Call,
         account: Option<Arc<Identity>>,
-    ) -> Result<Option<Admitted<'_>>, Refusal> {
+    ) -> Result<Option<QuotaCharge<'_>>, Refusal> {
         let Some(account) = account else {
             return Ok(None);
         };
         if let Some(priority) = account.priority {
-            call.rank(priority);
+            call.set_priority(priority);
         }
         let now = self.shared.clock.now();
         let timing = call.timing(self.balancer().mean_pace());
-        let asked = self.shared.quotas.ask(now, &account, timing);
-        asked.inspect_err(|refusal| self.log_quota(call, &account, *refusal))?;
-        Ok(Some(Admitted {
+        let charged = self.shared.quotas.ask(now, &account, timing);
+        charged.inspect_err(|refusal| self.log_quota(call, &account, *refusal))?;
+        Ok(Some(QuotaCharge {
             shared: &self.shared,
             account,
         }))
@@ -105,7 +109,7 @@
 }
 
 impl Ingress {
-    /// Logs a request beyond a quota, with what decided.
+    /// Logs a request that exceeds a quota, with the values behind the decision.
     fn log_quota(&self, call: &Call, account: &Identity, refusal: Refusal) {
         let now = self.shared.clock.now();
         let Some(log) = self.shared.call_log.failed(now) else {
@@ -123,14 +127,15 @@
     }
 }
 
-/// Returns the key that a request carries; a request with two headers carries none.
-fn credentials<'a>(headers: &'a HeaderMap, scheme: &str) -> Option<&'a [u8]> {
+/// Returns the API key of a request, or `None` if the `Authorization` header is missing, repeated,
+/// too long or malformed.
+fn api_key<'a>(headers: &'a HeaderMap, scheme: &str) -> Option<&'a [u8]> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let (value, None) = (values.next()?, values.next()) else {
         return None;
     };
     let bytes = value.as_bytes();
-    if bytes.len() > MAX_CREDENTIALS {
+    if bytes.len() > MAX_CREDENTIALS_BYTES {
         return None;
     }
     let (given, key) = bytes.split_at_checked(scheme.len())?;
--- a/crates/swiftcart-node/src/calls/ingress/failed.rs
+++ b/crates/swiftcart-node/src/calls/ingress/failed.rs
@@ -1,4 +1,4 @@
-//! Tries that brought no answer of a backend server, and what they tell.
+//! Failed attempts and their classification for retries and balancing.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::calls::guard::Report;
 use crate::calls::request::Call;
 
-/// A try that brought no answer of a backend server.
+/// Attempt that failed: a refusal, or a server error that may be retried.
 #[derive(Debug)]
-pub(super) struct Failed {
+pub(super) struct FailedAttempt {
     pub(super) refusal: Refusal,
     pub(super) retried: bool,
     pub(super) load: Option<Report>,
-    /// The backend server's own answer, which is passed on when no other try goes better.
+    /// Error response of the backend server, passed on if no other attempt succeeds.
     pub(super) answer: Option<Box<Response<Answer>>>,
 }
 
-impl Failed {
+impl FailedAttempt {
     pub(super) fn with_answer(response: Response<Answer>) -> Self {
         Self {
             answer: Some(Box::new(response)),
@@ -27,12 +27,14 @@
         }
     }
 
-    /// Returns what the caller is told after two failed tries: what may have run once is not
-    /// told to be not run because of a later refusal, and a backend server's own answer goes
-    /// before what a node would say. The last guard that named a time to come back is heeded.
-    pub(super) fn worse(before: Option<Self>, mut now: Self) -> Self {
+    /// Combines two failed attempts into the failure that the caller sees.
+    ///
+    /// If the earlier attempt may have run, a later refusal does not turn the outcome into
+    /// "not run". A response of the backend server takes precedence over a refusal made by a node.
+    /// The latest retry time that a guard gave is kept.
+    pub(super) fn merge(before: Option<Self>, mut now: Self) -> Self {
         match before {
-            Some(before) if now.answer.is_none() && before.is_unknown() => before,
+            Some(before) if now.answer.is_none() && before.is_outcome_unknown() => before,
             Some(before) => {
                 let after = now.refusal.retry_after.or(before.refusal.retry_after);
                 now.refusal.retry_after = after;
@@ -49,24 +51,25 @@
         }
     }
 
-    /// Returns when the guard takes the next request of this node, where a rate bounds what it takes.
-    pub(super) fn again(&self) -> Option<Duration> {
+    /// Returns the delay until the guard accepts this node's next request, if the guard's rate
+    /// limit refused this one.
+    pub(super) fn throttle_wait(&self) -> Option<Duration> {
         let throttled = self.refusal.reason == Reason::Throttled;
         self.refusal.retry_after.filter(|_| throttled)
     }
 
-    pub(super) fn is_unknown(&self) -> bool {
+    pub(super) fn is_outcome_unknown(&self) -> bool {
         self.refusal.reason.outcome() == Outcome::Unknown
     }
 }
 
-impl From<Reason> for Failed {
+impl From<Reason> for FailedAttempt {
     fn from(reason: Reason) -> Self {
         Refusal::from(reason).into()
     }
 }
 
-impl From<Refusal> for Failed {
+impl From<Refusal> for FailedAttempt {
     fn from(refusal: Refusal) -> Self {
         Self {
             refusal,
@@ -77,16 +80,17 @@
     }
 }
 
-/// Tells whether an answer says that the backend server has failed at a request that another
-/// one may run. What it says at the deadline leaves no time for another one.
-pub(super) fn has_failed(call: &Call, response: &Response<Answer>) -> bool {
+/// Returns `true` if a response is a server error and another backend server may run the request.
+///
+/// A `504 Gateway Timeout` is excluded: at the deadline no time is left for another attempt.
+pub(super) fn is_retryable_failure(call: &Call, response: &Response<Answer>) -> bool {
     let status = response.status();
     let failed = status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT;
     failed && call.idempotent && call.terms.is_some()
 }
 
-/// Returns what a failed try tells of the node and backend server that it went to.
-pub(super) fn blame(reason: Reason) -> CallResult {
+/// Returns the balancer's result for the node of a failed attempt.
+pub(super) fn call_result(reason: Reason) -> CallResult {
     match (reason, reason.outcome()) {
         (Reason::CallerGone, _) => CallResult::Cancelled,
         (Reason::PeerUnreachable | Reason::ConnectFailed, _) => CallResult::Unreachable,
--- a/crates/swiftcart-node/src/calls/ingress/forward.rs
+++ b/crates/swiftcart-node/src/calls/ingress/forward.rs
@@ -1,23 +1,24 @@
-//! The hop to the guard beside another backend server.
+//! Forwarding of requests to the guard beside another backend server.
 
 use http::{HeaderValue, Response};
 use swiftcart_core::{HOP_ALLOWANCE, Load, Pace, Pick, Reason, Refusal, RetryState};
 
-use super::original::Original;
-use super::{Failed, Ingress, lock};
+use super::original::OriginalRequest;
+use super::{FailedAttempt, Ingress, lock};
 use crate::calls::answer::{Answer, is_framed};
 use crate::calls::body::Gate;
 use crate::calls::exchange::exchange;
 use crate::calls::guard::Report;
 use crate::calls::headers::{
-    ATTEMPT, LOAD, NOTICE, RETRIED, SERVICE, TERMS, retry_after, strip_hop_by_hop, strip_internal,
-    told, verdict,
+    ATTEMPT, LOAD, NOTICE, RETRIED, SERVICE, TERMS, process_notice, refusal_reason, retry_after,
+    strip_hop_by_hop, strip_internal,
 };
 use crate::calls::request::Call;
 
-/// The longest body of an upload that is sent before the guard asks for it. A guard takes
-/// few bodies at once, since other requests wait behind them on its link.
-const ASKED_BYTES: u64 = 8 << 10;
+/// Maximum body length of an upload that is sent without waiting for `100 Continue`, in bytes.
+///
+/// A guard receives only a few bodies at once, since other requests queue behind them on its link.
+const MAX_UNPROMPTED_BYTES: u64 = 8 << 10;
 
 impl Ingress {
     /// Sends the request to the guard beside the chosen backend server.
@@ -26,14 +27,15 @@
         call: &Call,
         pick: &Pick,
         service: &str,
-        original: &Original,
-        tries: RetryState,
-    ) -> Result<Response<Answer>, Failed> {
+        original: &OriginalRequest,
+        retry_state: RetryState,
+    ) -> Result<Response<Answer>, FailedAttempt> {
         let now = self.shared.clock.now();
         let left = call.due.less(HOP_ALLOWANCE).left_ms(now);
         let left = left.ok_or(Reason::DeadlinePassed)?;
-        let asks = original.long || (call.is_upload() && original.exceeds(ASKED_BYTES));
-        let gate = asks.then(Gate::default);
+        let waits =
+            original.exceeds_buffer || (call.is_upload() && original.exceeds(MAX_UNPROMPTED_BYTES));
+        let gate = waits.then(Gate::default);
         let mut request = original.request(gate.clone());
         if let Some(gate) = gate {
             let headers = request.headers_mut();
@@ -49,33 +51,36 @@
         let deadline = &self.shared.settings.headers.deadline_ms.0;
         headers.insert(deadline.clone(), HeaderValue::from(left));
         match &call.terms {
-            Some(terms) => headers.insert(TERMS, terms.value()),
-            None => headers.insert(ATTEMPT, HeaderValue::from(u16::from(tries.attempt().0))),
+            Some(terms) => headers.insert(TERMS, terms.header_value()),
+            None => headers.insert(
+                ATTEMPT,
+                HeaderValue::from(u16::from(retry_state.attempt().0)),
+            ),
         };
-        if let Some(told) = lock(&self.told).of(pick.id) {
-            let told = HeaderValue::try_from(told.to_string());
-            headers.insert(NOTICE, told.map_err(|_| Reason::BadRequest)?);
+        if let Some(notice) = lock(&self.notices).of(pick.id) {
+            let notice = HeaderValue::try_from(notice.to_string());
+            headers.insert(NOTICE, notice.map_err(|_| Reason::BadRequest)?);
         }
         let until = self.shared.clock.tokio(call.due.at());
         let method = request.method().clone();
         let pool = self.peers.pool(pick.peer);
         let exchanged = exchange(&pool, until, request, Reason::PeerUnreachable, || {}).await;
         let (mut response, pooled) = exchanged?;
-        if let Some(told) = told(response.headers()) {
-            lock(&self.told).note(pick.id, told);
+        if let Some(notice) = process_notice(response.headers()) {
+            lock(&self.notices).note(pick.id, notice);
             response.headers_mut().remove(NOTICE);
         }
-        // A guard gives every answer a length or sends it in chunks.
+        // A guard frames every response with a length or as chunks.
         match is_framed(&method, response.status(), response.headers()) {
-            true => judge(response.map(|body| Answer::stream(body, pooled))),
+            true => split_refusal(response.map(|body| Answer::stream(body, pooled))),
             false => Err(Reason::AnswerBroken.into()),
         }
     }
 }
 
-/// Tells a guard's refusal from a backend server's answer.
-fn judge(mut response: Response<Answer>) -> Result<Response<Answer>, Failed> {
-    let Some(reason) = verdict(response.headers()) else {
+/// Separates a guard's refusal from a backend server's response.
+fn split_refusal(mut response: Response<Answer>) -> Result<Response<Answer>, FailedAttempt> {
+    let Some(reason) = refusal_reason(response.headers()) else {
         let load = response.headers_mut().remove(LOAD);
         strip_hop_by_hop(response.headers_mut());
         strip_internal(response.headers_mut());
@@ -88,18 +93,18 @@
         reason,
         retry_after: retry_after(response.headers()),
     };
-    let failed = Failed {
+    let failed = FailedAttempt {
         refusal,
         retried: response.headers().contains_key(RETRIED),
-        load: take_load(&mut response),
+        load: take_load_report(&mut response),
         answer: None,
     };
     response.into_body().discard();
     Err(failed)
 }
 
-/// Takes what the guard told out of an answer.
-pub(super) fn take_load(response: &mut Response<Answer>) -> Option<Report> {
+/// Removes the guard's load header from a response and returns the parsed report.
+pub(super) fn take_load_report(response: &mut Response<Answer>) -> Option<Report> {
     let value = response.headers_mut().remove(LOAD)?;
     let mut numbers = value.to_str().ok()?.split(' ').map(str::parse);
     let mut next = || numbers.next()?.ok();
--- a/crates/swiftcart-node/src/calls/ingress/log.rs
+++ b/crates/swiftcart-node/src/calls/ingress/log.rs
@@ -1,4 +1,4 @@
-//! The ingress' lines about single calls.
+//! Log events of the ingress about single calls.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 use slog::info;
 use swiftcart_core::{Instant, Pick, Reason, Refusal, RetryTarget, ServiceEntry};
 
-use super::{CallState, Failed, Ingress};
+use super::{CallState, FailedAttempt, Ingress};
 use crate::calls::request::Call;
 use crate::logging::Event;
 
-/// A request without an answer yet; dropped before one, it logs that its caller went away.
-pub(super) struct Pending<'a> {
+/// Request that has no response yet. Dropping it before completion logs that the caller
+/// disconnected.
+pub(super) struct PendingCall<'a> {
     ingress: &'a Ingress,
     id: Option<&'a HeaderValue>,
     target: &'a str,
@@ -19,8 +20,8 @@
     open: bool,
 }
 
-impl<'a> Pending<'a> {
-    /// Watches the request that came at `start`.
+impl<'a> PendingCall<'a> {
+    /// Tracks the request that arrived at `start`.
     pub(super) const fn new(
         ingress: &'a Ingress,
         id: Option<&'a HeaderValue>,
@@ -36,13 +37,13 @@
         }
     }
 
-    /// Notes that there is an answer.
-    pub(super) fn settle(mut self) {
+    /// Marks the request as answered.
+    pub(super) fn complete(mut self) {
         self.open = false;
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         if self.open {
             let now = self.ingress.shared.clock.now();
@@ -55,8 +56,9 @@
 }
 
 impl Ingress {
-    /// Logs the answer of a backend server, with a line among the failures when it is one or
-    /// took more than one try.
+    /// Logs the response of a backend server.
+    ///
+    /// A server error, or a response that took more than one attempt, is logged as a failure.
     pub(super) fn log_answer(
         &self,
         call: &Call,
@@ -66,28 +68,28 @@
         status: StatusCode,
     ) {
         let now = self.shared.clock.now();
-        let ordinary = state.asked == 0 && !status.is_server_error();
+        let ordinary = state.failures == 0 && !status.is_server_error();
         let log = match ordinary {
             true => self.shared.call_log.done(now),
             false => self.shared.call_log.failed(now),
         };
         if let Some(log) = log {
             info!(log, ""; "event" => Event::Answer, "id" => %call.id, "service" => %entry.name(),
-                "status" => status.as_u16(), "tries" => state.asked + 1, "guard" => %pick.id,
+                "status" => status.as_u16(), "tries" => state.failures + 1, "guard" => %pick.id,
                 "rule" => ?pick.rule, "ms" => ms(now.since(state.start)),
                 "left_ms" => ms(call.due.left(now)), "age_ms" => ms(call.age()),
                 "print" => %call.print);
         }
     }
 
-    /// Logs a try without an answer, and why there is another one or none.
-    pub(super) fn log_try(
+    /// Logs a failed attempt with the retry target, or with the reason why there is no retry.
+    pub(super) fn log_failed_attempt(
         &self,
         call: &Call,
         entry: &ServiceEntry,
         state: &CallState,
         pick: &Pick,
-        failed: &Failed,
+        failed: &FailedAttempt,
         next: Result<RetryTarget, &'static str>,
     ) {
         let now = self.shared.clock.now();
@@ -97,14 +99,14 @@
         let load = failed.load.map(|report| report.load);
         let load = load.map(|load| format!("{}/{}/{}", load.running, load.queued, load.limit));
         info!(log, ""; "event" => Event::Try, "id" => %call.id, "service" => %entry.name(),
-            "try" => state.asked, "guard" => %pick.id, "rule" => ?pick.rule,
+            "try" => state.failures, "guard" => %pick.id, "rule" => ?pick.rule,
             "reason" => failed.refusal.reason.as_str(), "load" => load.as_deref().unwrap_or("-"),
-            "next" => next.map_or_else(|why| why, told), "ms" => ms(now.since(state.start)),
+            "next" => next.map_or_else(|why| why, target_label), "ms" => ms(now.since(state.start)),
             "left_ms" => ms(call.due.left(now)), "age_ms" => ms(call.age()),
             "print" => %call.print);
     }
 
-    /// Logs an answer that the node makes itself.
+    /// Logs a refusal that this node answers itself.
     pub(super) fn log_refusal(
         &self,
         id: Option<&HeaderValue>,
@@ -125,7 +127,7 @@
     }
 }
 
-const fn told(next: RetryTarget) -> &'static str {
+const fn target_label(next: RetryTarget) -> &'static str {
     match next {
         RetryTarget::Other => "another",
         RetryTarget::Same => "again",
--- a/crates/swiftcart-node/src/calls/ingress/original.rs
+++ b/crates/swiftcart-node/src/calls/ingress/original.rs
@@ -1,4 +1,4 @@
-//! A caller's request, kept for every try.
+//! Caller's request, kept for retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,41 @@
 use crate::calls::body::{BodyError, Gate, Outgoing, Source};
 use crate::calls::request::CallPrint;
 
-/// A request's head and where its body comes from, kept for every try.
+/// Head and body source of a request, kept for all of its attempts.
 #[derive(Debug)]
-pub struct Original {
+pub struct OriginalRequest {
     pub head: Parts,
     source: Option<Arc<Source>>,
-    /// Whether the body may be longer than what is kept of it.
-    pub long: bool,
+    /// `true` if the body may be longer than the replay buffer.
+    pub exceeds_buffer: bool,
 }
 
-impl Original {
-    /// Takes a caller's request apart.
+impl OriginalRequest {
+    /// Creates the original of a caller's request, with up to `replay_bytes` of its body kept.
+    ///
+    /// The body fails if it delivers no data for `idle_timeout`.
     #[must_use]
-    pub fn new(head: Parts, body: Option<Incoming>, room: u32, silence: Duration) -> Self {
-        let room = room as usize;
+    pub fn new(
+        head: Parts,
+        body: Option<Incoming>,
+        replay_bytes: u32,
+        idle_timeout: Duration,
+    ) -> Self {
+        let replay_bytes = replay_bytes as usize;
         let body = body.filter(|body| !body.is_end_stream());
-        let is_long = |body: &Incoming| body.size_hint().upper().is_none_or(|n| n > room as u64);
+        let is_long = |body: &Incoming| {
+            body.size_hint()
+                .upper()
+                .is_none_or(|n| n > replay_bytes as u64)
+        };
         Self {
             head,
-            long: body.as_ref().is_some_and(is_long),
-            source: body.map(|body| Source::new(body, room, silence)),
+            exceeds_buffer: body.as_ref().is_some_and(is_long),
+            source: body.map(|body| Source::new(body, replay_bytes, idle_timeout)),
         }
     }
 
-    /// Creates the request of one try; with a gate, its body waits for the peer.
+    /// Creates the request of one attempt. With a gate, the body waits until the gate opens.
     #[must_use]
     pub fn request(&self, gate: Option<Gate>) -> Request<Outgoing> {
         let body = match &self.source {
@@ -48,11 +59,11 @@
         request
     }
 
-    /// Reads the body ahead, up to `bytes` bytes or its end.
+    /// Buffers up to `bytes` bytes of the body.
     ///
     /// # Errors
     ///
-    /// Returns why the body ended early.
+    /// Returns an error if the body ends early.
     pub async fn fill(&self, bytes: usize) -> Result<(), BodyError> {
         match &self.source {
             Some(source) => source.fill(bytes).await,
@@ -60,7 +71,7 @@
         }
     }
 
-    /// Returns the request's fingerprint; `None` while its body is not here as a whole.
+    /// Returns the request's fingerprint, or `None` while the body is incomplete.
     #[must_use]
     pub fn print(&self, call: CallPrint) -> Option<Fingerprint> {
         let body = match &self.source {
@@ -70,21 +81,21 @@
         Some(call.with_body(body))
     }
 
-    /// Tells whether the body is longer than `bytes`, or may be.
+    /// Returns `true` if the body is, or may be, longer than `bytes`.
     #[must_use]
     pub fn exceeds(&self, bytes: u64) -> bool {
         let longer = |source: &Arc<Source>| source.len_hint().is_none_or(|len| len > bytes);
         self.source.as_ref().is_some_and(longer)
     }
 
-    /// Tells whether another try can send the whole body.
+    /// Returns `true` if another attempt can send the whole body.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.source.as_ref().is_none_or(|source| source.is_whole())
     }
 }
 
-/// Returns the target without scheme and authority, as a server expects it.
+/// Returns the target in origin form, without scheme and authority.
 fn origin(uri: &Uri) -> Uri {
     match uri.path_and_query() {
         Some(path) => Uri::from(path.clone()),
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -1,21 +1,27 @@
-//! Requests that are known to end backend servers, before they are passed on.
+//! Quarantine of requests that crash backend servers.
 
 use slog::info;
 use swiftcart_core::{Reason, Refusal};
 
 use super::Ingress;
-use super::original::Original;
+use super::original::OriginalRequest;
 use crate::calls::request::Call;
 use crate::logging::Event;
 
 impl Ingress {
-    /// Refuses a request that is held. Only where its head is one of a suspect, its body is read
-    /// first.
+    /// Refuses a quarantined request.
+    ///
+    /// The body is read first only if the head matches a suspect.
     ///
     /// # Errors
     ///
-    /// [`Reason::Quarantined`] with the time for which it is held.
-    pub(super) async fn pass(&self, call: &Call, original: &Original) -> Result<(), Refusal> {
+    /// Returns [`Reason::Quarantined`] with the remaining quarantine time, or
+    /// [`Reason::CallerGone`] if the body cannot be read.
+    pub(super) async fn check_quarantine(
+        &self,
+        call: &Call,
+        original: &OriginalRequest,
+    ) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
         if !suspects.may_hold(call.print.head) {
             return Ok(());
@@ -38,9 +44,14 @@
         Err(Refusal::new(Reason::Quarantined).with_retry(left))
     }
 
-    /// Tells whether a request that failed for `reason` may end further backend servers if it is
-    /// tried again.
-    pub(super) fn is_dangerous(&self, call: &Call, original: &Original, reason: Reason) -> bool {
+    /// Returns `true` if a retry of a request that failed for `reason` may crash further backend
+    /// servers.
+    pub(super) fn is_crash_risk(
+        &self,
+        call: &Call,
+        original: &OriginalRequest,
+        reason: Reason,
+    ) -> bool {
         let suspects = &self.shared.suspects;
         if !suspects.may_hold(call.print.head) {
             return false;
--- a/crates/swiftcart-node/src/calls/ingress/retrying.rs
+++ b/crates/swiftcart-node/src/calls/ingress/retrying.rs
@@ -1,28 +1,32 @@
-//! Whether a request is tried again, and where.
+//! Retry decisions: eligibility, budget and target.
 
 use swiftcart_core::{
     Failure, NodeId, Outcome, Pick, Reason, RetryCause, RetryPolicy, RetryTarget, ServiceEntry,
 };
 
-use super::original::Original;
-use super::{CallState, Failed, Ingress, lock};
+use super::original::OriginalRequest;
+use super::{CallState, FailedAttempt, Ingress, lock};
 use crate::calls::request::Call;
 
 impl Ingress {
-    /// Tells whether another try is allowed and where it may go, and counts it.
-    pub(super) fn may_retry(
+    /// Decides whether and where to retry, and counts the decision.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason why the request is not retried.
+    pub(super) fn decide_retry(
         &self,
         call: &Call,
         entry: &ServiceEntry,
-        original: &Original,
+        original: &OriginalRequest,
         state: &mut CallState,
         pick: &Pick,
-        failed: &Failed,
+        failed: &FailedAttempt,
     ) -> Result<RetryTarget, &'static str> {
         let counters = &self.shared.counters;
         let result = match (original.is_whole(), call.terms) {
             (false, _) => Err("body-sent"),
-            _ if self.is_dangerous(call, original, failed.refusal.reason) => {
+            _ if self.is_crash_risk(call, original, failed.refusal.reason) => {
                 Err(Reason::Quarantined.as_str())
             }
             (true, Some(terms)) => self
@@ -40,16 +44,22 @@
         result
     }
 
-    fn retry(&self, call: &Call, state: &mut CallState, failed: &Failed) -> Result<(), Reason> {
+    fn retry(
+        &self,
+        call: &Call,
+        state: &mut CallState,
+        failed: &FailedAttempt,
+    ) -> Result<(), Reason> {
         let failure = Failure {
             reason: failed.refusal.reason,
-            retried: failed.retried && !state.tries.retried(),
+            retried: failed.retried && !state.retry_state.retried(),
         };
         let now = self.shared.clock.now();
         let budget = &mut lock(&self.budget);
-        // A key makes a repeat harmless only once its claim decides; the guards' answers say so.
-        let tries = &mut state.tries;
-        tries
+        // An idempotency key makes a retry safe only after its claim is decided. The guards'
+        // responses report that, so the key is not considered here.
+        let retry_state = &mut state.retry_state;
+        retry_state
             .retry(now, failure, call.idempotent, call.due, budget)
             .map(drop)
     }
@@ -61,7 +71,7 @@
         entry: &ServiceEntry,
         state: &mut CallState,
         pick: &Pick,
-        failed: &Failed,
+        failed: &FailedAttempt,
     ) -> Result<RetryTarget, Reason> {
         let now = self.shared.clock.now();
         let terms = RetryPolicy {
@@ -69,8 +79,8 @@
             attempts,
         };
         let reason = failed.refusal.reason;
-        // Under overload failures follow from refusals, and repeats would make more of them.
-        if reason == Reason::ServerError && !self.has_place(call, entry, state, pick) {
+        // Under overload, server errors follow from refusals, and retries would cause more of them.
+        if reason == Reason::ServerError && !self.has_free_slot(call, entry, state, pick) {
             return Err(reason);
         }
         let cause = match reason.outcome() {
@@ -83,12 +93,18 @@
             Some(mesh_budget) => lock(mesh_budget).take(now, entry.name(), nodes, cause),
             None => lock(&self.budget).take(now),
         };
-        let tries = &mut state.under_policy;
-        tries.retry(now, pick.id, reason, terms, call.due, budget)
+        let retry_state = &mut state.policy_retries;
+        retry_state.retry(now, pick.id, reason, terms, call.due, budget)
     }
 
-    /// Tells whether another backend server than those tried is believed to have a place.
-    fn has_place(&self, call: &Call, entry: &ServiceEntry, state: &CallState, pick: &Pick) -> bool {
+    /// Returns `true` if a backend server that was not tried is expected to have a free slot.
+    fn has_free_slot(
+        &self,
+        call: &Call,
+        entry: &ServiceEntry,
+        state: &CallState,
+        pick: &Pick,
+    ) -> bool {
         let tried = state.slot_search.excluded().iter().copied();
         let tried: Vec<NodeId> = tried.chain([pick.id]).collect();
         self.pick(call, entry, &tried).is_some_and(|pick| pick.free)
--- a/crates/swiftcart-node/src/calls/origin.rs
+++ b/crates/swiftcart-node/src/calls/origin.rs
@@ -1,32 +1,33 @@
-//! Where a caller's request comes from.
+//! Source address of a caller's request.
 
 use std::net::IpAddr;
 
 use http::Extensions;
 use tokio::net::TcpStream;
 
-/// The address at the other end of a caller's connection.
+/// IP address of the remote end of a caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Origin(IpAddr);
+pub struct CallerAddr(IpAddr);
 
-impl Origin {
-    /// Returns where `stream` comes from; `None` when it is closed already.
+impl CallerAddr {
+    /// Returns the remote address of `stream`, or `None` if the stream is closed already.
     #[must_use]
     pub fn of(stream: &TcpStream) -> Option<Self> {
         stream.peer_addr().ok().map(|addr| Self(addr.ip()))
     }
 
-    /// Returns the origin that was noted in a request.
+    /// Returns the address that is stored in a request's extensions.
     #[must_use]
-    pub fn noted(extensions: &Extensions) -> Option<Self> {
+    pub fn from_extensions(extensions: &Extensions) -> Option<Self> {
         extensions.get().copied()
     }
 
-    /// Tells whether the other end is on the instance with this address.
+    /// Returns `true` if the remote end is on the instance with this address.
     ///
-    /// The backend server shares its instance with the node only; callers come from elsewhere.
+    /// Only the node and its backend server run on that instance, so such a request comes from the
+    /// backend server. All other callers run elsewhere.
     #[must_use]
-    pub fn is_at(self, instance: IpAddr) -> bool {
+    pub fn is_instance(self, instance: IpAddr) -> bool {
         self.0 == instance
     }
 }
--- a/crates/swiftcart-node/src/calls/pipelining.rs
+++ b/crates/swiftcart-node/src/calls/pipelining.rs
@@ -1,10 +1,10 @@
-//! Requests that a caller sends ahead, before an earlier one on its connection is answered.
+//! HTTP pipelining: requests sent before earlier requests on the connection are answered.
 //!
-//! hyper takes the requests of a connection one after the other. A caller that sends the
-//! next one early would wait for all before it, and its departure would go unnoticed
-//! behind its unread bytes. So the heads are looked at as their bytes arrive, and a request
-//! without a body that may run more than once is started at once. hyper still reads it,
-//! and then finds its answer made or under way; the order of the answers is hyper's.
+//! hyper processes the requests of a connection sequentially. A pipelined request would wait for
+//! all requests before it, and a disconnect of the caller would go unnoticed behind the unread
+//! bytes. The heads are therefore scanned as their bytes arrive. An idempotent request without a
+//! body is started immediately. When hyper reads that request later, its response is complete or
+//! in progress. hyper determines the order of the responses.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -20,90 +20,91 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::answer::Answer;
-use super::origin::Origin;
+use super::origin::CallerAddr;
 
-/// Heads longer than this are left to hyper; a request that is sent ahead is short.
-const HEAD_BYTES: usize = 8 << 10;
+/// Maximum length of a scanned head, in bytes. Longer heads are left to hyper, since pipelined
+/// requests are short.
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// Header fields that are looked at; a head with more is left to hyper.
-const HEAD_FIELDS: usize = 64;
+/// Maximum number of header fields in a scanned head. Larger heads are left to hyper.
+const MAX_HEAD_FIELDS: usize = 64;
 
-/// Requests of one connection that are under way ahead of their turn.
-const MOST_PIPELINED: usize = 16;
+/// Maximum number of pipelined requests in progress on one connection.
+const MAX_PIPELINED: usize = 16;
 
-/// An answer that is made ahead of its turn; dropping it ends the work.
-pub type Started = AbortOnDropHandle<Response<Answer>>;
+/// Task that answers a pipelined request. Dropping the task cancels the request.
+pub type ResponseTask = AbortOnDropHandle<Response<Answer>>;
 
-/// Starts a request, or returns `None` when it may not be started before its turn.
-type Start = dyn Fn(&Parts) -> Option<Started> + Send + Sync;
+/// Function that starts a request, or returns `None` if the request may not start early.
+type Start = dyn Fn(&Parts) -> Option<ResponseTask> + Send + Sync;
 
-/// Starts requests ahead of their turn.
+/// Starter of pipelined requests.
 #[derive(Clone)]
 pub struct Starter(Arc<Start>);
 
-/// Looks at the heads on one connection; the connection and its service share it.
+/// Scanner of the heads on one connection, shared by the connection and its service.
 #[derive(Debug, Clone)]
 pub struct Pipeline {
     starter: Starter,
-    origin: Option<Origin>,
+    origin: Option<CallerAddr>,
     state: Arc<Mutex<State>>,
-    /// Told when a request is taken or answered.
-    moved: Arc<Notify>,
+    /// Notified when a request is taken or answered.
+    changed: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    place: Place,
-    /// The bytes of a head that has not arrived as a whole.
+    position: ParsePosition,
+    /// Bytes of an incomplete head.
     head: BytesMut,
-    /// Heads that were seen on this connection.
+    /// Number of heads seen on this connection.
     seen: u64,
-    /// Requests that hyper has handed to the service.
+    /// Number of requests that hyper has passed to the service.
     taken: u64,
-    /// Requests whose answer the service has returned.
+    /// Number of requests whose response the service has returned.
     answered: u64,
-    /// When it returned the last one.
-    rested: Option<Instant>,
-    /// The answers under way, in the order of their requests.
-    started: VecDeque<Ahead>,
+    /// Time at which the service returned the last response.
+    idle_since: Option<Instant>,
+    /// Pipelined requests in progress, in the order of arrival.
+    started: VecDeque<StartedRequest>,
 }
 
-/// A request whose answer is under way ahead of its turn.
+/// Pipelined request that was started early.
 #[derive(Debug)]
-struct Ahead {
+struct StartedRequest {
     number: u64,
     head: Parts,
-    started: Started,
+    started: ResponseTask,
 }
 
-/// What the next byte belongs to.
+/// Position of the next byte in the request stream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-enum Place {
-    /// A head.
+enum ParsePosition {
+    /// In a head.
     #[default]
     Head,
-    /// The body of the request before, with so many bytes left.
+    /// In the body of the preceding request, with this number of bytes left.
     Body(u64),
-    /// Something that only hyper follows, until it has taken all that was sent.
-    Lost,
+    /// Unknown to the scanner. Scanning resumes when all requests seen so far are answered.
+    Unsynchronized,
 }
 
-/// What was found at the beginning of the bytes.
-enum Found {
+/// Result of scanning for a head.
+enum ScanResult {
     Partial,
-    Unclear,
+    Unsupported,
     Head {
         len: usize,
         body: u64,
-        /// What can be started; nothing with a body.
+        /// Parsed head, or `None` if the request has a body and cannot be started early.
         parts: Option<Box<Parts>>,
     },
 }
 
 impl Starter {
-    /// Starts requests by `start`.
+    /// Creates a starter that calls `start` for each request.
     #[must_use]
-    pub fn new(start: impl Fn(&Parts) -> Option<Started> + Send + Sync + 'static) -> Self {
+    pub fn new(start: impl Fn(&Parts) -> Option<ResponseTask> + Send + Sync + 'static) -> Self {
         Self(Arc::new(start))
     }
 }
@@ -111,39 +112,39 @@
 impl Pipeline {
     /// Creates the pipeline of one connection.
     #[must_use]
-    pub fn new(starter: &Starter, origin: Option<Origin>) -> Self {
+    pub fn new(starter: &Starter, origin: Option<CallerAddr>) -> Self {
         Self {
             starter: starter.clone(),
             origin,
             state: Arc::default(),
-            moved: Arc::default(),
+            changed: Arc::default(),
         }
     }
 
-    /// Looks at bytes that have just arrived.
+    /// Scans newly arrived bytes for heads and starts the requests that may run early.
     pub fn scan_bytes(&self, bytes: &[u8]) {
         let mut state = self.lock();
-        if state.place == Place::Lost && state.seen <= state.answered {
-            state.place = Place::Head;
+        if state.position == ParsePosition::Unsynchronized && state.seen <= state.answered {
+            state.position = ParsePosition::Head;
         }
         let mut rest = bytes;
         while !rest.is_empty() {
-            rest = match state.place {
-                Place::Lost => return,
-                Place::Body(left) => state.skip(left, rest),
-                Place::Head => state.read_head(rest, &self.starter, self.origin),
+            rest = match state.position {
+                ParsePosition::Unsynchronized => return,
+                ParsePosition::Body(left) => state.skip(left, rest),
+                ParsePosition::Head => state.read_head(rest, &self.starter, self.origin),
             };
         }
     }
 
-    /// Returns the answer to the request that hyper hands over next, when it was started.
+    /// Returns the task of the next request from hyper, if that request was started early.
     ///
-    /// What was seen and what hyper read may differ after a body that is not followed here;
-    /// so the whole head has to be the same.
+    /// The scanner and hyper may disagree after a body that the scanner cannot follow. The heads
+    /// are therefore compared in full.
     #[must_use]
-    pub fn take(&self, head: &Parts) -> Option<Started> {
+    pub fn take(&self, head: &Parts) -> Option<ResponseTask> {
         let mut state = self.lock();
-        self.moved.notify_one();
+        self.changed.notify_one();
         let number = state.taken;
         state.taken += 1;
         state.seen = state.seen.max(state.taken);
@@ -156,44 +157,44 @@
         } else {
             return None;
         };
-        match ahead.number == number && is_same(&ahead.head, head) {
+        match ahead.number == number && is_same_head(&ahead.head, head) {
             true => Some(ahead.started),
             false => {
                 state.started.clear();
-                state.place = Place::Lost;
+                state.position = ParsePosition::Unsynchronized;
                 None
             }
         }
     }
 
-    /// Notes that the request taken last has its answer.
+    /// Marks the most recently taken request as answered.
     pub fn answered(&self) {
         let mut state = self.lock();
         state.answered = state.taken;
-        state.rested = Some(Instant::now());
-        self.moved.notify_one();
+        state.idle_since = Some(Instant::now());
+        self.changed.notify_one();
     }
 
-    /// Tells whether the caller has sent more than hyper has taken.
+    /// Returns `true` if the caller has sent requests that hyper has not taken yet.
     #[must_use]
     pub fn has_more(&self) -> bool {
         let state = self.lock();
         state.seen > state.taken
     }
 
-    /// Waits until the connection was unused for `time` after an answer.
-    pub async fn unused(&self, time: Duration) {
+    /// Waits until the connection has been idle for `time` after a response.
+    pub async fn wait_idle(&self, time: Duration) {
         loop {
-            let rested = {
+            let idle_since = {
                 let state = self.lock();
-                state.rested.filter(|_| state.answered == state.taken)
+                state.idle_since.filter(|_| state.answered == state.taken)
             };
-            let moved = self.moved.notified();
-            let Some(since) = rested else {
-                moved.await;
+            let changed = self.changed.notified();
+            let Some(since) = idle_since else {
+                changed.await;
                 continue;
             };
-            if timeout_at(since + time, moved).await.is_err() {
+            if timeout_at(since + time, changed).await.is_err() {
                 return;
             }
         }
@@ -213,9 +214,9 @@
 impl State {
     fn skip<'a>(&mut self, left: u64, bytes: &'a [u8]) -> &'a [u8] {
         let len = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-        self.place = match left - len as u64 {
-            0 => Place::Head,
-            left => Place::Body(left),
+        self.position = match left - len as u64 {
+            0 => ParsePosition::Head,
+            left => ParsePosition::Body(left),
         };
         &bytes[len..]
     }
@@ -224,27 +225,27 @@
         &mut self,
         bytes: &'a [u8],
         starter: &Starter,
-        origin: Option<Origin>,
+        origin: Option<CallerAddr>,
     ) -> &'a [u8] {
         let before = self.head.len();
         self.head.extend_from_slice(bytes);
-        match find(&self.head) {
-            Found::Partial if self.head.len() <= HEAD_BYTES => &[],
-            Found::Partial | Found::Unclear => {
-                self.place = Place::Lost;
+        match scan_head(&self.head) {
+            ScanResult::Partial if self.head.len() <= MAX_HEAD_BYTES => &[],
+            ScanResult::Partial | ScanResult::Unsupported => {
+                self.position = ParsePosition::Unsynchronized;
                 self.head = BytesMut::new();
                 &[]
             }
-            Found::Head { len, body, parts } => {
+            ScanResult::Head { len, body, parts } => {
                 self.head = BytesMut::new();
-                self.place = match body {
-                    0 => Place::Head,
-                    left => Place::Body(left),
+                self.position = match body {
+                    0 => ParsePosition::Head,
+                    left => ParsePosition::Body(left),
                 };
                 let parts = parts.map(|mut parts| {
                     parts
                         .extensions
-                        .extend(origin.map(noted).unwrap_or_default());
+                        .extend(origin.map(origin_extensions).unwrap_or_default());
                     parts
                 });
                 self.start(parts, starter);
@@ -253,17 +254,17 @@
         }
     }
 
-    /// Starts a request that waits for the answer to another one.
+    /// Starts a request early if earlier requests are still unanswered.
     fn start(&mut self, head: Option<Box<Parts>>, starter: &Starter) {
         let number = self.seen;
         self.seen += 1;
-        if number <= self.answered || self.started.len() >= MOST_PIPELINED {
+        if number <= self.answered || self.started.len() >= MAX_PIPELINED {
             return;
         }
         let Some(head) = head else { return };
         if let Some(started) = (starter.0)(&head) {
             let head = *head;
-            self.started.push_back(Ahead {
+            self.started.push_back(StartedRequest {
                 number,
                 head,
                 started,
@@ -272,36 +273,36 @@
     }
 }
 
-fn noted(origin: Origin) -> Extensions {
+fn origin_extensions(origin: CallerAddr) -> Extensions {
     let mut extensions = Extensions::new();
     extensions.insert(origin);
     extensions
 }
 
-fn is_same(a: &Parts, b: &Parts) -> bool {
+fn is_same_head(a: &Parts, b: &Parts) -> bool {
     a.method == b.method && a.uri == b.uri && a.headers == b.headers
 }
 
-/// Reads the head at the beginning of `bytes`.
-fn find(bytes: &[u8]) -> Found {
-    let mut fields = [httparse::EMPTY_HEADER; HEAD_FIELDS];
+/// Scans `bytes`, which begin with a head.
+fn scan_head(bytes: &[u8]) -> ScanResult {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEAD_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     match head.parse(bytes) {
-        Ok(httparse::Status::Complete(len)) => match body(&head) {
-            Some(body) => Found::Head {
+        Ok(httparse::Status::Complete(len)) => match body_length(&head) {
+            Some(body) => ScanResult::Head {
                 len,
                 body,
-                parts: (body == 0).then(|| parts(&head)).flatten().map(Box::new),
+                parts: (body == 0).then(|| to_parts(&head)).flatten().map(Box::new),
             },
-            None => Found::Unclear,
+            None => ScanResult::Unsupported,
         },
-        Ok(httparse::Status::Partial) => Found::Partial,
-        Err(_) => Found::Unclear,
+        Ok(httparse::Status::Partial) => ScanResult::Partial,
+        Err(_) => ScanResult::Unsupported,
     }
 }
 
-/// Returns the length of the request's body, when its head tells it.
-fn body(head: &httparse::Request<'_, '_>) -> Option<u64> {
+/// Returns the length of the request's body, or `None` if the head does not determine it.
+fn body_length(head: &httparse::Request<'_, '_>) -> Option<u64> {
     let mut length = None;
     for field in head.headers.iter() {
         let is = |name: &HeaderName| field.name.eq_ignore_ascii_case(name.as_str());
@@ -318,8 +319,8 @@
     Some(length.unwrap_or(0))
 }
 
-/// Returns the head as hyper would hand it over.
-fn parts(head: &httparse::Request<'_, '_>) -> Option<Parts> {
+/// Converts the head to the form that hyper passes to the service.
+fn to_parts(head: &httparse::Request<'_, '_>) -> Option<Parts> {
     let mut request = Request::new(());
     *request.method_mut() = head.method?.parse().ok()?;
     *request.uri_mut() = head.path?.parse::<Uri>().ok()?;
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -1,4 +1,4 @@
-//! What a node reads from a request's head before it decides anything.
+//! Properties of a call that a node reads from the request's head.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,57 +13,57 @@
 };
 
 use super::headers::{
-    ATTEMPT, IDEMPOTENCY_KEY, SERVICE, TERMS, number, strip_caller, strip_hop_by_hop,
+    ATTEMPT, IDEMPOTENCY_KEY, SERVICE, TERMS, parse_number, strip_caller, strip_hop_by_hop,
     strip_internal,
 };
 use super::rng::with_rng;
 use super::terms::CallTerms;
 use crate::settings::{Headers, Settings};
 
-/// The longest idempotency key, in bytes.
-const MAX_KEY: usize = 256;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The longest id of a request, in bytes.
-const MAX_ID: usize = 128;
+/// Maximum length of a request id, in bytes.
+const MAX_ID_BYTES: usize = 128;
 
-/// Names one request in logs, the same at every node.
+/// Identifier of a request in logs, the same on every node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestId(pub HeaderValue);
 
-/// What is known of a call from its head.
+/// Properties of a call, read from the request's head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The call's name in logs.
+    /// Request id in logs.
     pub id: RequestId,
-    /// When the answer is due.
+    /// Deadline of the response.
     pub due: Deadline,
-    /// How often the call was tried before, over all levels.
+    /// Number of earlier attempts, across all levels that retry.
     pub attempt: Attempt,
-    /// Whether the request may run twice without harm.
+    /// `true` if the request may safely run twice.
     pub idempotent: bool,
-    /// The key under which a request that is not idempotent runs at most once.
+    /// Idempotency key, under which a non-idempotent request runs at most once.
     pub key: Option<HeaderValue>,
-    /// How the route's policy treats the request; without one its method decides.
+    /// Terms of the route's policy. Without a policy, the HTTP method decides about retries.
     pub terms: Option<CallTerms>,
-    /// How much the request and its answer weigh on the way.
+    /// Expected network load of the request and its response.
     pub payload: Payload,
-    /// The regions to which it may be sent.
+    /// Regions to which the request may be sent.
     pub regions: AllowedRegions,
-    /// What stands for the head and the service it comes from, the same when the request comes again.
+    /// Hashes of the head and the calling service, the same for repeats of the request.
     pub print: CallPrint,
 }
 
-/// Stands for what is known of a request before its body is here.
+/// Partial fingerprint of a request, available before its body has arrived.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CallPrint {
-    /// The head.
+    /// Hash of the head.
     pub head: HeadPrint,
-    /// The service that it comes from.
+    /// Hash of the calling service.
     pub caller: CallerPrint,
 }
 
 impl CallPrint {
-    /// Returns the request's fingerprint, given what stands for its body.
+    /// Returns the request's fingerprint, given the hash of its body.
     #[must_use]
     pub const fn with_body(self, body: BodyPrint) -> Fingerprint {
         Fingerprint {
@@ -83,8 +83,8 @@
 }
 
 impl RequestId {
-    /// Draws an id for a request that came without one.
-    fn draw() -> Self {
+    /// Generates a random id for a request without one.
+    fn generate() -> Self {
         let number: u64 = with_rng(rand::Rng::random);
         let text = format!("{number:016x}");
         Self(HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("0")))
@@ -98,57 +98,58 @@
 }
 
 impl Call {
-    /// Reads a caller's request; what only nodes may say is removed from it.
+    /// Reads a caller's request and removes the headers that only nodes may set.
     ///
     /// # Errors
     ///
-    /// [`Reason::BadRequest`] when the request cannot be passed on safely.
+    /// Returns [`Reason::BadRequest`] if the request cannot be passed on safely.
     pub fn from_caller(
         head: &mut Parts,
         settings: &Settings,
         now: Instant,
     ) -> Result<Self, Reason> {
-        check(head)?;
+        validate(head)?;
         let names = &settings.headers;
         strip_caller(&mut head.headers, names);
         let id = match names.own_ids {
             true => given_id(&head.headers, names)?,
             false => None,
         };
-        let id = id.unwrap_or_else(RequestId::draw);
+        let id = id.unwrap_or_else(RequestId::generate);
         head.headers
             .insert(names.request_id.0.clone(), id.0.clone());
         Self::read(head, id, settings, now)
     }
 
-    /// Reads a request that another node hands on, and the service that it asks for.
+    /// Reads a request that another node forwards, and returns it with the requested service.
     ///
     /// # Errors
     ///
-    /// [`Reason::BadRequest`] when a node would not send it so.
+    /// Returns [`Reason::BadRequest`] if the request is not one that a node would send.
     pub fn from_peer(
         head: &mut Parts,
         settings: &Settings,
         now: Instant,
     ) -> Result<(Self, HeaderValue), Reason> {
-        check(head)?;
+        validate(head)?;
         let service = head.headers.get(SERVICE).cloned();
         let service = service.ok_or(Reason::BadRequest)?;
         let id = given_id(&head.headers, &settings.headers)?.ok_or(Reason::BadRequest)?;
         let terms = head.headers.get(TERMS).map(CallTerms::parse).transpose()?;
         strip_internal(&mut head.headers);
         let mut call = Self::read(head, id, settings, now)?;
-        call.take_print(head, &settings.headers);
+        call.compute_print(head, &settings.headers);
         if let Some(terms) = terms {
-            call.take_terms(terms);
+            call.set_terms(terms);
         }
         Ok((call, service))
     }
 
-    /// Takes over what the configuration says of the request's route, and what was learned of it.
-    pub fn take_route(&mut self, routed: &Routed<'_>, profile: &mut RouteProfile, now: Instant) {
+    /// Applies the route's configuration and its learned profile to the call.
+    pub fn apply_route(&mut self, routed: &Routed<'_>, profile: &mut RouteProfile, now: Instant) {
         let (entry, policy) = (routed.entry, routed.policy);
-        // The time that the caller gave shows its age, whatever the route's timeout leaves of it.
+        // The age is derived from the deadline that the caller set, so it is computed before the
+        // route's timeout shortens that deadline.
         let age = profile.age(self.due.left(now));
         let limit = |due: Deadline, ms: u32| match ms {
             0 => due,
@@ -163,7 +164,7 @@
                 (_, Payload::Light) => ResponseLength::Short,
             };
             let route = routed.route.into();
-            self.take_terms(CallTerms {
+            self.set_terms(CallTerms {
                 answer,
                 route,
                 ..terms
@@ -177,19 +178,19 @@
         };
     }
 
-    /// Gives the request the rank of its client account, in place of its route's.
-    pub fn rank(&mut self, priority: Priority) {
+    /// Sets the priority of the client account in place of the route's.
+    pub fn set_priority(&mut self, priority: Priority) {
         if let Some(terms) = &mut self.terms {
             terms.priority = priority;
         }
     }
 
-    /// Notes what stands for the head that a backend server will get.
-    pub fn take_print(&mut self, head: &Parts, names: &Headers) {
+    /// Computes the hashes of the head that the backend server receives.
+    pub fn compute_print(&mut self, head: &Parts, names: &Headers) {
         let field = |name: &HeaderName| head.headers.get(name).map_or(&b""[..], |v| v.as_bytes());
         let target = head.uri.path_and_query();
         let caller = names.caller.as_ref();
-        // Where there are accounts, the account stands in the key's place.
+        // With accounts, the account name replaces the API key as the credential.
         let account = names.account.as_ref().map(|name| &name.0);
         let account = account.filter(|name| head.headers.contains_key(*name));
         self.print.caller = CallerPrint::new(caller.map_or(b"", |name| field(&name.0)));
@@ -201,7 +202,7 @@
         });
     }
 
-    /// Returns what the request asks of a guard.
+    /// Returns the request to the guard's admission control.
     #[must_use]
     pub fn admission_request(&self) -> AdmissionRequest {
         let admission_request = AdmissionRequest::new(self.due);
@@ -215,21 +216,22 @@
         })
     }
 
-    /// Returns for how long the caller has been trying; zero where that is not known.
+    /// Returns the time since the caller's first attempt, or zero if unknown.
     #[must_use]
     pub fn age(&self) -> Duration {
         self.terms.map_or(Duration::ZERO, |terms| terms.age())
     }
 
-    /// Notes for how long its caller has been trying at least.
-    pub fn tried_for(&mut self, age: Duration) {
+    /// Raises the time since the caller's first attempt to at least `age`.
+    pub fn raise_age(&mut self, age: Duration) {
         if let Some(terms) = &mut self.terms {
             *terms = terms.with_age(terms.age().max(age));
         }
     }
 
-    /// Tells whether the request can still be answered within its target, of which a call
-    /// typically takes a share.
+    /// Returns [`Timing::Late`] if the request is unlikely to be answered within its latency target.
+    ///
+    /// `typical` is the share of the target that a call usually takes.
     #[must_use]
     pub fn timing(&self, typical: f64) -> Timing {
         let is_late = |terms: CallTerms| {
@@ -242,23 +244,25 @@
         }
     }
 
-    /// Returns the request's route, where a policy treats it.
+    /// Returns the tag of the request's route, or [`RouteTag::OTHERS`] without a policy.
     #[must_use]
     pub fn route(&self) -> RouteTag {
         self.terms.map_or(RouteTag::OTHERS, |terms| terms.route)
     }
 
-    /// Tells whether the request is an upload by its route's policy.
+    /// Returns `true` if the route's policy classifies the request as an upload.
     #[must_use]
     pub fn is_upload(&self) -> bool {
         self.terms
             .is_some_and(|terms| terms.class == RequestClass::Upload)
     }
 
-    /// Returns the request as one try: whether it follows one that reached a backend server,
-    /// and how long it may wait.
+    /// Returns the call for one attempt.
+    ///
+    /// `repeat` is `true` if an earlier attempt reached a backend server. `queue_wait` limits the
+    /// time in the guard's queue.
     #[must_use]
-    pub fn attempt(&self, repeat: bool, queue_wait: QueueWait) -> Self {
+    pub fn for_attempt(&self, repeat: bool, queue_wait: QueueWait) -> Self {
         let terms = self.terms.map(|terms| CallTerms {
             repeat,
             queue_wait,
@@ -270,7 +274,7 @@
         }
     }
 
-    fn take_terms(&mut self, terms: CallTerms) {
+    fn set_terms(&mut self, terms: CallTerms) {
         self.idempotent = terms.class.is_idempotent();
         self.terms = Some(terms);
     }
@@ -282,10 +286,10 @@
         now: Instant,
     ) -> Result<Self, Reason> {
         let headers = &mut head.headers;
-        let left = number(headers, &settings.headers.deadline_ms.0)?;
+        let left = parse_number(headers, &settings.headers.deadline_ms.0)?;
         let longest = settings.limits.longest();
         let due = left.map_or(longest, |ms| longest.min(Duration::from_millis(ms)));
-        let attempt = number(headers, &ATTEMPT)?.unwrap_or(0);
+        let attempt = parse_number(headers, &ATTEMPT)?.unwrap_or(0);
         let attempt = u8::try_from(attempt).map_err(|_| Reason::BadRequest)?;
         let idempotent = head.method.is_idempotent();
         let key = match settings.claims {
@@ -307,9 +311,10 @@
     }
 }
 
-/// Refuses what cannot be passed on: tunnels, and HTTP/1.0, whose callers cannot tell
-/// an answer that broke off from a whole one.
-fn check(head: &Parts) -> Result<(), Reason> {
+/// Refuses requests that cannot be passed on: `CONNECT` tunnels and HTTP/1.0.
+///
+/// An HTTP/1.0 caller cannot distinguish a truncated response from a complete one.
+fn validate(head: &Parts) -> Result<(), Reason> {
     match (&head.method, head.version) {
         (&Method::CONNECT, _) => Err(Reason::BadRequest),
         (_, Version::HTTP_11) if head.uri.path_and_query().is_some() => Ok(()),
@@ -317,23 +322,23 @@
     }
 }
 
-/// Returns the key of a request that is not idempotent.
+/// Returns the idempotency key of a non-idempotent request.
 fn key(headers: &HeaderMap, idempotent: bool) -> Result<Option<HeaderValue>, Reason> {
     let mut values = headers.get_all(IDEMPOTENCY_KEY).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
         _ if idempotent => Ok(None),
-        (Some(key), None) if (1..=MAX_KEY).contains(&key.len()) => Ok(Some(key.clone())),
+        (Some(key), None) if (1..=MAX_KEY_BYTES).contains(&key.len()) => Ok(Some(key.clone())),
         _ => Err(Reason::BadRequest),
     }
 }
 
-/// Returns the id that a request came with.
+/// Returns the id in the request's headers.
 fn given_id(headers: &HeaderMap, names: &Headers) -> Result<Option<RequestId>, Reason> {
     let mut values = headers.get_all(&names.request_id.0).iter();
     match (values.next(), values.next()) {
         (None, _) => Ok(None),
-        (Some(id), None) if (1..=MAX_ID).contains(&id.len()) && id.to_str().is_ok() => {
+        (Some(id), None) if (1..=MAX_ID_BYTES).contains(&id.len()) && id.to_str().is_ok() => {
             Ok(Some(RequestId(id.clone())))
         }
         _ => Err(Reason::BadRequest),
--- a/crates/swiftcart-node/src/calls/serve.rs
+++ b/crates/swiftcart-node/src/calls/serve.rs
@@ -1,4 +1,4 @@
-//! The listeners of the call path: bounded connections, and an end that cuts nothing off.
+//! Listeners of the request path, with a connection limit and graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::{Future, pending};
@@ -22,43 +22,47 @@
 use tower::{Service, ServiceExt};
 
 use super::answer::Answer;
-use super::origin::Origin;
+use super::origin::CallerAddr;
 use super::pipelining::{Pipeline, Starter};
 use super::socket::Socket;
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// The pause after a connection could not be accepted, for want of descriptors perhaps.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time for a request that is on its way while a caller's connection counts as unused: a
-/// round trip to callers, and a lost packet's.
-const CROSSING: Duration = Duration::from_millis(300);
+/// Grace period before an idle caller connection is closed.
+///
+/// A request may be in transit when the announced keep-alive time ends. The period covers one round
+/// trip to the caller and the retransmission of a lost packet.
+const KEEP_ALIVE_GRACE: Duration = Duration::from_millis(300);
 
-/// The most bytes read ahead on one connection.
-const READ_AHEAD: usize = 64 << 10;
+/// Maximum number of bytes read ahead on one connection.
+const READ_AHEAD_BYTES: usize = 64 << 10;
 
-/// What a connection beyond the bound is told.
-const TOO_MANY: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\n\
+/// Response to a connection beyond the connection limit.
+const CONNECTION_LIMIT_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\n\
     retry-after: 1\r\nswiftcart-outcome: not-run\r\nswiftcart-reason: too-many-connections\r\n\
     content-length: 0\r\n\r\n";
 
-/// The future of an answer.
-pub type Answering = Pin<Box<dyn Future<Output = Result<Response<Answer>, Infallible>> + Send>>;
+/// Future that resolves to a response.
+pub type ResponseFuture =
+    Pin<Box<dyn Future<Output = Result<Response<Answer>, Infallible>> + Send>>;
 
-/// Accepts connections for one service.
+/// Server that accepts connections for one service.
 #[derive(Debug, Clone)]
 pub struct Server {
     shared: Arc<Shared>,
     builder: Builder,
-    /// Starts requests that callers send ahead.
+    /// Starter for pipelined requests.
     starter: Option<Starter>,
     closing: CancellationToken,
     running: TaskTracker,
 }
 
 impl Server {
-    /// Creates a server whose unused connections are closed after `idle`.
+    /// Creates a server that closes idle connections after `idle`.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, idle: Duration) -> Self {
         let limits = &shared.settings.limits;
@@ -69,7 +73,7 @@
             .header_read_timeout(idle)
             .max_headers(limits.headers as usize)
             .max_header_size(head)
-            .max_buf_size(head.max(READ_AHEAD));
+            .max_buf_size(head.max(READ_AHEAD_BYTES));
         Self {
             shared: Arc::clone(shared),
             builder,
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Has requests that are sent ahead started by `starter`.
+    /// Sets the starter for pipelined requests.
     #[must_use]
     pub fn with_starter(mut self, starter: Starter) -> Self {
         self.starter = Some(starter);
@@ -93,12 +97,12 @@
                 Request<Incoming>,
                 Response = Response<Answer>,
                 Error = Infallible,
-                Future = Answering,
+                Future = ResponseFuture,
             > + Clone
             + Send
             + 'static,
     {
-        let places = Arc::new(Semaphore::new(
+        let slots = Arc::new(Semaphore::new(
             self.shared.settings.limits.connections as usize,
         ));
         let mut closed = pin!(self.closing.cancelled());
@@ -107,22 +111,22 @@
                 accepted = listener.accept() => accepted,
                 () = &mut closed => return,
             };
-            match (accepted, Arc::clone(&places).try_acquire_owned()) {
-                (Ok((stream, _)), Ok(place)) => {
+            match (accepted, Arc::clone(&slots).try_acquire_owned()) {
+                (Ok((stream, _)), Ok(slot)) => {
                     let server = self.clone();
                     let service = service.clone();
                     self.running.spawn(async move {
                         server.serve(stream, service).await;
-                        drop(place);
+                        drop(slot);
                     });
                 }
-                (Ok((stream, _)), Err(_)) => self.turn_away(stream),
-                (Err(err), _) => self.pause(&err).await,
+                (Ok((stream, _)), Err(_)) => self.refuse_connection(stream),
+                (Err(err), _) => self.back_off(&err).await,
             }
         }
     }
 
-    /// Stops accepting, lets every connection finish its request, and returns when all have.
+    /// Stops accepting connections and waits until each connection has finished its request.
     pub async fn finish(&self) {
         self.closing.cancel();
         self.running.close();
@@ -135,14 +139,14 @@
                 Request<Incoming>,
                 Response = Response<Answer>,
                 Error = Infallible,
-                Future = Answering,
+                Future = ResponseFuture,
             > + Clone,
     {
         if stream.set_nodelay(true).is_err() {
             return;
         }
         let silence = self.shared.settings.limits.body_timeout();
-        let origin = Origin::of(&stream);
+        let origin = CallerAddr::of(&stream);
         let pipeline = self.starter.as_ref();
         let pipeline = pipeline.map(|starter| Pipeline::new(starter, origin));
         let socket = Socket::new(stream, silence, pipeline.clone());
@@ -160,14 +164,14 @@
         let mut conn = pin!(self.builder.serve_connection(socket, service));
         let mut gone = pin!(gone.gone());
         let ended = async {
-            // First what has arrived is read, then hyper takes it; the other way round it
-            // would not know.
+            // The biased order polls `gone` first, which reads the bytes that have arrived. hyper
+            // is polled next and would otherwise not be woken for these bytes.
             tokio::select! {
                 biased;
                 () = gone.as_mut() => return None,
                 result = conn.as_mut() => return Some(result),
                 () = self.closing.cancelled() => {}
-                () = self.unused(pipeline.as_ref()) => {}
+                () = self.idle(pipeline.as_ref()) => {}
             }
             conn.as_mut().graceful_shutdown();
             tokio::select! {
@@ -181,21 +185,22 @@
             return;
         };
         if let Err(err) = result {
-            self.note(&err);
+            self.record_error(&err);
         }
     }
 
-    /// Waits until a caller's connection was unused for longer than callers were told.
-    async fn unused(&self, pipeline: Option<&Pipeline>) {
+    /// Waits until a caller's connection has been idle for longer than the announced keep-alive
+    /// time.
+    async fn idle(&self, pipeline: Option<&Pipeline>) {
         let told = self.shared.settings.limits.keep_alive();
         match (pipeline, told) {
-            (Some(pipeline), Some(told)) => pipeline.unused(told + CROSSING).await,
+            (Some(pipeline), Some(told)) => pipeline.wait_idle(told + KEEP_ALIVE_GRACE).await,
             _ => pending().await,
         }
     }
 
-    /// Counts how a connection failed; refusals that hyper answered itself among them.
-    fn note(&self, err: &hyper::Error) {
+    /// Counts a connection error. Refusals that hyper sent itself count as refusals.
+    fn record_error(&self, err: &hyper::Error) {
         let counters = &self.shared.counters;
         match err {
             _ if err.is_parse_too_large() => counters.refuse(Reason::HeaderTooLarge.as_str()),
@@ -217,17 +222,18 @@
         counters.count("swiftcart_connections_closed_total", "reason", how);
     }
 
-    fn turn_away(&self, stream: TcpStream) {
-        // The refusal fits any fresh socket's buffer; a failure leaves the caller no worse.
+    fn refuse_connection(&self, stream: TcpStream) {
+        // The response fits into the send buffer of any new socket. A write error is ignored, since
+        // the connection is closed either way.
         let _ = stream
             .into_std()
-            .and_then(|mut socket| socket.write_all(TOO_MANY));
+            .and_then(|mut socket| socket.write_all(CONNECTION_LIMIT_RESPONSE));
         let counters = &self.shared.counters;
         counters.refuse(Reason::TooManyConnections.as_str());
     }
 
-    async fn pause(&self, err: &io::Error) {
+    async fn back_off(&self, err: &io::Error) {
         warn!(self.shared.logger, ""; "event" => Event::Refused, "error" => %err);
-        sleep(ACCEPT_PAUSE).await;
+        sleep(ACCEPT_BACKOFF).await;
     }
 }
--- a/crates/swiftcart-node/src/calls/service.rs
+++ b/crates/swiftcart-node/src/calls/service.rs
@@ -1,4 +1,4 @@
-//! The two services of the call path as `tower` sees them.
+//! `tower` services of the request path: one for callers, one for other nodes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use super::answer::{Answer, refuse};
 use super::body::{Outgoing, Source};
 use super::guard::Guard;
-use super::headers::{KEEP_ALIVE, LOAD, NOTICE, OUTCOME, told};
+use super::headers::{KEEP_ALIVE, LOAD, NOTICE, OUTCOME, process_notice};
 use super::ingress::Ingress;
 use super::pipelining::{Pipeline, Starter};
 use super::request::Call;
-use super::serve::Answering;
+use super::serve::ResponseFuture;
 use crate::settings::Settings;
 use crate::shared::{Phase, Shared};
 
-/// Answers callers.
+/// Service that answers callers.
 #[derive(Debug, Clone)]
 pub struct IngressService {
     shared: Arc<Shared>,
     ingress: Arc<Ingress>,
 }
 
-/// Answers other nodes, which hand on requests for the backend server beside this one.
+/// Service that answers other nodes, which forward requests for the local backend server.
 #[derive(Debug, Clone)]
 pub struct GuardService {
     shared: Arc<Shared>,
     guard: Arc<Guard>,
-    /// The uploads whose bodies are taken at once.
-    bodies: Arc<Semaphore>,
+    /// Permits for uploads whose bodies are received concurrently.
+    upload_slots: Arc<Semaphore>,
 }
 
 impl IngressService {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns what starts requests that callers send ahead.
+    /// Returns a starter for pipelined requests.
     #[must_use]
     pub fn starter(&self) -> Starter {
         let ingress = Arc::clone(&self.ingress);
@@ -66,9 +66,11 @@
         })
     }
 
-    /// Tells the caller how long its connection is kept, and not at all after a refusal: a
-    /// caller comes back on a connection of its own. What was sent ahead is answered first.
-    fn keep(&self, response: &mut Response<Answer>, has_more: bool) {
+    /// Sets the header that tells the caller how long its connection is kept open.
+    ///
+    /// After a refusal the connection is closed instead, so that a retry uses a new connection.
+    /// It stays open while pipelined requests are still unanswered.
+    fn set_keep_alive(&self, response: &mut Response<Answer>, has_more: bool) {
         let Some(time) = self.shared.settings.limits.keep_alive() else {
             return;
         };
@@ -76,7 +78,7 @@
             true => (CONNECTION, HeaderValue::from_static("close")),
             false => {
                 let text = format!("timeout={}", time.as_secs());
-                // Digits after a word are always a header's value.
+                // A word followed by digits is always a valid header value.
                 let value = HeaderValue::try_from(text);
                 (
                     KEEP_ALIVE,
@@ -94,13 +96,13 @@
         let mut response = match started {
             Some(started) => match started.await {
                 Ok(response) => response,
-                Err(err) => self.ingress.fail(&err),
+                Err(err) => self.ingress.answer_failed_task(&err),
             },
             None => self.ingress.answer(head, Some(body)).await,
         };
         if let Some(pipeline) = pipeline {
             pipeline.answered();
-            self.keep(&mut response, pipeline.has_more());
+            self.set_keep_alive(&mut response, pipeline.has_more());
         }
         response
     }
@@ -110,27 +112,27 @@
     /// Creates the service around `guard`.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, guard: &Arc<Guard>) -> Self {
-        let bodies = bodies_at_once(&shared.settings);
+        let slots = max_concurrent_uploads(&shared.settings);
         Self {
             shared: Arc::clone(shared),
             guard: Arc::clone(guard),
-            bodies: Arc::new(Semaphore::new(bodies)),
+            upload_slots: Arc::new(Semaphore::new(slots)),
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Answer> {
-        let told = told(request.headers());
-        told.iter().for_each(|told| self.guard.relay(*told));
+        let notice = process_notice(request.headers());
+        notice.iter().for_each(|notice| self.guard.relay(*notice));
         let result = self.run(request).await;
         let mut response =
             result.unwrap_or_else(|refusal| refuse(refusal, false, self.shared.settings.answers));
         if let Some(load) = self.guard.load() {
             response.headers_mut().insert(LOAD, load);
         }
-        if let Some(notice) = self.guard.notice(told.is_some()) {
+        if let Some(notice) = self.guard.notice(notice.is_some()) {
             response.headers_mut().insert(NOTICE, notice);
         }
-        retire(&self.shared, &mut response);
+        close_if_stopping(&self.shared, &mut response);
         response.map(|answer| answer.paced(&self.shared.link))
     }
 
@@ -142,8 +144,8 @@
         let (call, service) = Call::from_peer(&mut head, settings, now)?;
         let body = match body.is_end_stream() {
             true => Outgoing::Empty,
-            false if call.is_upload() => self.receive(&call, body).await?,
-            false => Source::new(body, KEPT_BYTES, limits.body_timeout()).start(None),
+            false if call.is_upload() => self.read_upload(&call, body).await?,
+            false => Source::new(body, FINGERPRINT_BODY_BYTES, limits.body_timeout()).start(None),
         };
         let service = service.to_str().unwrap_or_default();
         let request = Request::from_parts(head, body);
@@ -152,23 +154,23 @@
 }
 
 impl GuardService {
-    /// Reads an upload before it takes a slot, when its turn comes.
+    /// Reads an upload's body once a permit is free, before the upload takes a slot.
     ///
-    /// Bodies that come at once fill the link, and short requests wait behind them.
-    async fn receive(&self, call: &Call, body: Incoming) -> Result<Outgoing, Refusal> {
+    /// Permits are limited because concurrent bodies saturate the link and delay short requests.
+    async fn read_upload(&self, call: &Call, body: Incoming) -> Result<Outgoing, Refusal> {
         let limits = &self.shared.settings.limits;
         let now = self.shared.clock.now();
         let until = call.admission_request().until(now, limits.queue_timeout());
         let turn = match call.admission_request().queue_wait {
             QueueWait::Full => {
                 let until = self.shared.clock.tokio(until);
-                let turn = timeout_at(until, self.bodies.acquire()).await;
+                let turn = timeout_at(until, self.upload_slots.acquire()).await;
                 turn.ok().and_then(Result::ok)
             }
-            QueueWait::Short => self.bodies.try_acquire().ok(),
+            QueueWait::Short => self.upload_slots.try_acquire().ok(),
         };
         let Some(_turn) = turn else {
-            return Err(Refusal::new(Reason::Overloaded).with_retry(BODY_TURN));
+            return Err(Refusal::new(Reason::Overloaded).with_retry(UPLOAD_RETRY_AFTER));
         };
         let room = limits.replay_bytes as usize;
         let source = Source::new(body, room, limits.body_timeout());
@@ -181,28 +183,36 @@
     }
 }
 
-/// How much of a body is kept until its answer is there, to recognise the request by when it comes
-/// again; a longer one is not recognised. Requests that are no uploads have bodies of some 300 bytes.
-const KEPT_BYTES: usize = 16 << 10;
-
-/// The megabits a second of a link for each body that it takes at once. Two bodies of 60 kB at once keep short
-/// requests waiting for 130 ms and more behind them on 7 Mbit/s, the whole target of a call.
-const BODY_MBIT: f64 = 15.0;
-
-/// When an upload may come back that got no turn: some bodies of 60 kB over 10 Mbit/s later.
-const BODY_TURN: Duration = Duration::from_millis(200);
-
-/// Returns how many bodies of uploads are taken at once.
-fn bodies_at_once(settings: &Settings) -> usize {
+/// Maximum body length that is kept until the response arrives, in bytes.
+///
+/// The body is part of the fingerprint that identifies repeats of a request. Requests with longer
+/// bodies are not identified. Requests other than uploads have bodies of about 300 bytes.
+const FINGERPRINT_BODY_BYTES: usize = 16 << 10;
+
+/// Link rate required per concurrently received upload body, in Mbit/s.
+///
+/// On a 7 Mbit/s link, two concurrent bodies of 60 kB delay short requests by at least 130 ms,
+/// which is the entire latency target of a call.
+const MBIT_S_PER_BODY: f64 = 15.0;
+
+/// Retry delay for an upload that got no permit.
+///
+/// In this time several bodies of 60 kB pass over a 10 Mbit/s link.
+const UPLOAD_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+/// Returns the maximum number of upload bodies that are received concurrently.
+fn max_concurrent_uploads(settings: &Settings) -> usize {
     let most = settings.limits.bodies as usize;
     match settings.link.rate() {
-        Some(_) => most.min((settings.link.mbit_s / BODY_MBIT) as usize).max(1),
+        Some(_) => most
+            .min((settings.link.mbit_s / MBIT_S_PER_BODY) as usize)
+            .max(1),
         None => most,
     }
 }
 
-/// Has the other side give the connection up when the node is stopping.
-fn retire(shared: &Shared, response: &mut Response<Answer>) {
+/// Sets `Connection: close` if the node is stopping.
+fn close_if_stopping(shared: &Shared, response: &mut Response<Answer>) {
     if matches!(*shared.phase.borrow(), Phase::Finishing | Phase::Stopping) {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -212,17 +222,17 @@
 impl Service<Request<Incoming>> for IngressService {
     type Response = Response<Answer>;
     type Error = Infallible;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, request: Request<Incoming>) -> Answering {
+    fn call(&mut self, request: Request<Incoming>) -> ResponseFuture {
         let service = self.clone();
         Box::pin(async move {
             let mut response = service.answer(request).await;
-            retire(&service.shared, &mut response);
+            close_if_stopping(&service.shared, &mut response);
             Ok(response.map(|answer| answer.paced(&service.shared.link)))
         })
     }
@@ -231,13 +241,13 @@
 impl Service<Request<Incoming>> for GuardService {
     type Response = Response<Answer>;
     type Error = Infallible;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, request: Request<Incoming>) -> Answering {
+    fn call(&mut self, request: Request<Incoming>) -> ResponseFuture {
         let service = self.clone();
         Box::pin(async move { Ok(service.answer(request).await) })
     }
--- a/crates/swiftcart-node/src/calls/terms.rs
+++ b/crates/swiftcart-node/src/calls/terms.rs
@@ -1,4 +1,4 @@
-//! How a request is treated under its route's policy, as nodes tell each other.
+//! Terms of a route's policy for a request, as sent between nodes.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -6,35 +6,35 @@
 use http::HeaderValue;
 use swiftcart_core::{Policy, Priority, QueueWait, Reason, RequestClass, ResponseLength, RouteTag};
 
-/// What a guard has to know of the policy of a request's route.
+/// Policy terms of one request that an ingress sends to a guard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallTerms {
-    /// How often the request may be executed.
+    /// Request class, which determines whether the request may run more than once.
     pub class: RequestClass,
-    /// Backend servers that it may be sent to.
+    /// Maximum number of backend servers that the request may be sent to.
     pub attempts: u8,
-    /// Its rank among the requests of the same service.
+    /// Priority among the requests of the same service.
     pub priority: Priority,
-    /// The time within which an answer is worth most, in milliseconds.
+    /// Latency target of the response, in milliseconds.
     pub target_ms: u32,
-    /// Whether a backend server got the request before.
+    /// `true` if an earlier attempt reached a backend server.
     pub repeat: bool,
-    /// How long it may wait at the guard.
+    /// Limit on the wait in the guard's queue.
     pub queue_wait: QueueWait,
-    /// For how long its caller has been trying, in milliseconds.
+    /// Time since the caller's first attempt, in milliseconds.
     pub age_ms: u32,
-    /// How long its answer is expected to be.
+    /// Expected length of the response.
     pub answer: ResponseLength,
-    /// Its route.
+    /// Tag of the route.
     pub route: RouteTag,
 }
 
 impl CallTerms {
-    /// Reads the header that [`CallTerms::value`] wrote.
+    /// Parses a header value written by [`CallTerms::header_value`].
     ///
     /// # Errors
     ///
-    /// [`Reason::BadRequest`] when a node would not have written it so.
+    /// Returns [`Reason::BadRequest`] if the value is malformed.
     pub fn parse(value: &HeaderValue) -> Result<Self, Reason> {
         let mut parts = value.to_str().unwrap_or_default().split(' ');
         let class = match parts.next() {
@@ -59,35 +59,35 @@
                 0 => ResponseLength::Short,
                 _ => ResponseLength::Long,
             },
-            // The release before does not tell it.
+            // The previous release does not send the route.
             route: parts.next().map_or(Ok(RouteTag::OTHERS), |part| {
                 part.parse().map(RouteTag).map_err(|_| Reason::BadRequest)
             })?,
         })
     }
 
-    /// Returns the time within which an answer is worth most.
+    /// Returns the latency target of the response.
     #[must_use]
     pub const fn target(&self) -> Duration {
         Duration::from_millis(self.target_ms as u64)
     }
 
-    /// Returns for how long the caller has been trying.
+    /// Returns the time since the caller's first attempt.
     #[must_use]
     pub const fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms as u64)
     }
 
-    /// Sets for how long the caller has been trying.
+    /// Sets the time since the caller's first attempt.
     #[must_use]
     pub fn with_age(mut self, age: Duration) -> Self {
         self.age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
         self
     }
 
-    /// Returns the header's value.
+    /// Formats the terms as a header value.
     #[must_use]
-    pub fn value(&self) -> HeaderValue {
+    pub fn header_value(&self) -> HeaderValue {
         let class = match self.class {
             RequestClass::Idempotent => 'i',
             RequestClass::NonIdempotent => 'n',
@@ -109,7 +109,7 @@
         let text = format!(
             "{class} {attempts} {priority} {target_ms} {repeat} {waits} {age_ms} {long} {route}"
         );
-        // Letters, digits and spaces are always a header's value.
+        // Letters, digits and spaces always form a valid header value.
         HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static(""))
     }
 }
--- a/crates/swiftcart-node/tests/calls.rs
+++ b/crates/swiftcart-node/tests/calls.rs
@@ -1,4 +1,4 @@
-//! The call path: what callers are told, and whether it is true.
+//! Tests of the request path: responses and reported outcomes match what actually happened.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 
 #[tokio::test]
-async fn answers_come_whole_over_one_node_and_over_two() {
+async fn responses_are_complete_over_one_node_and_over_two() {
     let log = log_with(Limits::default()).await;
     let far = node(&log).await;
     let settings = BackendSettings::new(SERVICE)
@@ -48,18 +48,18 @@
     );
 }
 
-/// What a scripted backend server does with each connection.
+/// Behaviour of a scripted backend server on each connection.
 #[derive(Debug, Clone, Copy)]
 enum Script {
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection without a response.
     Close,
-    /// Answers without a length.
+    /// Responds without a length.
     Unframed,
-    /// Answers with half of the announced body.
+    /// Responds with half of the announced body.
     Half,
-    /// Answers with a chunk and no end.
+    /// Responds with one chunk and no final chunk.
     Endless,
-    /// Claims an outcome that only nodes may claim.
+    /// Sets outcome headers that only nodes may set.
     Forged,
 }
 
@@ -77,17 +77,19 @@
         }
     }
 
-    /// Plays the script on one connection after another, and closes each when told to.
-    async fn play(self) -> Played {
+    /// Starts a backend server that runs the script on one connection after another.
+    ///
+    /// Each connection is closed when `close` is notified.
+    async fn start(self) -> ScriptedBackend {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let played = Played {
+        let backend = ScriptedBackend {
             addr: listener.local_addr().unwrap(),
             runs: Arc::default(),
             close: Arc::default(),
             gone: Arc::default(),
         };
-        let (runs, close) = (Arc::clone(&played.runs), Arc::clone(&played.close));
-        let gone = Arc::clone(&played.gone);
+        let (runs, close) = (Arc::clone(&backend.runs), Arc::clone(&backend.close));
+        let gone = Arc::clone(&backend.gone);
         tokio::spawn(async move {
             while let Ok((mut socket, _)) = listener.accept().await {
                 let mut buf = [0; 4096];
@@ -96,75 +98,83 @@
                     let _ = socket.write_all(self.answer()).await;
                     tokio::select! {
                         () = close.notified() => {}
-                        // Nothing more comes: the other side has closed.
+                        // No more data is expected, so the read ends when the node closes.
                         _ = socket.read(&mut buf) => gone.notify_one(),
                     }
                 }
             }
         });
-        played
+        backend
     }
 }
 
-/// A running script.
-struct Played {
+/// Running backend server that follows a script.
+struct ScriptedBackend {
     addr: SocketAddr,
-    /// The requests that were read.
+    /// Number of requests that were read.
     runs: Arc<AtomicU32>,
     close: Arc<Notify>,
-    /// Told when the node closes a connection first.
+    /// Notified when the node closes a connection first.
     gone: Arc<Notify>,
 }
 
 #[rstest]
-#[case::post_without_an_answer("POST", Script::Close, (502, "unknown", "answer-broken"), 1)]
-#[case::get_without_an_answer("GET", Script::Close, (502, "unknown", "answer-broken"), 1)]
-#[case::answer_whose_end_cannot_be_told(
+#[case::post_without_response("POST", Script::Close, (502, "unknown", "answer-broken"), 1)]
+#[case::get_without_response("GET", Script::Close, (502, "unknown", "answer-broken"), 1)]
+#[case::response_without_framing(
     "POST", Script::Unframed, (502, "unknown", "answer-broken"), 1
 )]
-#[case::forged_verdict("POST", Script::Forged, (503, "-", "-"), 1)]
+#[case::forged_outcome("POST", Script::Forged, (503, "-", "-"), 1)]
 #[tokio::test]
-async fn nobody_is_told_not_run_once_the_request_was_handed_over(
+async fn outcome_is_never_not_run_after_the_request_was_sent(
     #[case] method: &str,
     #[case] script: Script,
     #[case] told: (u16, &str, &str),
     #[case] runs: u32,
-    #[values(false, true)] two: bool,
+    #[values(false, true)] over_two_nodes: bool,
 ) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let played = script.play().await;
-    played.close.notify_one();
-    announce(&node, played.addr).await;
+    let backend = script.start().await;
+    backend.close.notify_one();
+    announce(&node, backend.addr).await;
     let entry = node_beside(&node, &log).await;
-    let got = call(if two { &entry } else { &node }, request(method, "/", &[])).await;
+    let got = call(
+        if over_two_nodes { &entry } else { &node },
+        request(method, "/", &[]),
+    )
+    .await;
     assert_eq!(
-        (got.told(), played.runs.load(Ordering::SeqCst)),
+        (got.told(), backend.runs.load(Ordering::SeqCst)),
         (told, runs)
     );
 }
 
 #[rstest]
-#[case::length(Script::Half)]
-#[case::chunks(Script::Endless)]
+#[case::content_length(Script::Half)]
+#[case::chunked(Script::Endless)]
 #[tokio::test]
-async fn an_answer_that_breaks_off_never_looks_whole(
+async fn truncated_responses_never_appear_complete(
     #[case] script: Script,
-    #[values(false, true)] two: bool,
+    #[values(false, true)] over_two_nodes: bool,
 ) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let played = script.play().await;
-    announce(&node, played.addr).await;
+    let backend = script.start().await;
+    announce(&node, backend.addr).await;
     let entry = node_beside(&node, &log).await;
-    let response = head(if two { &entry } else { &node }, request("GET", "/", &[])).await;
-    played.close.notify_one();
+    let response = head(
+        if over_two_nodes { &entry } else { &node },
+        request("GET", "/", &[]),
+    )
+    .await;
+    backend.close.notify_one();
     let body = response.into_body().collect().await;
     assert!(body.is_err(), "{body:?}");
 }
 
 #[tokio::test]
-async fn a_backend_server_that_is_gone_has_not_run_the_request() {
+async fn a_refused_connection_to_the_backend_server_is_reported_as_not_run() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     announce(&node, dead_addr()).await;
@@ -173,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_closed_while_unused_is_not_used_for_a_post() {
+async fn a_connection_closed_while_idle_is_not_reused_for_a_post() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -195,19 +205,19 @@
 #[case::idempotent("GET")]
 #[case::not_idempotent("POST")]
 #[tokio::test]
-async fn a_request_given_up_on_is_answered_and_cancelled(#[case] method: &str) {
+async fn a_request_past_its_deadline_is_answered_and_cancelled(#[case] method: &str) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let played = Script::Close.play().await;
-    announce(&node, played.addr).await;
+    let backend = Script::Close.start().await;
+    announce(&node, backend.addr).await;
     let headers = [("swiftcart-deadline-ms", "60")];
     let got = call(&node, request(method, "/", &headers)).await;
     assert_eq!(got.told(), (504, "unknown", "timeout"));
-    played.gone.notified().await;
+    backend.gone.notified().await;
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_the_work_over_two_nodes() {
+async fn a_caller_disconnect_cancels_the_request_over_two_nodes() {
     let log = log_with(Limits::default()).await;
     let far = node(&log).await;
     let backend = backend_at(&far, BackendSettings::new(SERVICE)).await;
@@ -223,7 +233,7 @@
 }
 
 #[tokio::test]
-async fn a_draining_backend_server_finishes_its_work_and_gets_none() {
+async fn a_draining_backend_server_finishes_its_requests_and_gets_no_new_ones() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let backend = backend_at(&node, BackendSettings::new(SERVICE)).await;
@@ -242,7 +252,7 @@
 }
 
 #[rstest]
-#[case::no_route_before_any_table("/", &[], (503, "not-run", "no-backend"))]
+#[case::no_backend_server("/", &[], (503, "not-run", "no-backend"))]
 #[case::repeated_deadline(
     "/",
     &[("swiftcart-deadline-ms", "5"), ("swiftcart-deadline-ms", "6")],
@@ -250,7 +260,7 @@
 )]
 #[case::malformed_deadline("/", &[("swiftcart-deadline-ms", "soon")], (400, "not-run", "bad-request"))]
 #[tokio::test]
-async fn requests_that_reach_nothing_are_refused(
+async fn undeliverable_requests_are_refused(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
     #[case] told: (u16, &str, &str),
@@ -264,17 +274,17 @@
 }
 
 #[tokio::test]
-async fn an_idempotent_request_is_tried_again_after_a_lost_answer() {
+async fn an_idempotent_request_is_retried_after_a_lost_response() {
     let log = log_with(Limits::default()).await;
     let broken = node(&log).await;
-    let played = Script::Close.play().await;
-    announce(&broken, played.addr).await;
+    let backend = Script::Close.start().await;
+    announce(&broken, backend.addr).await;
     let live = node_beside(&broken, &log).await;
     let _backend = backend_at(&live, BackendSettings::new(SERVICE)).await;
     let entry = node_beside(&broken, &log).await;
     routed(&entry, live.shared().id).await;
-    while played.runs.load(Ordering::SeqCst) == 0 {
-        played.close.notify_one();
+    while backend.runs.load(Ordering::SeqCst) == 0 {
+        backend.close.notify_one();
         let got = call(&entry, request("GET", "/", &[])).await;
         assert_eq!(got.told(), (200, "-", "-"));
     }
@@ -283,7 +293,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_upload_goes_whole_to_another_guard() {
+async fn a_refused_upload_is_sent_in_full_to_another_guard() {
     let log = log_with(Limits::default()).await;
     let dead = node(&log).await;
     announce(&dead, dead_addr()).await;
@@ -304,7 +314,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_in_the_midst_of_an_upload_learns_that_it_is_refused() {
+async fn a_caller_receives_a_refusal_during_an_upload() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let mut socket = TcpStream::connect(node.shared().settings.listen.calls)
@@ -312,7 +322,7 @@
         .unwrap();
     let head = b"PUT / HTTP/1.1\r\nhost: mesh\r\ncontent-length: 9000000\r\n\r\n";
     socket.write_all(head).await.unwrap();
-    // Many callers read only after they have sent everything.
+    // Many callers read the response only after they have sent the whole body.
     socket.write_all(&vec![7; 9_000_000]).await.unwrap();
     let mut got = String::new();
     socket.read_to_string(&mut got).await.unwrap();
@@ -320,32 +330,32 @@
 }
 
 #[rstest]
-#[case::oversize_head(
+#[case::oversized_head(
     "GET / HTTP/1.1\r\nhost: mesh\r\nx: ",
     20_000,
     "HTTP/1.1 431",
     "header-too-large"
 )]
-#[case::two_lengths(
+#[case::repeated_content_length(
     "POST / HTTP/1.1\r\ncontent-length: 3\r\ncontent-length: 4\r\n\r\n",
     0,
     "HTTP/1.1 400",
     "bad-request"
 )]
-#[case::old_release(
+#[case::http_1_0(
     "GET / HTTP/1.0\r\nhost: mesh\r\n\r\n",
     0,
     "HTTP/1.0 400",
     "bad-request"
 )]
-#[case::tunnel(
+#[case::connect_method(
     "CONNECT mesh:1 HTTP/1.1\r\nhost: mesh\r\n\r\n",
     0,
     "HTTP/1.1 400",
     "bad-request"
 )]
 #[tokio::test]
-async fn a_caller_learns_why_before_its_connection_ends(
+async fn a_malformed_request_is_answered_before_the_connection_closes(
     #[case] head: &str,
     #[case] more: usize,
     #[case] status: &str,
--- a/crates/swiftcart-node/tests/pipelining.rs
+++ b/crates/swiftcart-node/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends ahead on one connection, and a caller that leaves meanwhile.
+//! Tests of HTTP pipelining, and of callers that disconnect while requests are unanswered.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -17,19 +17,20 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// How long an answer may take before the test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum wait for a response before the test fails.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A backend server that answers only when `together` requests are there at once, each with
-/// its own path.
-struct Gathering {
+/// Backend server that answers only once a set number of requests is in progress.
+///
+/// Each response body is the path of its request.
+struct BarrierBackend {
     addr: SocketAddr,
     heads: Arc<AtomicU32>,
     gone: Arc<AtomicU32>,
 }
 
-impl Gathering {
-    async fn start(together: usize) -> Self {
+impl BarrierBackend {
+    async fn start(concurrent: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let (heads, gone) = (Arc::<AtomicU32>::default(), Arc::<AtomicU32>::default());
@@ -38,7 +39,7 @@
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
                 let (heads, gone) = (Arc::clone(&counted), Arc::clone(&left));
-                tokio::spawn(serve(socket, present.clone(), together, heads, gone));
+                tokio::spawn(serve(socket, present.clone(), concurrent, heads, gone));
             }
         });
         Self { addr, heads, gone }
@@ -48,7 +49,7 @@
 async fn serve(
     mut socket: TcpStream,
     present: watch::Sender<usize>,
-    together: usize,
+    concurrent: usize,
     heads: Arc<AtomicU32>,
     gone: Arc<AtomicU32>,
 ) {
@@ -60,7 +61,7 @@
         }
         let text = String::from_utf8_lossy(&buf[..len]).into_owned();
         if !text.starts_with("GET ") && !text.starts_with("POST ") {
-            // The rest of a body whose head came alone.
+            // The rest of a body that arrived separately from its head.
             continue;
         }
         heads.fetch_add(1, Ordering::SeqCst);
@@ -69,7 +70,7 @@
         let mut others = present.subscribe();
         let mut more = [0; 1];
         tokio::select! {
-            _ = others.wait_for(|present| *present >= together) => {}
+            _ = others.wait_for(|present| *present >= concurrent) => {}
             _ = socket.read(&mut more) => {
                 present.send_modify(|present| *present -= 1);
                 gone.fetch_add(1, Ordering::SeqCst);
@@ -93,7 +94,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: mesh\r\n\r\n")
 }
 
-/// Reads answers until `count` bodies of three bytes have come.
+/// Reads responses until `count` bodies of three bytes have arrived.
 async fn bodies(socket: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     loop {
@@ -106,11 +107,11 @@
             return found;
         }
         let mut buf = [0; 4096];
-        let read = timeout(PATIENCE, socket.read(&mut buf)).await;
+        let read = timeout(RESPONSE_TIMEOUT, socket.read(&mut buf)).await;
         let len = read
-            .unwrap_or_else(|_| panic!("no more answers after {text:?}"))
+            .unwrap_or_else(|_| panic!("no further response after {text:?}"))
             .unwrap();
-        assert!(len > 0, "the connection ended after {text:?}");
+        assert!(len > 0, "connection closed after {text:?}");
         text.push_str(std::str::from_utf8(&buf[..len]).unwrap());
     }
 }
@@ -119,10 +120,10 @@
 #[case::in_one_packet(1)]
 #[case::in_three_packets(3)]
 #[tokio::test]
-async fn requests_sent_ahead_run_at_once_and_are_answered_in_order(#[case] packets: usize) {
+async fn pipelined_requests_run_concurrently_and_are_answered_in_order(#[case] packets: usize) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let backend = Gathering::start(3).await;
+    let backend = BarrierBackend::start(3).await;
     announce(&node, backend.addr).await;
     let mut socket = connect(&node).await;
     let requests = ["/aa", "/bb", "/cc"].map(get);
@@ -143,10 +144,10 @@
 }
 
 #[tokio::test]
-async fn what_follows_a_body_keeps_its_own_answer() {
+async fn requests_after_a_body_receive_their_own_responses() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let backend = Gathering::start(1).await;
+    let backend = BarrierBackend::start(1).await;
     announce(&node, backend.addr).await;
     let mut socket = connect(&node).await;
     let chunked = "POST /pp HTTP/1.1\r\nhost: mesh\r\ntransfer-encoding: chunked\r\n\r\n\
@@ -158,12 +159,13 @@
     assert_eq!(bodies(&mut socket, 5).await, expected);
 }
 
-/// The caller sends a request that may run only once behind another one, and leaves.
+/// A caller pipelines a non-idempotent request behind another request and disconnects. The
+/// disconnect must cancel the running request, although the second request is still unread.
 #[tokio::test]
-async fn a_departure_is_noticed_behind_unread_requests() {
+async fn a_disconnect_is_detected_behind_unread_requests() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    let backend = Gathering::start(2).await;
+    let backend = BarrierBackend::start(2).await;
     announce(&node, backend.addr).await;
     let mut socket = connect(&node).await;
     let behind = "POST /pp HTTP/1.1\r\nhost: mesh\r\ncontent-length: 0\r\n\r\n";
