--- a/crates/swiftcart-node/src/calls/conn.rs
+++ b/crates/swiftcart-node/src/calls/conn.rs
@@ -141,7 +141,9 @@
         }
     }
 
-    /// Sends `request` and returns the response's head. [`drive`](Self::drive) transfers the bodies.
+    /// Sends `request` and returns the response's head.
+    ///
+    /// [`drive`](Self::drive) transfers the bodies.
     ///
     /// # Errors
     ///
--- a/crates/swiftcart-node/src/calls/ingress/original.rs
+++ b/crates/swiftcart-node/src/calls/ingress/original.rs
@@ -21,27 +21,18 @@
 }
 
 impl OriginalRequest {
-    /// Creates the original of a caller's request, with up to `replay_bytes` of its body kept.
+    /// Creates the original request, which keeps up to `limit` bytes of the body for retries.
     ///
     /// The body fails if it delivers no data for `idle_timeout`.
     #[must_use]
-    pub fn new(
-        head: Parts,
-        body: Option<Incoming>,
-        replay_bytes: u32,
-        idle_timeout: Duration,
-    ) -> Self {
-        let replay_bytes = replay_bytes as usize;
+    pub fn new(head: Parts, body: Option<Incoming>, limit: u32, idle_timeout: Duration) -> Self {
+        let limit = limit as usize;
         let body = body.filter(|body| !body.is_end_stream());
-        let is_long = |body: &Incoming| {
-            body.size_hint()
-                .upper()
-                .is_none_or(|n| n > replay_bytes as u64)
-        };
+        let is_long = |body: &Incoming| body.size_hint().upper().is_none_or(|n| n > limit as u64);
         Self {
             head,
             exceeds_buffer: body.as_ref().is_some_and(is_long),
-            source: body.map(|body| Source::new(body, replay_bytes, idle_timeout)),
+            source: body.map(|body| Source::new(body, limit, idle_timeout)),
         }
     }
 
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Returns [`Timing::Late`] if the request is unlikely to be answered within its latency target.
+    /// Returns [`Timing::Late`] if the request will probably miss its latency target.
     ///
     /// `typical` is the share of the target that a call usually takes.
     #[must_use]
