--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -281,18 +281,18 @@
             state.failures += 1;
             state.slot_search.failed(pick.id, failed.refusal.reason);
             failed.retried |= state.retry_state.retried();
-            let again = self.decide_retry(call, entry, original, &mut state, &pick, &failed);
-            self.log_failed_attempt(call, entry, &state, &pick, &failed, again);
-            let kept = FailedAttempt::merge(last.take(), failed);
-            match again {
+            let decision = self.decide_retry(call, entry, original, &mut state, &pick, &failed);
+            self.log_failed_attempt(call, entry, &state, &pick, &failed, decision);
+            let merged = FailedAttempt::merge(last.take(), failed);
+            match decision {
                 Ok(RetryTarget::Other) => next = RetryTarget::Other,
                 Ok(RetryTarget::Same) => {
                     state.slot_search.settle();
                     next = RetryTarget::Same;
                 }
-                Err(_) => return kept.into_result(),
+                Err(_) => return merged.into_result(),
             }
-            last = Some(kept);
+            last = Some(merged);
         }
     }
 
@@ -308,9 +308,9 @@
             RetryTarget::Other => self.pick(call, entry, state.slot_search.excluded()),
             RetryTarget::Same => {
                 let reached = state.policy_retries.reached();
-                let again = |c: &&Candidate| reached.contains(&c.id);
+                let was_reached = |c: &&Candidate| reached.contains(&c.id);
                 let all = entry.candidates().iter().chain(entry.tried());
-                let others: Vec<NodeId> = all.filter(|c| !again(c)).map(|c| c.id).collect();
+                let others: Vec<NodeId> = all.filter(|c| !was_reached(c)).map(|c| c.id).collect();
                 self.pick(call, entry, &others)
             }
         }
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -60,7 +60,7 @@
             return false;
         };
         let now = self.shared.clock.now();
-        let again = reason == Reason::Crashed && suspects.ends_another(print.request);
-        again || suspects.held(now, print).is_some()
+        let crashes_another = reason == Reason::Crashed && suspects.ends_another(print.request);
+        crashes_another || suspects.held(now, print).is_some()
     }
 }
--- a/crates/swiftcart-node/src/calls/request.rs
+++ b/crates/swiftcart-node/src/calls/request.rs
@@ -45,7 +45,7 @@
     pub key: Option<HeaderValue>,
     /// Terms of the route's policy. Without a policy, the HTTP method decides about retries.
     pub terms: Option<CallTerms>,
-    /// Expected network load of the request and its response.
+    /// Size class of the request and its response.
     pub payload: Payload,
     /// Regions to which the request may be sent.
     pub regions: AllowedRegions,
@@ -202,7 +202,7 @@
         });
     }
 
-    /// Returns the request to the guard's admission control.
+    /// Returns the request in the form that the guard's admission control takes.
     #[must_use]
     pub fn admission_request(&self) -> AdmissionRequest {
         let admission_request = AdmissionRequest::new(self.due);
--- a/crates/swiftcart-node/src/calls/serve.rs
+++ b/crates/swiftcart-node/src/calls/serve.rs
@@ -150,10 +150,10 @@
         let pipeline = self.starter.as_ref();
         let pipeline = pipeline.map(|starter| Pipeline::new(starter, origin));
         let socket = Socket::new(stream, silence, pipeline.clone());
-        let shown = pipeline.clone();
+        let extension = pipeline.clone();
         let service = service.map_request(move |mut request: Request<_>| {
             let extensions = request.extensions_mut();
-            extensions.insert(shown.clone());
+            extensions.insert(extension.clone());
             if let Some(origin) = origin {
                 extensions.insert(origin);
             }
@@ -164,8 +164,8 @@
         let mut conn = pin!(self.builder.serve_connection(socket, service));
         let mut gone = pin!(gone.gone());
         let ended = async {
-            // The biased order polls `gone` first, which reads the bytes that have arrived. hyper
-            // is polled next and would otherwise not be woken for these bytes.
+            // `gone` is polled first, since it reads the bytes that have arrived. With the reverse
+            // order, hyper would not notice these bytes.
             tokio::select! {
                 biased;
                 () = gone.as_mut() => return None,
@@ -192,9 +192,9 @@
     /// Waits until a caller's connection has been idle for longer than the announced keep-alive
     /// time.
     async fn idle(&self, pipeline: Option<&Pipeline>) {
-        let told = self.shared.settings.limits.keep_alive();
-        match (pipeline, told) {
-            (Some(pipeline), Some(told)) => pipeline.wait_idle(told + KEEP_ALIVE_GRACE).await,
+        let time = self.shared.settings.limits.keep_alive();
+        match (pipeline, time) {
+            (Some(pipeline), Some(time)) => pipeline.wait_idle(time + KEEP_ALIVE_GRACE).await,
             _ => pending().await,
         }
     }
--- a/crates/swiftcart-node/src/calls/service.rs
+++ b/crates/swiftcart-node/src/calls/service.rs
@@ -161,15 +161,15 @@
         let limits = &self.shared.settings.limits;
         let now = self.shared.clock.now();
         let until = call.admission_request().until(now, limits.queue_timeout());
-        let turn = match call.admission_request().queue_wait {
+        let permit = match call.admission_request().queue_wait {
             QueueWait::Full => {
                 let until = self.shared.clock.tokio(until);
-                let turn = timeout_at(until, self.upload_slots.acquire()).await;
-                turn.ok().and_then(Result::ok)
+                let permit = timeout_at(until, self.upload_slots.acquire()).await;
+                permit.ok().and_then(Result::ok)
             }
             QueueWait::Short => self.upload_slots.try_acquire().ok(),
         };
-        let Some(_turn) = turn else {
+        let Some(_permit) = permit else {
             return Err(Refusal::new(Reason::Overloaded).with_retry(UPLOAD_RETRY_AFTER));
         };
         let room = limits.replay_bytes as usize;
@@ -202,12 +202,12 @@
 
 /// Returns the maximum number of upload bodies that are received concurrently.
 fn max_concurrent_uploads(settings: &Settings) -> usize {
-    let most = settings.limits.bodies as usize;
+    let limit = settings.limits.bodies as usize;
     match settings.link.rate() {
-        Some(_) => most
+        Some(_) => limit
             .min((settings.link.mbit_s / MBIT_S_PER_BODY) as usize)
             .max(1),
-        None => most,
+        None => limit,
     }
 }
 
--- a/crates/swiftcart-node/tests/calls.rs
+++ b/crates/swiftcart-node/tests/calls.rs
@@ -129,7 +129,7 @@
 async fn outcome_is_never_not_run_after_the_request_was_sent(
     #[case] method: &str,
     #[case] script: Script,
-    #[case] told: (u16, &str, &str),
+    #[case] expected: (u16, &str, &str),
     #[case] runs: u32,
     #[values(false, true)] over_two_nodes: bool,
 ) {
@@ -146,7 +146,7 @@
     .await;
     assert_eq!(
         (got.told(), backend.runs.load(Ordering::SeqCst)),
-        (told, runs)
+        (expected, runs)
     );
 }
 
@@ -263,13 +263,13 @@
 async fn undeliverable_requests_are_refused(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
-    #[case] told: (u16, &str, &str),
+    #[case] expected: (u16, &str, &str),
 ) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let got = call(&node, request("GET", path, headers)).await;
-    assert_eq!(got.told(), told);
-    let metric = format!("swiftcart_refusals_total{{reason=\"{}\"}} 1", told.2);
+    assert_eq!(got.told(), expected);
+    let metric = format!("swiftcart_refusals_total{{reason=\"{}\"}} 1", expected.2);
     assert!(node.shared().counters.render().contains(&metric));
 }
 
