--- a/crates/swiftcart-node/src/calls/exchange.rs
+++ b/crates/swiftcart-node/src/calls/exchange.rs
@@ -12,7 +12,7 @@
 use super::pool::{Pool, Pooled};
 
 /// Maximum number of connections tried for one request before it fails.
-const MAX_STALE_CONNECTIONS: usize = 4;
+const MAX_CONNECTION_ATTEMPTS: usize = 4;
 
 /// Sends `request` and waits until `until` for the response's head.
 ///
@@ -31,7 +31,7 @@
     unreachable: Reason,
     mut on_send: impl FnMut(),
 ) -> Result<(Response<Incoming>, Pooled), Reason> {
-    for _ in 0..MAX_STALE_CONNECTIONS {
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
         let mut pooled = match timeout_at(until, pool.take()).await {
             Ok(Ok(pooled)) => pooled,
             Ok(Err(_)) => return Err(unreachable),
--- a/crates/swiftcart-node/src/calls/ingress/retrying.rs
+++ b/crates/swiftcart-node/src/calls/ingress/retrying.rs
@@ -9,7 +9,7 @@
 use crate::calls::request::Call;
 
 impl Ingress {
-    /// Decides whether and where to retry, and counts the decision.
+    /// Returns the target of a retry, if one is allowed, and counts the decision.
     ///
     /// # Errors
     ///
