--- a/crates/swiftcart-node/src/calls/admissions.rs
+++ b/crates/swiftcart-node/src/calls/admissions.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 
-use super::answer::End;
+use super::answer::AnswerEnd;
 use super::rng::with_rng;
 use crate::clock::Clock;
 use crate::egress::Egress;
@@ -328,7 +328,7 @@
     }
 
     /// Gives the slot back after the answer ended.
-    pub fn close(self, end: End) {
+    pub fn close(self, end: AnswerEnd) {
         self.finish(end.result());
     }
 
--- a/crates/swiftcart-node/src/calls/answer.rs
+++ b/crates/swiftcart-node/src/calls/answer.rs
@@ -48,7 +48,7 @@
 
 /// Tells how an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum AnswerEnd {
     /// All of it was passed on.
     Whole,
     /// The other side broke it off.
@@ -57,7 +57,7 @@
     Gone,
 }
 
-impl End {
+impl AnswerEnd {
     /// Returns what became of the call.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
@@ -87,7 +87,7 @@
 }
 
 impl Ending {
-    fn close(self, end: End) {
+    fn close(self, end: AnswerEnd) {
         if let Some(slot) = self.slot {
             slot.close(end);
         }
@@ -117,7 +117,7 @@
     /// What was read ahead.
     held: VecDeque<Bytes>,
     ending: Ending,
-    ended: Option<End>,
+    ended: Option<AnswerEnd>,
     /// None while it is not known where the answer goes.
     pacing: Option<Pacing>,
 }
@@ -142,7 +142,7 @@
             pacing: None,
         };
         if streaming.body.is_end_stream() {
-            streaming.finish(End::Whole);
+            streaming.finish(AnswerEnd::Whole);
         }
         Self::Stream(Box::new(streaming))
     }
@@ -210,7 +210,7 @@
         match self {
             Self::Text(_) => {
                 f(&mut ending);
-                ending.close(End::Whole);
+                ending.close(AnswerEnd::Whole);
             }
             Self::Stream(streaming) => match streaming.ended {
                 Some(end) => {
@@ -224,9 +224,9 @@
 }
 
 impl Streaming {
-    fn finish(&mut self, end: End) {
+    fn finish(&mut self, end: AnswerEnd) {
         match (self.pooled.take(), end) {
-            (Some(pooled), End::Whole) => pooled.finish(),
+            (Some(pooled), AnswerEnd::Whole) => pooled.finish(),
             (pooled, _) => drop(pooled),
         }
         if self.ended.is_none() {
@@ -270,7 +270,7 @@
         }
         let frame = match (self.held.pop_front(), self.ended) {
             (Some(data), _) => Some(Ok(Frame::data(data))),
-            (None, Some(End::Whole)) => None,
+            (None, Some(AnswerEnd::Whole)) => None,
             (None, _) => ready!(self.poll_body(cx)),
         };
         if let (Some(pacing), Some(Ok(frame))) = (&self.pacing, &frame) {
@@ -295,16 +295,16 @@
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
                 if self.body.is_end_stream() {
-                    self.finish(End::Whole);
+                    self.finish(AnswerEnd::Whole);
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(None) => {
-                self.finish(End::Whole);
+                self.finish(AnswerEnd::Whole);
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Err(err))) => {
-                self.finish(End::Broken);
+                self.finish(AnswerEnd::Broken);
                 Poll::Ready(Some(Err(AnswerError::Broken(err))))
             }
         }
@@ -342,7 +342,7 @@
 
 impl Drop for Streaming {
     fn drop(&mut self) {
-        self.finish(End::Gone);
+        self.finish(AnswerEnd::Gone);
     }
 }
 
--- a/crates/swiftcart-node/src/calls/body.rs
+++ b/crates/swiftcart-node/src/calls/body.rs
@@ -48,10 +48,10 @@
     Stream(Stream),
 }
 
-/// One try's reading of a [`Source`].
+/// One try's reading of a [`BodySource`].
 #[derive(Debug)]
 pub struct Stream {
-    source: Arc<Source>,
+    source: Arc<BodySource>,
     next: usize,
     gate: Option<Gate>,
 }
@@ -62,7 +62,7 @@
 
 /// The caller's body, with its first bytes kept for another try.
 #[derive(Debug)]
-pub struct Source(Mutex<Inner>);
+pub struct BodySource(Mutex<Inner>);
 
 #[derive(Debug)]
 struct Inner {
@@ -90,12 +90,12 @@
 impl Stream {
     /// Returns where the body comes from.
     #[must_use]
-    pub const fn source(&self) -> &Arc<Source> {
+    pub const fn source(&self) -> &Arc<BodySource> {
         &self.source
     }
 }
 
-impl Source {
+impl BodySource {
     /// Creates the source of `body`, which keeps `room` bytes and bears `silence` at most.
     pub fn new(body: Incoming, room: usize, silence: Duration) -> Arc<Self> {
         Arc::new(Self(Mutex::new(Inner {
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -157,7 +157,7 @@
 
     /// Returns the share of repeats among what the backend server runs.
     #[must_use]
-    pub fn repeated(&self) -> f64 {
+    pub fn repeat_share(&self) -> f64 {
         let repeats = self.repeats.load(Ordering::Relaxed);
         let running = self.report().map_or(0, |report| report.load.running);
         f64::from(repeats) / f64::from(running.max(repeats).max(1))
--- a/crates/swiftcart-node/src/calls/in_flight.rs
+++ b/crates/swiftcart-node/src/calls/in_flight.rs
@@ -5,7 +5,7 @@
 
 use swiftcart_core::{Balancer, CallResult, Instant, NodeId, Outcome, Reason, Sample};
 
-use super::answer::End;
+use super::answer::AnswerEnd;
 use super::guard::Report;
 use crate::shared::Shared;
 
@@ -58,7 +58,7 @@
     }
 
     /// Accounts for the end of the answer that the caller got.
-    pub fn close(mut self, end: End) {
+    pub fn close(mut self, end: AnswerEnd) {
         self.shared.counters.call(end.outcome());
         self.learn(end.result());
     }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -27,7 +27,7 @@
 use super::guard::Guard;
 use super::headers::RETRIED;
 use super::in_flight::InFlight;
-use super::keyed::preference;
+use super::keyed::claim_guard_order;
 use super::peers::Peers;
 use super::request::Call;
 use super::rng::with_rng;
@@ -316,7 +316,7 @@
         match &self.mesh_budget {
             Some(mesh_budget) => {
                 let now = self.shared.clock.now();
-                lock(mesh_budget).first(now, entry.name(), self.guard.repeated());
+                lock(mesh_budget).first(now, entry.name(), self.guard.repeat_share());
             }
             None => lock(&self.budget).first(),
         }
@@ -328,7 +328,7 @@
         let balancer = self.balancer();
         let preferred = call.key.as_ref().and_then(|key| {
             let ids: Vec<NodeId> = entry.candidates().iter().map(|c| c.id).collect();
-            let order = preference(entry.name(), key, &ids);
+            let order = claim_guard_order(entry.name(), key, &ids);
             let fits = |id: &NodeId| !tried.contains(id) && !balancer.ejected(*id, now);
             let id = order.into_iter().find(fits)?;
             let allowed = |c: &&Candidate| c.id == id && call.regions.allows(c.region);
--- a/crates/swiftcart-node/src/calls/ingress/original.rs
+++ b/crates/swiftcart-node/src/calls/ingress/original.rs
@@ -8,14 +8,14 @@
 use hyper::body::{Body, Incoming};
 use swiftcart_core::{BodyPrint, Fingerprint};
 
-use crate::calls::body::{BodyError, Gate, Outgoing, Source};
+use crate::calls::body::{BodyError, BodySource, Gate, Outgoing};
 use crate::calls::request::CallPrint;
 
 /// A request's head and where its body comes from, kept for every try.
 #[derive(Debug)]
 pub struct Original {
     pub head: Parts,
-    source: Option<Arc<Source>>,
+    source: Option<Arc<BodySource>>,
     /// Whether the body may be longer than what is kept of it.
     pub long: bool,
 }
@@ -30,7 +30,7 @@
         Self {
             head,
             long: body.as_ref().is_some_and(is_long),
-            source: body.map(|body| Source::new(body, room, silence)),
+            source: body.map(|body| BodySource::new(body, room, silence)),
         }
     }
 
@@ -73,7 +73,7 @@
     /// Tells whether the body is longer than `bytes`, or may be.
     #[must_use]
     pub fn exceeds(&self, bytes: u64) -> bool {
-        let longer = |source: &Arc<Source>| source.len_hint().is_none_or(|len| len > bytes);
+        let longer = |source: &Arc<BodySource>| source.len_hint().is_none_or(|len| len > bytes);
         self.source.as_ref().is_some_and(longer)
     }
 
--- a/crates/swiftcart-node/src/calls/keyed.rs
+++ b/crates/swiftcart-node/src/calls/keyed.rs
@@ -172,7 +172,11 @@
 
 /// Orders `guards` by preference for the claims of `key`.
 #[must_use]
-pub fn preference(service: &ServiceName, key: &HeaderValue, guards: &[NodeId]) -> Vec<NodeId> {
+pub fn claim_guard_order(
+    service: &ServiceName,
+    key: &HeaderValue,
+    guards: &[NodeId],
+) -> Vec<NodeId> {
     let key = ClaimKey::new(service, None, key.to_str().unwrap_or_default());
     rank_guards(service, key.partition(PARTITIONS), guards)
 }
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -9,8 +9,8 @@
 use slog::warn;
 use swiftcart_core::{BodyPrint, Crash, CrashId, Fingerprint, Reason, RunId, Watch};
 
-use super::answer::End;
-use super::body::{Outgoing, Source};
+use super::answer::AnswerEnd;
+use super::body::{BodySource, Outgoing};
 use super::pool::{Found, Pool};
 use super::request::CallPrint;
 use super::rng::with_rng;
@@ -45,7 +45,7 @@
 enum HandedBody {
     Empty,
     Whole(Bytes),
-    Passed(Arc<Source>),
+    Passed(Arc<BodySource>),
 }
 
 /// A request that the backend server was handed; dropped without an answer, it counts as broken.
@@ -189,14 +189,14 @@
     }
 
     /// Notes how the answer ended.
-    pub fn close(mut self, end: End) {
+    pub fn close(mut self, end: AnswerEnd) {
         match end {
-            End::Whole => {
+            AnswerEnd::Whole => {
                 self.open = false;
                 self.runs.answered(self.id, self.sound);
             }
-            End::Broken => drop(tokio::spawn(async move { self.broke().await })),
-            End::Gone => {}
+            AnswerEnd::Broken => drop(tokio::spawn(async move { self.broke().await })),
+            AnswerEnd::Gone => {}
         }
     }
 
--- a/crates/swiftcart-node/src/calls/serve.rs
+++ b/crates/swiftcart-node/src/calls/serve.rs
@@ -156,15 +156,15 @@
             request
         });
         let service = TowerToHyperService::new(service);
-        let gone = socket.clone();
+        let disconnected = socket.clone();
         let mut conn = pin!(self.builder.serve_connection(socket, service));
-        let mut gone = pin!(gone.gone());
+        let mut disconnected = pin!(disconnected.disconnected());
         let ended = async {
             // First what has arrived is read, then hyper takes it; the other way round it
             // would not know.
             tokio::select! {
                 biased;
-                () = gone.as_mut() => return None,
+                () = disconnected.as_mut() => return None,
                 result = conn.as_mut() => return Some(result),
                 () = self.closing.cancelled() => {}
                 () = self.unused(pipeline.as_ref()) => {}
@@ -172,7 +172,7 @@
             conn.as_mut().graceful_shutdown();
             tokio::select! {
                 biased;
-                () = gone => None,
+                () = disconnected => None,
                 result = conn.as_mut() => Some(result),
             }
         };
--- a/crates/swiftcart-node/src/calls/service.rs
+++ b/crates/swiftcart-node/src/calls/service.rs
@@ -16,7 +16,7 @@
 use tower::Service;
 
 use super::answer::{Answer, refuse};
-use super::body::{Outgoing, Source};
+use super::body::{BodySource, Outgoing};
 use super::guard::Guard;
 use super::headers::{KEEP_ALIVE, LOAD, NOTICE, OUTCOME, told};
 use super::ingress::Ingress;
@@ -143,7 +143,7 @@
         let body = match body.is_end_stream() {
             true => Outgoing::Empty,
             false if call.is_upload() => self.receive(&call, body).await?,
-            false => Source::new(body, KEPT_BYTES, limits.body_timeout()).start(None),
+            false => BodySource::new(body, KEPT_BYTES, limits.body_timeout()).start(None),
         };
         let service = service.to_str().unwrap_or_default();
         let request = Request::from_parts(head, body);
@@ -171,7 +171,7 @@
             return Err(Refusal::new(Reason::Overloaded).with_retry(BODY_TURN));
         };
         let room = limits.replay_bytes as usize;
-        let source = Source::new(body, room, limits.body_timeout());
+        let source = BodySource::new(body, room, limits.body_timeout());
         let due = self.shared.clock.tokio(call.due.at());
         match timeout_at(due, source.fill(room)).await {
             Ok(Ok(())) => Ok(source.start(None)),
--- a/crates/swiftcart-node/src/calls/socket.rs
+++ b/crates/swiftcart-node/src/calls/socket.rs
@@ -64,7 +64,7 @@
     }
 
     /// Reads ahead until the other side has closed or broken the connection.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         poll_fn(|cx| {
             let mut inner = self.lock();
             while inner.end.is_none() && inner.ahead.len() < READ_AHEAD {
--- a/crates/swiftcart-node/tests/admin.rs
+++ b/crates/swiftcart-node/tests/admin.rs
@@ -3,7 +3,9 @@
 
 mod common;
 
-use common::{Got, SERVICE, backend_at, call_at, log_with, node, request, routed, until};
+use common::{
+    Reply, SERVICE, backend_at, call_at, log_with, node, request, until, wait_until_routed,
+};
 use http_body_util::Full;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -14,7 +16,7 @@
 const GOOD: &str =
     r#"{"service":"booking","addr":"127.0.0.1:9","slots":4,"connections":8,"ttl_ms":600000}"#;
 
-async fn announce(node: &Node, body: String) -> Got {
+async fn announce(node: &Node, body: String) -> Reply {
     let put = request("PUT", "/v1/backend", &[]).map(|_| Full::from(body));
     call_at(node.shared().settings.listen.admin, put).await
 }
@@ -76,7 +78,7 @@
     let node = node(&log).await;
     let id = node.shared().id;
     announce(&node, GOOD.replace("600000", "100")).await;
-    routed(&node, id).await;
+    wait_until_routed(&node, id).await;
     until(|| !node.shared().view.load().has_candidate(id)).await;
     assert_eq!(read(&node, "/v1/state").await["backend"], Value::Null);
 }
--- a/crates/swiftcart-node/tests/calls.rs
+++ b/crates/swiftcart-node/tests/calls.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use common::{
     SERVICE, announce, backend_at, call, dead_addr, head, log_with, node, node_beside, request,
-    routed, until,
+    until, wait_until_routed,
 };
 use http_body_util::{BodyExt, Full};
 use rstest::rstest;
@@ -127,7 +127,7 @@
 async fn nobody_is_told_not_run_once_the_request_was_handed_over(
     #[case] method: &str,
     #[case] script: Script,
-    #[case] told: (u16, &str, &str),
+    #[case] summary: (u16, &str, &str),
     #[case] runs: u32,
     #[values(false, true)] two: bool,
 ) {
@@ -139,8 +139,8 @@
     let entry = node_beside(&node, &log).await;
     let got = call(if two { &entry } else { &node }, request(method, "/", &[])).await;
     assert_eq!(
-        (got.told(), played.runs.load(Ordering::SeqCst)),
-        (told, runs)
+        (got.summary(), played.runs.load(Ordering::SeqCst)),
+        (summary, runs)
     );
 }
 
@@ -169,7 +169,7 @@
     let node = node(&log).await;
     announce(&node, dead_addr()).await;
     let got = call(&node, request("POST", "/", &[])).await;
-    assert_eq!(got.told(), (502, "not-run", "connect-failed"));
+    assert_eq!(got.summary(), (502, "not-run", "connect-failed"));
 }
 
 #[tokio::test]
@@ -187,7 +187,7 @@
             socket.write_all(answer).await.unwrap();
         };
         let (got, ()) = tokio::join!(call(&node, request("POST", "/", &[])), serve);
-        assert_eq!(got.told(), (200, "-", "-"));
+        assert_eq!(got.summary(), (200, "-", "-"));
     }
 }
 
@@ -202,7 +202,7 @@
     announce(&node, played.addr).await;
     let headers = [("swiftcart-deadline-ms", "60")];
     let got = call(&node, request(method, "/", &headers)).await;
-    assert_eq!(got.told(), (504, "unknown", "timeout"));
+    assert_eq!(got.summary(), (504, "unknown", "timeout"));
     played.gone.notified().await;
 }
 
@@ -236,8 +236,8 @@
         call(&node, request("POST", "/", &[("x-request-id", "second")])).await
     };
     let (first, second) = tokio::join!(first, rest);
-    assert_eq!(first.told(), (200, "-", "-"));
-    assert_eq!(second.told(), (503, "not-run", "not-ready"));
+    assert_eq!(first.summary(), (200, "-", "-"));
+    assert_eq!(second.summary(), (503, "not-run", "not-ready"));
     assert_eq!(backend.runs_by_id("second"), Runs::default());
 }
 
@@ -253,13 +253,13 @@
 async fn requests_that_reach_nothing_are_refused(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
-    #[case] told: (u16, &str, &str),
+    #[case] summary: (u16, &str, &str),
 ) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let got = call(&node, request("GET", path, headers)).await;
-    assert_eq!(got.told(), told);
-    let metric = format!("swiftcart_refusals_total{{reason=\"{}\"}} 1", told.2);
+    assert_eq!(got.summary(), summary);
+    let metric = format!("swiftcart_refusals_total{{reason=\"{}\"}} 1", summary.2);
     assert!(node.shared().counters.render().contains(&metric));
 }
 
@@ -272,11 +272,11 @@
     let live = node_beside(&broken, &log).await;
     let _backend = backend_at(&live, BackendSettings::new(SERVICE)).await;
     let entry = node_beside(&broken, &log).await;
-    routed(&entry, live.shared().id).await;
+    wait_until_routed(&entry, live.shared().id).await;
     while played.runs.load(Ordering::SeqCst) == 0 {
         played.close.notify_one();
         let got = call(&entry, request("GET", "/", &[])).await;
-        assert_eq!(got.told(), (200, "-", "-"));
+        assert_eq!(got.summary(), (200, "-", "-"));
     }
     let retried = "swiftcart_retries_total{reason=\"answer-broken\"} 1";
     assert!(entry.shared().counters.render().contains(retried));
@@ -290,7 +290,7 @@
     let live = node_beside(&dead, &log).await;
     let backend = backend_at(&live, BackendSettings::new(SERVICE)).await;
     let entry = node_beside(&dead, &log).await;
-    routed(&entry, live.shared().id).await;
+    wait_until_routed(&entry, live.shared().id).await;
     let body = Bytes::from(vec![7; 300_000]);
     let digest = blake3::hash(&body).to_hex();
     let retried = "swiftcart_retries_total{reason=\"connect-failed\"}";
--- a/crates/swiftcart-node/tests/common/mod.rs
+++ b/crates/swiftcart-node/tests/common/mod.rs
@@ -82,14 +82,14 @@
 }
 
 /// Starts a node that joins through `seed` and waits until it is ready.
-pub async fn joiner(seed: SocketAddr, log: &Log) -> Node {
+pub async fn joining_node(seed: SocketAddr, log: &Log) -> Node {
     start(log, &[seed]).await
 }
 
 /// Starts a node that joins `other` and waits until it routes to its backend server.
 pub async fn node_beside(other: &Node, log: &Log) -> Node {
-    let node = joiner(other.shared().id.0, log).await;
-    routed(&node, other.shared().id).await;
+    let node = joining_node(other.shared().id.0, log).await;
+    wait_until_routed(&node, other.shared().id).await;
     node
 }
 
@@ -127,7 +127,7 @@
     let backend = BackendServer::start(any, settings.with_admin(admin))
         .await
         .unwrap();
-    routed(node, node.shared().id).await;
+    wait_until_routed(node, node.shared().id).await;
     backend
 }
 
@@ -140,11 +140,11 @@
         connections: 4,
         readiness: Readiness::Ready,
     }));
-    routed(node, node.shared().id).await;
+    wait_until_routed(node, node.shared().id).await;
 }
 
 /// Waits until `node` routes to the backend server beside `id`.
-pub async fn routed(node: &Node, id: NodeId) {
+pub async fn wait_until_routed(node: &Node, id: NodeId) {
     until(|| node.shared().view.load().has_candidate(id)).await;
 }
 
@@ -167,16 +167,16 @@
 
 /// What a caller got.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Got {
+pub struct Reply {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// `None` when the answer broke off.
     pub body: Option<Bytes>,
 }
 
-impl Got {
+impl Reply {
     /// Returns status, outcome and reason, with `-` for a header that is absent.
-    pub fn told(&self) -> (u16, &str, &str) {
+    pub fn summary(&self) -> (u16, &str, &str) {
         let text = |name| self.headers.get(name).map_or("-", |v| v.to_str().unwrap());
         let outcome = text("swiftcart-outcome");
         (self.status.as_u16(), outcome, text("swiftcart-reason"))
@@ -196,14 +196,14 @@
 }
 
 /// Sends one request on a connection of its own and reads the answer.
-pub async fn call(node: &Node, request: Request<Full<Bytes>>) -> Got {
+pub async fn call(node: &Node, request: Request<Full<Bytes>>) -> Reply {
     call_at(node.shared().settings.listen.calls, request).await
 }
 
 /// Sends one request to `addr` on a connection of its own and reads the answer.
-pub async fn call_at(addr: SocketAddr, request: Request<Full<Bytes>>) -> Got {
+pub async fn call_at(addr: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
     let (head, body) = head_at(addr, request).await.into_parts();
-    Got {
+    Reply {
         status: head.status,
         headers: head.headers,
         body: body.collect().await.ok().map(Collected::to_bytes),
--- a/crates/swiftcart-node/tests/control.rs
+++ b/crates/swiftcart-node/tests/control.rs
@@ -86,7 +86,7 @@
     for seer in left {
         until(async || mesh.liveness(seer).await[&2] == Liveness::Dead).await;
     }
-    mesh.nodes[1].thaw();
+    mesh.nodes[1].resume();
     let back = [0, 1, 3, 4, 5, 6, 7, 8];
     mesh.until_at(&back, after).await;
     mesh.until_known(&back).await;
--- a/crates/swiftcart-node/tests/join.rs
+++ b/crates/swiftcart-node/tests/join.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{backend_at, joiner, log_with, node};
+use common::{backend_at, joining_node, log_with, node};
 use rstest::rstest;
 use swiftcart_core::Limits;
 use swiftcart_node::Phase;
@@ -25,7 +25,7 @@
             None
         }
     };
-    let node = joiner(id.0, &log).await;
+    let node = joining_node(id.0, &log).await;
     assert_eq!(*node.shared().phase.borrow(), Phase::Ready);
     assert_eq!(node.shared().view.load().has_candidate(id), answers);
 }
--- a/crates/swiftcart-node/tests/keyed.rs
+++ b/crates/swiftcart-node/tests/keyed.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{Got, SERVICE, backend_at, call, log_with, node, request, until, until_async};
+use common::{Reply, SERVICE, backend_at, call, log_with, node, request, until, until_async};
 use http::Request;
 use http_body_util::Full;
 use rstest::rstest;
@@ -36,10 +36,10 @@
 }
 
 /// Repeats the request until no attempt is in progress.
-async fn settled(node: &Node) -> Got {
+async fn settled(node: &Node) -> Reply {
     loop {
         let got = call(node, with_body("pitch 7")).await;
-        if got.told() != (409, "unknown", "key-in-progress") {
+        if got.summary() != (409, "unknown", "key-in-progress") {
             return got;
         }
     }
@@ -51,14 +51,14 @@
     let first = call(&node, with_body("pitch 7")).await;
     let again = settled(&node).await;
     let other = call(&node, with_body("pitch 8")).await;
-    assert_eq!(first.told(), (200, "-", "-"));
+    assert_eq!(first.summary(), (200, "-", "-"));
     let replayed = again.headers.get("idempotent-replayed");
     assert_eq!(
         replayed.map(http::HeaderValue::as_bytes),
         Some(&b"true"[..])
     );
     assert_eq!((again.status, again.body), (first.status, first.body));
-    assert_eq!(other.told(), (422, "not-run", "key-reused"));
+    assert_eq!(other.summary(), (422, "not-run", "key-reused"));
     assert_eq!(backend.runs_by_key(KEY.1), ONCE);
 }
 
@@ -75,10 +75,13 @@
     let (g1, g2, g3, g4) = tokio::join!(to(&a), to(&b), to(&a), to(&b));
     let got = [g1, g2, g3, g4];
     let runs: u64 = backends.iter().map(|b| b.runs_by_key(KEY.1).started).sum();
-    let kinds: Vec<_> = got.iter().map(Got::told).collect();
+    let kinds: Vec<_> = got.iter().map(Reply::summary).collect();
     assert_eq!(runs, 1, "{kinds:?}");
     let allowed = [(200, "-", "-"), (409, "unknown", "key-in-progress")];
-    assert!(kinds.iter().all(|told| allowed.contains(told)), "{kinds:?}");
+    assert!(
+        kinds.iter().all(|summary| allowed.contains(summary)),
+        "{kinds:?}"
+    );
     assert!(kinds.contains(&allowed[0]), "{kinds:?}");
 }
 
@@ -98,7 +101,7 @@
     drop(socket);
     until(|| backend.runs_by_key(KEY.1).finished == 1).await;
     let again = settled(&node).await;
-    assert_eq!(again.told(), (200, "-", "-"));
+    assert_eq!(again.summary(), (200, "-", "-"));
     assert_eq!(backend.runs_by_key(KEY.1), ONCE);
 }
 
@@ -109,7 +112,7 @@
 async fn what_cannot_be_claimed_is_not_run(
     #[case] body: Vec<u8>,
     #[case] outage: bool,
-    #[case] told: (u16, &str, &str),
+    #[case] summary: (u16, &str, &str),
 ) {
     let (log, node, backend) = mesh().await;
     assert_eq!(
@@ -130,7 +133,7 @@
         .headers_mut()
         .insert("swiftcart-deadline-ms", deadline);
     let got = call(&node, request).await;
-    assert_eq!(got.told(), told);
+    assert_eq!(got.summary(), summary);
     assert_eq!(backend.runs_by_key(KEY.1), Runs::default());
 }
 
@@ -139,9 +142,9 @@
     let (_log, node, backend) = mesh().await;
     backend.set_faults(BackendFaults::new().with_lose_answers(1));
     let first = call(&node, with_body("pitch 7")).await;
-    assert_eq!(first.told(), (502, "unknown", "answer-broken"));
+    assert_eq!(first.summary(), (502, "unknown", "answer-broken"));
     let again = settled(&node).await;
-    assert_eq!(again.told(), (502, "unknown", "answer-broken"));
+    assert_eq!(again.summary(), (502, "unknown", "answer-broken"));
     assert_eq!(backend.runs_by_key(KEY.1).started, 1);
 }
 
@@ -158,7 +161,7 @@
     }
     let node = node(&log).await;
     let backend = backend_at(&node, BackendSettings::new(SERVICE)).await;
-    let told = async || call(&node, with_body("pitch 7")).await.told().0;
-    until_async(async || told().await == 200).await;
+    let summary = async || call(&node, with_body("pitch 7")).await.summary().0;
+    until_async(async || summary().await == 200).await;
     assert_eq!(backend.runs_by_key(KEY.1), ONCE);
 }
--- a/crates/swiftcart-node/tests/mesh/mod.rs
+++ b/crates/swiftcart-node/tests/mesh/mod.rs
@@ -94,7 +94,7 @@
         self.signal(Signal::STOP);
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
