--- a/crates/swiftcart-node/src/calls/admissions.rs
+++ b/crates/swiftcart-node/src/calls/admissions.rs
@@ -1,4 +1,5 @@
-//! Admission around one backend server: the core's decisions, and those who wait for them.
+//! Admission control for one backend server: applies the decisions of [`Admission`] and wakes
+//! waiting requests.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -18,30 +19,30 @@
 use crate::egress::Egress;
 use crate::shared::Shared;
 
-/// The least time between two looks whether a waiting request may start.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
+/// Minimum time between two checks of whether a waiting request may start.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// What a waiting request is told.
-type News = Result<(), Refusal>;
+/// Result that is sent to a waiting request.
+type AdmissionResult = Result<(), Refusal>;
 
-/// A slot, and what to wait for when it is not free yet.
-type Offered = (Slot, Option<Wait>);
+/// Slot of an admitted request, with the wait until it is free.
+type PendingSlot = (Slot, Option<Wait>);
 
-/// Where a waiting request hears that it may run, and until when it listens.
+/// Wait of a queued request: the channel of its result and the end of the wait.
 #[derive(Debug)]
 struct Wait {
-    news: oneshot::Receiver<News>,
+    result: oneshot::Receiver<AdmissionResult>,
     until: Instant,
 }
 
-/// Tells whether a request takes a part of the service's rate.
+/// Use of the service's rate limit by a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Rate {
-    Taken,
-    Free,
+    Charged,
+    Exempt,
 }
 
-/// Decides what one backend server is given, for many requests at once.
+/// Admission control for the concurrent requests to one backend server.
 #[derive(Debug)]
 pub struct Admissions {
     link: Arc<Egress>,
@@ -54,10 +55,10 @@
 struct State {
     admission: Admission,
     rate: RateShare,
-    waiting: HashMap<Ticket, oneshot::Sender<News>>,
+    waiting: HashMap<Ticket, oneshot::Sender<AdmissionResult>>,
 }
 
-/// The right to run one request; given back when it is dropped.
+/// Permit to run one request, released when it is dropped.
 #[derive(Debug)]
 pub struct Slot {
     admissions: Arc<Admissions>,
@@ -68,7 +69,7 @@
     running: Option<Running>,
 }
 
-/// A request that runs, counted until it is dropped.
+/// Running request, counted until it is dropped.
 #[derive(Debug)]
 struct Running(Arc<AtomicU32>);
 
@@ -86,7 +87,7 @@
 }
 
 impl Admissions {
-    /// Creates admissions that lets nothing run before [`resize`](Self::resize).
+    /// Creates an admission control that admits no request before [`resize`](Self::resize).
     #[must_use]
     pub fn new(shared: &Shared, settings: AdmissionSettings) -> Self {
         let now = shared.clock.now();
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Takes over an announcement, the table's limits and the number of the service's guards.
+    /// Sets the slots of the backend server, the limits of the service and the number of its
+    /// guards.
     pub fn resize(&self, slots: u32, limits: Limits, guards: usize) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -111,7 +113,7 @@
         state.wake(started);
     }
 
-    /// Takes over the rate that the backend server names in its answers.
+    /// Sets the rate that the backend server announced in its responses.
     pub fn set_rate(&self, rate: Option<ServerRate>) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -119,85 +121,86 @@
         state.wake(started);
     }
 
-    /// Opens or closes for new work.
+    /// Sets the admission state; requests that can no longer run are refused.
     pub fn set_admission_state(&self, admission_state: AdmissionState) {
         let mut state = self.lock();
         let refused = state.admission.set_admission_state(admission_state);
         state.refuse(refused);
     }
 
-    /// Returns the load to carry back on an answer.
+    /// Returns the load that is reported with a response.
     #[must_use]
     pub fn load(&self) -> Load {
         self.lock().admission.load()
     }
 
-    /// Returns the backend server's pace, once it is known.
+    /// Returns the pace of the backend server; `None` until it is known.
     #[must_use]
     pub fn pace(&self) -> Option<Pace> {
         self.lock().admission.pace(self.clock.now())
     }
 
-    /// Waits for the right to run a request.
+    /// Waits for a slot to run a request.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not run.
+    /// Returns a refusal when the request is not admitted.
     pub async fn enter(
         self: &Arc<Self>,
         admission_request: AdmissionRequest,
     ) -> Result<Slot, Refusal> {
         let now = self.clock.now();
-        let offered = self.offer(now, admission_request, Rate::Taken)?;
-        self.wait(offered).await
+        let pending = self.offer(now, admission_request, Rate::Charged)?;
+        self.wait(pending).await
     }
 
-    /// Tells whether a request would be let in now, and takes its part of the rate.
+    /// Checks that a request would be admitted now, and charges it to the rate limit.
     ///
     /// # Errors
     ///
-    /// Returns why the request would not be run.
+    /// Returns a refusal when the request would not be admitted.
     pub fn probe(self: &Arc<Self>, admission_request: AdmissionRequest) -> Result<(), Refusal> {
         let now = self.clock.now();
-        let (slot, _) = self.offer(now, admission_request, Rate::Taken)?;
+        let (slot, _) = self.offer(now, admission_request, Rate::Charged)?;
         slot.withdraw();
         Ok(())
     }
 
-    /// Waits like [`enter`](Self::enter) after [`probe`](Self::probe) took the rate's part.
+    /// Waits for a slot like [`enter`](Self::enter), but does not charge the rate limit:
+    /// [`probe`](Self::probe) has done so.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not run.
+    /// Returns a refusal when the request is not admitted.
     pub async fn enter_probed(
         self: &Arc<Self>,
         admission_request: AdmissionRequest,
     ) -> Result<Slot, Refusal> {
         let now = self.clock.now();
-        let offered = self.offer(now, admission_request, Rate::Free)?;
-        self.wait(offered).await
+        let pending = self.offer(now, admission_request, Rate::Exempt)?;
+        self.wait(pending).await
     }
 
-    async fn wait(&self, offered: Offered) -> Result<Slot, Refusal> {
-        let (mut slot, wait) = offered;
+    async fn wait(&self, pending: PendingSlot) -> Result<Slot, Refusal> {
+        let (mut slot, wait) = pending;
         let Some(mut wait) = wait else {
             slot.running = Some(Running::new(&self.running));
             return Ok(slot);
         };
-        let news = loop {
+        let result = loop {
             let start = self.next_start_at().unwrap_or(wait.until);
             let until = self.clock.tokio(start.min(wait.until));
-            match timeout_at(until, &mut wait.news).await {
-                Ok(news) => break news.ok(),
+            match timeout_at(until, &mut wait.result).await {
+                Ok(result) => break result.ok(),
                 Err(_) if start < wait.until => self.resume(),
                 Err(_) => {
                     self.expire();
-                    break wait.news.try_recv().ok();
+                    break wait.result.try_recv().ok();
                 }
             }
         };
         slot.start = self.clock.now();
-        match news {
+        match result {
             Some(Ok(())) => {
                 slot.running = Some(Running::new(&self.running));
                 Ok(slot)
@@ -207,13 +210,13 @@
         }
     }
 
-    /// Returns the slot, and whom to wait for when it is not free yet.
+    /// Returns a slot, with the wait until it is free when the request is queued.
     fn offer(
         self: &Arc<Self>,
         now: Instant,
         admission_request: AdmissionRequest,
         rate: Rate,
-    ) -> Result<Offered, Refusal> {
+    ) -> Result<PendingSlot, Refusal> {
         let mut state = self.lock();
         state.admission.set_link_delay(self.link.delay());
         let started = state.admission.resume(now);
@@ -227,8 +230,8 @@
             Admit::Refuse(refusal) => return Err(refusal),
         };
         let taken = match rate {
-            Rate::Taken => with_rng(|rng| state.rate.take(now, rng)),
-            Rate::Free => Ok(()),
+            Rate::Charged => with_rng(|rng| state.rate.take(now, rng)),
+            Rate::Exempt => Ok(()),
         };
         if let Err(refusal) = taken {
             let started = state.admission.withdraw(ticket, now);
@@ -244,24 +247,24 @@
             running: None,
         };
         let wait = waits.then(|| {
-            let (tx, news) = oneshot::channel();
+            let (tx, result) = oneshot::channel();
             state.waiting.insert(ticket, tx);
             let until = state.admission.wait_deadline(ticket);
-            // What is not in the queue any more has its news already.
+            // A request that has left the queue already has its result.
             let until = until.unwrap_or(now);
-            Wait { news, until }
+            Wait { result, until }
         });
         Ok((slot, wait))
     }
 
-    /// Returns when a waiting request may start although none ends before.
+    /// Returns the next time at which a waiting request may start without another one ending.
     fn next_start_at(&self) -> Option<Instant> {
         let now = self.clock.now();
         let start = self.lock().admission.next_start_at(now)?;
-        Some(start.max(now + LEAST_WAIT))
+        Some(start.max(now + MIN_WAIT))
     }
 
-    /// Starts the waiting requests that may start by now.
+    /// Starts the waiting requests that may start now.
     fn resume(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -269,7 +272,7 @@
         state.wake(started);
     }
 
-    /// Refuses those whose time to wait is over.
+    /// Refuses the waiting requests whose maximum wait has passed.
     fn expire(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -285,39 +288,39 @@
 impl State {
     fn wake(&mut self, started: Vec<Ticket>) {
         for ticket in started {
-            self.tell(ticket, Ok(()));
+            self.notify(ticket, Ok(()));
         }
     }
 
     fn refuse(&mut self, refused: Vec<Refused>) {
         for Refused { ticket, refusal } in refused {
-            self.tell(ticket, Err(refusal));
+            self.notify(ticket, Err(refusal));
         }
     }
 
-    fn tell(&mut self, ticket: Ticket, news: News) {
+    fn notify(&mut self, ticket: Ticket, result: AdmissionResult) {
         if let Some(waiter) = self.waiting.remove(&ticket) {
-            // Whoever no longer waits gives its ticket back by itself.
-            let _ = waiter.send(news);
+            // A request that no longer waits releases its ticket when its slot is dropped.
+            let _ = waiter.send(result);
         }
     }
 }
 
 impl Slot {
-    /// Returns when the request was let in.
+    /// Returns the time at which the request was admitted.
     #[must_use]
     pub const fn start(&self) -> Instant {
         self.start
     }
 
-    /// Notes that the head of the answer is there, and how many bytes follow.
+    /// Records that the head of the response arrived, and that `bytes` bytes follow.
     pub fn head(&self, bytes: u64) {
         let now = self.admissions.clock.now();
         let mut state = self.admissions.lock();
         state.admission.head(self.ticket, now, bytes);
     }
 
-    /// Gives the slot back for a request that is not handed over.
+    /// Releases the slot of a request that is not handed over.
     pub fn withdraw(mut self) {
         self.open = false;
         let now = self.admissions.clock.now();
@@ -327,12 +330,12 @@
         state.wake(started);
     }
 
-    /// Gives the slot back after the answer ended.
+    /// Releases the slot after the response has ended.
     pub fn close(self, end: AnswerEnd) {
         self.finish(end.result());
     }
 
-    /// Gives the slot back after the request ended as `result`.
+    /// Releases the slot after the request has ended with `result`.
     pub fn finish(mut self, result: CallResult) {
         self.open = false;
         let now = self.admissions.clock.now();
--- a/crates/swiftcart-node/src/calls/answer.rs
+++ b/crates/swiftcart-node/src/calls/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: those that a node makes itself, and those that stream through it.
+//! Response bodies: texts that a node creates, and bodies that stream through the node.
 
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -25,40 +25,40 @@
 use crate::egress::Egress;
 use crate::settings::Answers;
 
-/// When a caller should come back after a refusal that names no time: by then a dead node
-/// is out of routing or a restarted one back in most cases.
-const COME_BACK: Duration = Duration::from_millis(250);
+/// Default `retry-after` of a refusal. Within this time a dead node is usually removed from
+/// routing, and a restarted node is usually back.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When a caller should come back whose request backend servers have turned away although they had
-/// places: at once, since the next one may take it. With its way here it is back after some
-/// 15 ms, a tenth of the shortest target that callers' own requests have.
-const NEXT_SERVER: Duration = Duration::from_millis(10);
+/// `retry-after` of a request that backend servers refused although they had free slots. It is
+/// short because the next backend server may accept the request. Including the round trip, the
+/// caller retries after about 15 ms, a tenth of the shortest latency target of callers' requests.
+const SHED_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 quick_error! {
-    /// Tells why an answer broke off; the caller's connection is broken off with it.
+    /// Error that ends a response body early; the caller's connection is closed with it.
     #[derive(Debug)]
     pub enum AnswerError {
-        /// The other side's connection failed or its framing is wrong.
+        /// The connection to the sender failed, or the framing is invalid.
         Broken(err: hyper::Error) {
             source(err)
-            display("the answer broke off: {err}")
+            display("response body ended early: {err}")
         }
     }
 }
 
-/// Tells how an answer ended.
+/// End of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AnswerEnd {
-    /// All of it was passed on.
+    /// The whole response was passed on.
     Whole,
-    /// The other side broke it off.
+    /// The sender ended the response early.
     Broken,
-    /// The caller went away.
+    /// The caller disconnected.
     Gone,
 }
 
 impl AnswerEnd {
-    /// Returns what became of the call.
+    /// Returns the outcome of the call.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns what the call tells of the backend server.
+    /// Returns the result that the call counts as for the backend server.
     #[must_use]
     pub const fn result(self) -> CallResult {
         match self {
@@ -78,15 +78,15 @@
     }
 }
 
-/// Who is told when an answer has ended.
+/// Observers that are notified when a response has ended.
 #[derive(Debug, Default)]
-struct Ending {
+struct EndObservers {
     slot: Option<Slot>,
     run: Option<Run>,
     call: Option<InFlight>,
 }
 
-impl Ending {
+impl EndObservers {
     fn close(self, end: AnswerEnd) {
         if let Some(slot) = self.slot {
             slot.close(end);
@@ -100,44 +100,44 @@
     }
 }
 
-/// The body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum Answer {
-    /// A text that the node made.
+    /// Text that the node created.
     Text(Option<Bytes>),
-    /// A body that streams through.
-    Stream(Box<Streaming>),
+    /// Body that streams through the node.
+    Stream(Box<StreamingBody>),
 }
 
-/// An answer's body on its way from a peer or backend server.
+/// Response body that streams from a peer or backend server.
 #[derive(Debug)]
-pub struct Streaming {
+pub struct StreamingBody {
     body: Incoming,
     pooled: Option<Pooled>,
-    /// What was read ahead.
-    held: VecDeque<Bytes>,
-    ending: Ending,
+    /// Chunks that were read ahead.
+    buffered: VecDeque<Bytes>,
+    observers: EndObservers,
     ended: Option<AnswerEnd>,
-    /// None while it is not known where the answer goes.
+    /// `None` until the egress of the response is set.
     pacing: Option<Pacing>,
 }
 
 impl Answer {
-    /// Creates the answer that `text` makes up.
+    /// Creates a response body from `text`.
     #[must_use]
     pub fn text(text: impl Into<Bytes>) -> Self {
         let text = text.into();
         Self::Text((!text.is_empty()).then_some(text))
     }
 
-    /// Passes `body` on from the connection of `pooled`.
+    /// Creates a response body that streams `body` from the connection of `pooled`.
     #[must_use]
     pub fn stream(body: Incoming, pooled: Pooled) -> Self {
-        let mut streaming = Streaming {
+        let mut streaming = StreamingBody {
             body,
             pooled: Some(pooled),
-            held: VecDeque::new(),
-            ending: Ending::default(),
+            buffered: VecDeque::new(),
+            observers: EndObservers::default(),
             ended: None,
             pacing: None,
         };
@@ -149,21 +149,21 @@
 }
 
 impl Answer {
-    /// Has `slot` given back when the answer has ended.
+    /// Releases `slot` when the response has ended.
     #[must_use]
     pub fn with_slot(mut self, slot: Slot) -> Self {
-        self.attach(|ending| ending.slot = Some(slot));
+        self.attach(|observers| observers.slot = Some(slot));
         self
     }
 
-    /// Has `run` told how the answer ended.
+    /// Notifies `run` of the end of the response.
     #[must_use]
     pub fn with_run(mut self, run: Run) -> Self {
-        self.attach(|ending| ending.run = Some(run));
+        self.attach(|observers| observers.run = Some(run));
         self
     }
 
-    /// Has the answer leave by `egress`, at the pace of its link when it is long.
+    /// Sends the response by `egress`; a large response is paced by its link.
     #[must_use]
     pub fn paced(mut self, egress: &Arc<Egress>) -> Self {
         let bytes = self.size_hint().lower();
@@ -175,55 +175,57 @@
         self
     }
 
-    /// Has `call` told how the answer ended.
+    /// Notifies `call` of the end of the response.
     #[must_use]
     pub fn with_in_flight(mut self, call: InFlight) -> Self {
-        self.attach(|ending| ending.call = Some(call));
+        self.attach(|observers| observers.call = Some(call));
         self
     }
 
-    /// Reads the answer up to `bytes` bytes or its end, to be passed on later.
+    /// Buffers at least `bytes` bytes of the response, or all of it if it is shorter.
     ///
     /// # Errors
     ///
-    /// [`Reason::AnswerBroken`] when it breaks off, [`Reason::Timeout`] when `until` is over.
+    /// Returns [`Reason::AnswerBroken`] when the response ends early, and [`Reason::Timeout`] when
+    /// `until` has passed.
     pub async fn hold(&mut self, bytes: usize, until: Instant) -> Result<(), Reason> {
         let Self::Stream(streaming) = self else {
             return Ok(());
         };
-        match timeout_at(until, streaming.hold(bytes)).await {
+        match timeout_at(until, streaming.buffer(bytes)).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Reason::AnswerBroken),
             Err(_) => Err(Reason::Timeout),
         }
     }
 
-    /// Reads what has come already, so that the connection of a short answer is kept.
+    /// Reads the data that has already arrived, so that the connection of a short response can be
+    /// reused.
     pub fn discard(mut self) {
         let mut cx = Context::from_waker(Waker::noop());
         let mut body = Pin::new(&mut self);
         while let Poll::Ready(Some(Ok(_))) = body.as_mut().poll_frame(&mut cx) {}
     }
 
-    fn attach(&mut self, f: impl FnOnce(&mut Ending)) {
-        let mut ending = Ending::default();
+    fn attach(&mut self, f: impl FnOnce(&mut EndObservers)) {
+        let mut observers = EndObservers::default();
         match self {
             Self::Text(_) => {
-                f(&mut ending);
-                ending.close(AnswerEnd::Whole);
+                f(&mut observers);
+                observers.close(AnswerEnd::Whole);
             }
             Self::Stream(streaming) => match streaming.ended {
                 Some(end) => {
-                    f(&mut ending);
-                    ending.close(end);
+                    f(&mut observers);
+                    observers.close(end);
                 }
-                None => f(&mut streaming.ending),
+                None => f(&mut streaming.observers),
             },
         }
     }
 }
 
-impl Streaming {
+impl StreamingBody {
     fn finish(&mut self, end: AnswerEnd) {
         match (self.pooled.take(), end) {
             (Some(pooled), AnswerEnd::Whole) => pooled.finish(),
@@ -231,30 +233,30 @@
         }
         if self.ended.is_none() {
             self.ended = Some(end);
-            std::mem::take(&mut self.ending).close(end);
+            std::mem::take(&mut self.observers).close(end);
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let held: usize = self.held.iter().map(Bytes::len).sum();
+        let buffered: usize = self.buffered.iter().map(Bytes::len).sum();
         let rest = self.body.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(rest.lower() + held as u64);
+        hint.set_lower(rest.lower() + buffered as u64);
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + held as u64);
+            hint.set_upper(upper + buffered as u64);
         }
         hint
     }
 
-    async fn hold(&mut self, bytes: usize) -> Result<(), AnswerError> {
+    async fn buffer(&mut self, bytes: usize) -> Result<(), AnswerError> {
         let mut len = 0;
         while len < bytes && self.ended.is_none() {
             match poll_fn(|cx| self.poll_body(cx)).await {
                 Some(Ok(frame)) => {
-                    // Trailers are not passed on.
+                    // Trailers are dropped.
                     if let Ok(data) = frame.into_data() {
                         len += data.len();
-                        self.held.push_back(data);
+                        self.buffered.push_back(data);
                     }
                 }
                 Some(Err(err)) => return Err(err),
@@ -266,9 +268,9 @@
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
         if let Some(pacing) = &mut self.pacing {
-            ready!(pacing.poll_turn(cx));
+            ready!(pacing.poll_ready(cx));
         }
-        let frame = match (self.held.pop_front(), self.ended) {
+        let frame = match (self.buffered.pop_front(), self.ended) {
             (Some(data), _) => Some(Ok(Frame::data(data))),
             (None, Some(AnswerEnd::Whole)) => None,
             (None, _) => ready!(self.poll_body(cx)),
@@ -285,7 +287,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerError>>> {
         let mut frame = Pin::new(&mut self.body).poll_frame(cx);
         if frame.is_pending() {
-            // The body moves only when its connection does; look again right after.
+            // The body makes progress only when its connection is polled, so poll the body again.
             if let Some(pooled) = &mut self.pooled {
                 pooled.conn().drive(cx);
             }
@@ -328,7 +330,9 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Text(text) => text.is_none(),
-            Self::Stream(streaming) => streaming.held.is_empty() && streaming.body.is_end_stream(),
+            Self::Stream(streaming) => {
+                streaming.buffered.is_empty() && streaming.body.is_end_stream()
+            }
         }
     }
 
@@ -340,13 +344,13 @@
     }
 }
 
-impl Drop for Streaming {
+impl Drop for StreamingBody {
     fn drop(&mut self) {
         self.finish(AnswerEnd::Gone);
     }
 }
 
-/// Makes the answer to a request that is refused or was given up on.
+/// Creates the response to a request that was refused or failed.
 #[must_use]
 pub fn refuse(refusal: Refusal, retried: bool, answers: Answers) -> Response<Answer> {
     let reason = refusal.reason;
@@ -367,29 +371,29 @@
     response
 }
 
-/// Returns when the caller should come back, in seconds.
+/// Returns the value of the `retry-after` header in seconds.
 fn retry_after(refusal: Refusal, answers: Answers) -> Option<HeaderValue> {
     let text = match (answers, refusal.retry_after) {
-        // Whole seconds, rounded up: coming back early does not help.
+        // Whole seconds are rounded up, because an early retry would be refused again.
         (Answers::ByReason, Some(after)) => after.as_millis().div_ceil(1000).max(1).to_string(),
         (Answers::Promise, Some(after)) => format!("{:.3}", after.as_secs_f64()),
-        (Answers::Promise, None) if may_come_back(refusal.reason) => {
-            format!("{:.3}", come_back(refusal.reason).as_secs_f64())
+        (Answers::Promise, None) if is_retryable(refusal.reason) => {
+            format!("{:.3}", default_retry_after(refusal.reason).as_secs_f64())
         }
         (_, None) => return None,
     };
     HeaderValue::try_from(text).ok()
 }
 
-/// Returns when to come back after a refusal that names no time.
-const fn come_back(reason: Reason) -> Duration {
+/// Returns the time before a retry after a refusal that states none.
+const fn default_retry_after(reason: Reason) -> Duration {
     match reason {
-        Reason::Shed => NEXT_SERVER,
-        _ => COME_BACK,
+        Reason::Shed => SHED_RETRY_AFTER,
+        _ => DEFAULT_RETRY_AFTER,
     }
 }
 
-/// Tells whether the end of an answer can be told from a connection that broke.
+/// Returns `true` if the end of a response is distinguishable from a closed connection.
 #[must_use]
 pub fn is_framed(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     method == Method::HEAD
@@ -401,7 +405,7 @@
 
 fn status(reason: Reason, answers: Answers) -> StatusCode {
     let code = match (answers, reason.outcome()) {
-        (Answers::Promise, Outcome::NotRun) if may_come_back(reason) => 503,
+        (Answers::Promise, Outcome::NotRun) if is_retryable(reason) => 503,
         (Answers::Promise, Outcome::Unknown) if reason == Reason::Timeout => 504,
         (Answers::Promise, Outcome::Unknown) => 502,
         _ => reason.status(),
@@ -409,10 +413,10 @@
     StatusCode::from_u16(code).unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
-/// Tells whether the same request may be taken later.
-const fn may_come_back(reason: Reason) -> bool {
+/// Returns `true` if the same request may be accepted later.
+const fn is_retryable(reason: Reason) -> bool {
     let outcome = reason.outcome();
-    let own_fault = matches!(
+    let caller_fault = matches!(
         reason,
         Reason::NoRoute
             | Reason::BadRequest
@@ -422,5 +426,5 @@
             | Reason::Unauthenticated
             | Reason::OverQuota
     );
-    matches!(outcome, Outcome::NotRun) && !own_fault
+    matches!(outcome, Outcome::NotRun) && !caller_fault
 }
--- a/crates/swiftcart-node/src/calls/body.rs
+++ b/crates/swiftcart-node/src/calls/body.rs
@@ -1,7 +1,7 @@
-//! The body of a request on its way to a peer or backend server.
+//! Body of a request that is sent to a peer or backend server.
 //!
-//! A body streams through without being stored, but for its first bytes: they are
-//! kept up to a bound, so that a request that a peer refused can go to another.
+//! A body streams through the node. Its first bytes are kept up to a bound, so that a request that
+//! a peer refused can be sent to another peer.
 
 use std::future::{Future, poll_fn};
 use std::pin::Pin;
@@ -18,37 +18,37 @@
 use tokio::time::{Instant, Sleep, sleep};
 
 quick_error! {
-    /// Tells why a request's body ended early.
+    /// Error that ends a request body early.
     #[derive(Debug)]
     pub enum BodyError {
-        /// The caller's connection failed or its framing is wrong.
+        /// The connection to the caller failed, or the framing is invalid.
         Broken(err: hyper::Error) {
             source(err)
-            display("the request's body broke off: {err}")
+            display("request body ended early: {err}")
         }
-        /// The caller sent nothing for too long.
+        /// The caller sent no data within the time limit.
         Slow {
-            display("the request's body stalled")
+            display("request body timed out: no data from the caller")
         }
-        /// The bytes that another try needs are no longer kept.
+        /// The bytes that another attempt needs are no longer kept.
         Gone {
-            display("the request's body was passed on already")
+            display("request body cannot be sent again: its first bytes are no longer kept")
         }
     }
 }
 
-/// A request's body as it is sent to a peer or backend server.
+/// Request body that is sent to a peer or backend server.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// There is no body.
+    /// No body.
     Empty,
-    /// A body that is held as a whole.
+    /// Body that is in memory as a whole.
     Whole(Bytes),
-    /// A body that streams through.
+    /// Body that streams through the node.
     Stream(Stream),
 }
 
-/// One try's reading of a [`BodySource`].
+/// Reader of a [`BodySource`] for one attempt.
 #[derive(Debug)]
 pub struct Stream {
     source: Arc<BodySource>,
@@ -56,11 +56,11 @@
     gate: Option<Gate>,
 }
 
-/// Holds a body back until the peer says that it takes the request.
+/// Gate that holds back a body until the peer accepts the request.
 #[derive(Debug, Default, Clone)]
 pub struct Gate(Arc<AtomicBool>);
 
-/// The caller's body, with its first bytes kept for another try.
+/// Body from the caller, with its first bytes kept for another attempt.
 #[derive(Debug)]
 pub struct BodySource(Mutex<Inner>);
 
@@ -68,16 +68,16 @@
 struct Inner {
     body: Incoming,
     kept: Vec<Bytes>,
-    room: usize,
-    lost: bool,
+    keep_bytes: usize,
+    dropped: bool,
     ended: bool,
-    silence: Duration,
+    idle_timeout: Duration,
     timer: Option<Pin<Box<Sleep>>>,
-    waiting: bool,
+    is_idle: bool,
 }
 
 impl Gate {
-    /// Lets the body go.
+    /// Opens the gate, so that the body is sent.
     pub fn open(&self) {
         self.0.store(true, Ordering::Release);
     }
@@ -88,7 +88,7 @@
 }
 
 impl Stream {
-    /// Returns where the body comes from.
+    /// Returns the source of the body.
     #[must_use]
     pub const fn source(&self) -> &Arc<BodySource> {
         &self.source
@@ -96,21 +96,24 @@
 }
 
 impl BodySource {
-    /// Creates the source of `body`, which keeps `room` bytes and bears `silence` at most.
-    pub fn new(body: Incoming, room: usize, silence: Duration) -> Arc<Self> {
+    /// Creates the source of `body`.
+    ///
+    /// The source keeps up to `keep_bytes` bytes for another attempt. It fails when the caller sends
+    /// no data for `idle_timeout`.
+    pub fn new(body: Incoming, keep_bytes: usize, idle_timeout: Duration) -> Arc<Self> {
         Arc::new(Self(Mutex::new(Inner {
             body,
             kept: Vec::new(),
-            room,
-            lost: false,
+            keep_bytes,
+            dropped: false,
             ended: false,
-            silence,
+            idle_timeout,
             timer: None,
-            waiting: false,
+            is_idle: false,
         })))
     }
 
-    /// Starts a try; with a gate, nothing is sent before it opens.
+    /// Creates the body of an attempt; nothing is sent before `gate` opens.
     pub fn start(self: &Arc<Self>, gate: Option<Gate>) -> Outgoing {
         Outgoing::Stream(Stream {
             source: Arc::clone(self),
@@ -119,32 +122,32 @@
         })
     }
 
-    /// Reads the body ahead, up to `bytes` bytes or its end.
+    /// Reads ahead until `bytes` bytes are kept, the body ends, or its first bytes are dropped.
     ///
     /// # Errors
     ///
-    /// Returns why the body ended early.
+    /// Returns an error when the body ends early.
     pub async fn fill(&self, bytes: usize) -> Result<(), BodyError> {
         poll_fn(|cx| self.with(|inner| inner.poll_fill(cx, bytes))).await
     }
 
-    /// Returns the length of the body as far as it is told.
+    /// Returns the upper bound of the number of bytes still to be read, if it is known.
     pub fn len_hint(&self) -> Option<u64> {
         self.with(|inner| inner.body.size_hint().upper())
     }
 
-    /// Returns what stands for the body, once all of it is here and none of it was let go.
+    /// Returns the hash of the body if the whole body is kept.
     #[must_use]
     pub fn print(&self) -> Option<BodyPrint> {
         self.with(|inner| {
-            let whole = !inner.lost && (inner.ended || inner.body.is_end_stream());
+            let whole = !inner.dropped && (inner.ended || inner.body.is_end_stream());
             whole.then(|| BodyPrint::new(inner.kept.iter().map(|chunk| &chunk[..])))
         })
     }
 
-    /// Tells whether another try can send the whole body.
+    /// Returns `true` if another attempt can send the whole body.
     pub fn is_whole(&self) -> bool {
-        !self.with(|inner| inner.lost)
+        !self.with(|inner| inner.dropped)
     }
 
     fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
@@ -156,7 +159,7 @@
     fn poll_fill(&mut self, cx: &mut Context<'_>, bytes: usize) -> Poll<Result<(), BodyError>> {
         loop {
             let held: usize = self.kept.iter().map(Bytes::len).sum();
-            if held >= bytes || self.lost || self.ended {
+            if held >= bytes || self.dropped || self.ended {
                 return Poll::Ready(Ok(()));
             }
             let mut next = self.kept.len();
@@ -178,13 +181,13 @@
                 *next += 1;
                 return Poll::Ready(Some(Ok(Frame::data(chunk.clone()))));
             }
-            None if self.lost && *next == 0 => return Poll::Ready(Some(Err(BodyError::Gone))),
+            None if self.dropped && *next == 0 => return Poll::Ready(Some(Err(BodyError::Gone))),
             None if self.ended => return Poll::Ready(None),
             None => {}
         }
         match Pin::new(&mut self.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.waiting = false;
+                self.is_idle = false;
                 self.keep(&frame, next);
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -193,37 +196,34 @@
                 self.ended = true;
                 Poll::Ready(None)
             }
-            Poll::Pending => self.poll_silence(cx),
+            Poll::Pending => self.poll_idle(cx),
         }
     }
 
-    /// Keeps `frame` for another try, or gives up on that when the room is used up.
+    /// Keeps `frame` for another attempt; when it does not fit, all kept bytes are dropped.
     fn keep(&mut self, frame: &Frame<Bytes>, next: &mut usize) {
         *next += 1;
         match frame.data_ref() {
-            _ if self.lost => {}
-            Some(data) if data.len() <= self.room => {
-                self.room -= data.len();
+            _ if self.dropped => {}
+            Some(data) if data.len() <= self.keep_bytes => {
+                self.keep_bytes -= data.len();
                 self.kept.push(data.clone());
             }
             Some(_) => {
-                self.lost = true;
+                self.dropped = true;
                 self.kept = Vec::new();
             }
             None => {}
         }
     }
 
-    fn poll_silence(
-        &mut self,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn poll_idle(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let timer = self
             .timer
-            .get_or_insert_with(|| Box::pin(sleep(self.silence)));
-        if !self.waiting {
-            self.waiting = true;
-            timer.as_mut().reset(Instant::now() + self.silence);
+            .get_or_insert_with(|| Box::pin(sleep(self.idle_timeout)));
+        if !self.is_idle {
+            self.is_idle = true;
+            timer.as_mut().reset(Instant::now() + self.idle_timeout);
         }
         match timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Some(Err(BodyError::Slow))),
@@ -262,7 +262,7 @@
             Self::Whole(bytes) => bytes.is_empty(),
             Self::Stream(stream) => stream.source.with(|inner| {
                 let kept = stream.next >= inner.kept.len();
-                kept && !(inner.lost && stream.next == 0) && inner.body.is_end_stream()
+                kept && !(inner.dropped && stream.next == 0) && inner.body.is_end_stream()
             }),
         }
     }
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -1,4 +1,4 @@
-//! The guard: what the backend server beside this node is given, and what became of it.
+//! Guard of a node: admits requests to the local backend server and reports their results.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -16,47 +16,47 @@
 use super::answer::Answer;
 use super::body::Outgoing;
 use super::headers::{strip_hop, strip_internal};
-use super::keyed::Keyed;
+use super::keyed::KeyedExecutor;
 use super::request::Call;
-use super::runs::Handed;
+use super::runs::FingerprintSource;
 use super::upstream::{Sent, Upstream};
-use super::verdict::judge;
+use super::verdict::check_response;
 use crate::counters::Stage;
 use crate::logging::Event;
 use crate::shared::{Phase, Shared};
 
-/// What a guard tells of its backend server with each answer.
+/// State of the local backend server that a guard reports with each response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Report {
-    /// What runs and waits.
+    /// Numbers of running and queued requests, and the concurrency limit.
     pub load: Load,
-    /// How long calls take, once that is known.
+    /// Pace of the backend server; `None` until it is known.
     pub pace: Option<Pace>,
 }
 
-/// Guards the backend server beside this node.
+/// Gatekeeper of the backend server beside this node.
 #[derive(Debug)]
 pub struct Guard {
     shared: Arc<Shared>,
     upstream: ArcSwapOption<Upstream>,
-    /// None where requests with a key are not claimed.
-    keyed: Option<Keyed>,
-    /// Requests that the backend server runs although one got them before.
+    /// Executor of requests with an idempotency key; `None` when claims are disabled.
+    keyed: Option<KeyedExecutor>,
+    /// Number of running requests that are retries of an earlier attempt.
     repeats: Arc<AtomicU32>,
 }
 
-/// A repeat that the backend server runs, counted until it is dropped.
+/// Running retry, counted until it is dropped.
 #[derive(Debug)]
-struct Repeat(Arc<AtomicU32>);
+struct RunningRetry(Arc<AtomicU32>);
 
-impl Repeat {
+impl RunningRetry {
     fn new(running: &Arc<AtomicU32>) -> Self {
         running.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(running))
     }
 }
 
-impl Drop for Repeat {
+impl Drop for RunningRetry {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -69,12 +69,13 @@
         Self {
             shared: Arc::clone(shared),
             upstream: ArcSwapOption::empty(),
-            keyed: shared.settings.claims.then(|| Keyed::new(shared)),
+            keyed: shared.settings.claims.then(|| KeyedExecutor::new(shared)),
             repeats: Arc::default(),
         }
     }
 
-    /// Takes over the announcement, the view and the phase whenever one of them changes.
+    /// Updates the backend server and its limits when the announcement, the view, the node's phase,
+    /// the clearance or the drain state changes.
     pub async fn follow(&self) {
         let mut backend = self.shared.backend.subscribe();
         let mut view = self.shared.views.subscribe();
@@ -95,7 +96,7 @@
             let phase_now = *phase.borrow_and_update();
             let stopping = matches!(phase_now, Phase::Finishing | Phase::Stopping);
             view.borrow_and_update();
-            self.adopt(announced, stopping);
+            self.update_upstream(announced, stopping);
             tokio::select! {
                 _ = backend.changed() => {}
                 _ = view.changed() => {}
@@ -106,26 +107,28 @@
         }
     }
 
-    /// Waits until the requests with a key have ended and their answers are in the log.
+    /// Waits until all requests with an idempotency key have ended and their responses are in the
+    /// log.
     pub async fn finish(&self) {
         if let Some(keyed) = &self.keyed {
             keyed.finish().await;
         }
     }
 
-    /// Returns what the node's parts share.
+    /// Returns the state shared by the components of the node.
     #[must_use]
     pub const fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Returns the load and pace to carry back to other nodes.
+    /// Returns the value of the load header for responses to other nodes: running, queued and
+    /// limit, then the pace if it is known.
     #[must_use]
     pub fn load(&self) -> Option<HeaderValue> {
         let upstream = self.upstream.load();
         let upstream = upstream.as_ref()?;
         let load = upstream.load();
-        let pace = self.note_pace(upstream);
+        let pace = self.update_pace(upstream);
         let mut text = format!("{} {} {}", load.running, load.queued, load.limit);
         if let Some(Pace(pace)) = pace {
             text.push_str(&format!(" {pace}"));
@@ -133,29 +136,31 @@
         HeaderValue::try_from(text).ok()
     }
 
-    /// Takes what another node was told of the backend server.
-    pub fn relay(&self, told: ProcessNotice) {
+    /// Applies a notice of the backend server that another node received.
+    pub fn relay(&self, notice: ProcessNotice) {
         if let Some(upstream) = &*self.upstream.load() {
-            upstream.relay(told);
+            upstream.relay(notice);
         }
     }
 
-    /// Returns what the backend server has said of itself.
+    /// Returns the current notice of the backend server's process.
     #[must_use]
     pub fn told(&self) -> Option<ProcessNotice> {
-        Some(self.upstream.load().as_ref()?.told())
+        Some(self.upstream.load().as_ref()?.process_notice())
     }
 
-    /// Returns that to carry back to another node; nothing where there is nothing to tell, unless the
-    /// node `asks`, since it was told otherwise.
+    /// Returns the value of the notice header for a response to another node.
+    ///
+    /// A default notice is sent only when the node `asks`, because that node may hold an outdated
+    /// notice.
     #[must_use]
     pub fn notice(&self, asks: bool) -> Option<HeaderValue> {
         let told = self.told()?;
-        let telling = asks || told.notice != Notice::default();
-        telling.then(|| HeaderValue::try_from(told.to_string()).ok())?
+        let is_sent = asks || told.notice != Notice::default();
+        is_sent.then(|| HeaderValue::try_from(told.to_string()).ok())?
     }
 
-    /// Returns the share of repeats among what the backend server runs.
+    /// Returns the share of retries among the requests that the backend server runs.
     #[must_use]
     pub fn repeat_share(&self) -> f64 {
         let repeats = self.repeats.load(Ordering::Relaxed);
@@ -163,31 +168,32 @@
         f64::from(repeats) / f64::from(running.max(repeats).max(1))
     }
 
-    /// Returns what this node's own ingress is told after a request.
+    /// Returns the report for the ingress of this node.
     #[must_use]
     pub fn report(&self) -> Option<Report> {
         let upstream = self.upstream.load();
         let upstream = upstream.as_ref()?;
         Some(Report {
             load: upstream.load(),
-            pace: self.note_pace(upstream),
+            pace: self.update_pace(upstream),
         })
     }
 
-    /// Returns the pace, and shows it to the part of the node that tells all others.
-    fn note_pace(&self, upstream: &Upstream) -> Option<Pace> {
+    /// Returns the pace, and stores it in the shared state from which it is sent to other nodes.
+    fn update_pace(&self, upstream: &Upstream) -> Option<Pace> {
         let pace = upstream.pace();
         let shown = pace.map_or(0, |Pace(pace)| pace);
         self.shared.pace.store(shown, Ordering::Relaxed);
         pace
     }
 
-    /// Closes unused connections, and shows the load and the rate that the backend server named.
+    /// Closes idle connections and updates the gauges of the load and of the rate that the backend
+    /// server announced.
     pub fn sweep(&self) {
         let upstream = self.upstream.load();
         let (load, rate) = upstream.as_ref().map_or_else(Default::default, |upstream| {
             upstream.sweep();
-            (upstream.load(), upstream.told().notice.rate)
+            (upstream.load(), upstream.process_notice().notice.rate)
         });
         let rate = rate.map_or(0.0, ServerRate::per_second);
         let counters = &self.shared.counters;
@@ -197,11 +203,11 @@
         counters.gauge("swiftcart_server_rate").set(rate);
     }
 
-    /// Runs a request at the backend server when it is of `service` and takes it.
+    /// Sends a request to the backend server if it belongs to `service` and admits the request.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; its reason's outcome tells whether the
+    /// Returns a refusal when there is no response. The outcome of its reason states whether the
     /// request may have run.
     pub async fn run(
         self: &Arc<Self>,
@@ -219,7 +225,7 @@
         result
     }
 
-    /// Logs a request that was not handed over, or got no answer.
+    /// Logs a request that was not forwarded to the backend server or received no response.
     fn log(&self, call: &Call, service: &str, refusal: Refusal) {
         let now = self.shared.clock.now();
         let Some(log) = self.shared.call_log.failed(now) else {
@@ -255,35 +261,42 @@
         let slot = upstream.enter(call).await?;
         let counters = &self.shared.counters;
         counters.stage(Stage::Queue, slot.start().since(arrived));
-        if let Err(refusal) = self.take(call, &slot, &request) {
+        if let Err(refusal) = self.record_start(call, &slot, &request) {
             slot.withdraw();
             return Err(refusal);
         }
         self.hand_over(call, upstream, slot, request).await
     }
 
-    /// Counts a request that is handed over now where a release is on trial, or the backend server cold.
+    /// Makes the last checks before the hand-over, and counts the request against the limits of a
+    /// release on trial and of a cold start.
     ///
     /// # Errors
     ///
-    /// Why it is not handed over after all.
-    fn take(&self, call: &Call, slot: &Slot, request: &Request<Outgoing>) -> Result<(), Refusal> {
-        self.pass(call, request)?;
+    /// Returns a refusal when the request must not be handed over.
+    fn record_start(
+        &self,
+        call: &Call,
+        slot: &Slot,
+        request: &Request<Outgoing>,
+    ) -> Result<(), Refusal> {
+        self.check_quarantine(call, request)?;
         self.shared.clearing.take(slot.start())?;
         self.shared.warmup.take(slot.start())
     }
 
-    /// Refuses a request that became known for ending backend servers on its way here.
+    /// Refuses a request whose fingerprint was quarantined, for crashing backend servers, after the
+    /// ingress forwarded it.
     ///
     /// # Errors
     ///
-    /// [`Reason::Quarantined`] with the time for which it is held.
-    fn pass(&self, call: &Call, request: &Request<Outgoing>) -> Result<(), Refusal> {
+    /// Returns [`Reason::Quarantined`] with the remaining time of the quarantine.
+    fn check_quarantine(&self, call: &Call, request: &Request<Outgoing>) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
         if !suspects.may_hold(call.print.head) {
             return Ok(());
         }
-        let print = Handed::new(call.print, request.body()).print();
+        let print = FingerprintSource::new(call.print, request.body()).fingerprint();
         let now = self.shared.clock.now();
         match print.and_then(|print| suspects.held(now, print)) {
             Some(left) => Err(Refusal::new(Reason::Quarantined).with_retry(left)),
@@ -291,10 +304,10 @@
         }
     }
 
-    /// Hands a request over and waits for the head of its answer.
+    /// Sends a request to the backend server and waits for the head of the response.
     ///
-    /// What may run only once is not cancelled when the caller goes away: the backend server
-    /// is at work on it, and nobody could repeat it.
+    /// A request that is not idempotent runs in its own task, so that it is not cancelled when the
+    /// caller disconnects: the backend server is processing it, and it cannot be repeated.
     async fn hand_over(
         self: &Arc<Self>,
         call: &Call,
@@ -326,7 +339,7 @@
     ) -> Result<Response<Answer>, Refusal> {
         let method = request.method().clone();
         let repeat = call.terms.is_some_and(|terms| terms.repeat);
-        let _repeat = repeat.then(|| Repeat::new(&self.repeats));
+        let _repeat = repeat.then(|| RunningRetry::new(&self.repeats));
         let sent = upstream.send(call, call.due.at(), request).await;
         let Sent {
             response,
@@ -335,17 +348,17 @@
         } = match sent {
             Ok(sent) => sent,
             Err(reason) => {
-                self.note_end(call, &slot, blame(reason) == CallResult::Failure);
-                slot.finish(blame(reason));
+                self.record_end(call, &slot, failure_result(reason) == CallResult::Failure);
+                slot.finish(failure_result(reason));
                 return Err(reason.into());
             }
         };
-        self.note_end(call, &slot, response.status().is_server_error());
+        self.record_end(call, &slot, response.status().is_server_error());
         let elapsed = self.shared.clock.now().since(slot.start());
         self.shared.counters.stage(Stage::Backend, elapsed);
         slot.head(response.body().size_hint().lower());
-        if let Err(reason) = judge(&self.shared.settings, call, &method, &response) {
-            slot.finish(blame(reason));
+        if let Err(reason) = check_response(&self.shared.settings, call, &method, &response) {
+            slot.finish(failure_result(reason));
             run.rejected();
             if reason == Reason::Shed {
                 Answer::stream(response.into_body(), pooled).discard();
@@ -359,25 +372,27 @@
         Ok(Response::from_parts(head, answer))
     }
 
-    /// Counts how a request ended where the release of the backend server may be on trial; one that
-    /// its caller gave up, or that the backend server turned away, says nothing.
-    fn note_end(&self, call: &Call, slot: &Slot, failed: bool) {
+    /// Records the result of a request for the trial of a release.
+    ///
+    /// A request that was cancelled by its caller or refused by the backend server does not count
+    /// as a failure.
+    fn record_end(&self, call: &Call, slot: &Slot, failed: bool) {
         let time = self.shared.clock.now().since(slot.start());
         self.shared.clearing.ended(call.route(), failed, time);
     }
 
-    fn adopt(&self, announced: Option<Backend>, stopping: bool) {
+    fn update_upstream(&self, announced: Option<Backend>, stopping: bool) {
         let old = self.upstream.load_full();
         let Some(backend) = announced else {
             if let Some(old) = old {
-                old.leave();
+                old.mark_leaving();
             }
             self.upstream.store(None);
             return;
         };
         let upstream = Upstream::new(&self.shared, old.as_deref(), backend);
         if let Some(old) = old {
-            old.give_way(&upstream);
+            old.replace_with(&upstream);
         }
         let view = self.shared.view.load();
         let cold = view.cold_start(upstream.service());
@@ -394,7 +409,7 @@
             .iter()
             .map(|candidate| candidate.id)
             .collect();
-        upstream.adopt(limits, guards.len(), stopping);
+        upstream.apply_limits(limits, guards.len(), stopping);
         if let Some(keyed) = &self.keyed {
             keyed.prepare(upstream.service(), &guards);
         }
@@ -402,8 +417,8 @@
     }
 }
 
-/// Returns what a failed request tells of the backend server.
-fn blame(reason: Reason) -> CallResult {
+/// Returns the result that a failed request counts as for the backend server.
+fn failure_result(reason: Reason) -> CallResult {
     match reason {
         Reason::CallerGone | Reason::DeadlinePassed => CallResult::Cancelled,
         Reason::Shed => CallResult::Refused,
--- a/crates/swiftcart-node/src/calls/keyed.rs
+++ b/crates/swiftcart-node/src/calls/keyed.rs
@@ -1,8 +1,9 @@
-//! Requests that run at most once: claimed in the platform's log before the hand-over.
+//! Requests with an idempotency key, which run at most once: each is claimed in the platform's log
+//! before the hand-over.
 //!
-//! Such a request is held as a whole and runs in a task of its own. A caller that
-//! goes away after the hand-over does not cancel the work: it gets the stored
-//! answer when it comes back with the same key.
+//! The request is kept in memory as a whole and runs in its own task. A caller that disconnects
+//! after the hand-over does not cancel the task. When the caller retries with the same key, it gets
+//! the stored response.
 
 mod partition;
 mod stored;
@@ -29,33 +30,33 @@
 use super::upstream::Upstream;
 use crate::shared::Shared;
 use partition::Partition;
-use work::Work;
+use work::KeyedRequest;
 
-/// Claim streams of each service, the same on every node.
+/// Number of claim streams of each service; it must be the same on every node.
 const PARTITIONS: u16 = 8;
 
-/// Guards that follow one partition ahead of any request.
+/// Number of guards that follow a partition before its first request.
 const FOLLOWERS: usize = 2;
 
-/// The longest time that a stop waits for stored answers to reach the log.
-const WRITE_OUT: Duration = Duration::from_secs(30);
+/// Maximum time that a shutdown waits for stored responses to reach the log.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks at what is not in the log yet.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between checks for records that are not in the log yet.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs requests with an idempotency key, once each.
+/// Executor of requests with an idempotency key, each at most once.
 #[derive(Debug)]
-pub struct Keyed {
+pub struct KeyedExecutor {
     shared: Arc<Shared>,
     platform: Platform,
     settings: ClaimSettings,
     partitions: Mutex<HashMap<(ServiceName, u16), Arc<Partition>>>,
-    works: TaskTracker,
+    tasks: TaskTracker,
     closing: CancellationToken,
 }
 
-impl Keyed {
-    /// Creates the part that claims in the platform's log.
+impl KeyedExecutor {
+    /// Creates an executor that claims requests in the platform's log.
     #[must_use]
     pub fn new(shared: &Arc<Shared>) -> Self {
         let platform = shared.settings.platform;
@@ -70,12 +71,13 @@
             platform: Platform::new(platform.addr).with_timeout(platform.timeout()),
             settings: settings.with_memory(marks, each),
             partitions: Mutex::default(),
-            works: TaskTracker::new(),
+            tasks: TaskTracker::new(),
             closing: CancellationToken::new(),
         }
     }
 
-    /// Starts to follow the partitions of `service` that its `guards` prefer this node for.
+    /// Starts to follow the partitions of `service` for which this node is among the first
+    /// [`FOLLOWERS`] of `guards` in the order of preference.
     pub fn prepare(&self, service: &ServiceName, guards: &[NodeId]) {
         for partition in 0..PARTITIONS {
             let order = rank_guards(service, partition, guards);
@@ -85,11 +87,11 @@
         }
     }
 
-    /// Runs `request` unless an attempt with its key ran before; then gives that answer.
+    /// Runs `request`, or returns the stored response of an earlier attempt with the same key.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns a refusal when there is no response.
     pub async fn answer(
         &self,
         guard: &Arc<Guard>,
@@ -104,7 +106,7 @@
         let key = key.to_str().map_err(|_| Reason::BadRequest)?;
         let key = ClaimKey::new(upstream.service(), None, key);
         let partition = key.partition(PARTITIONS);
-        let work = Work {
+        let work = KeyedRequest {
             guard: Arc::clone(guard),
             partition: self.partition(upstream.service(), partition),
             upstream,
@@ -114,27 +116,28 @@
             body,
         };
         let (tx, rx) = oneshot::channel();
-        self.works.spawn(work.run(tx));
+        self.tasks.spawn(work.run(tx));
         rx.await.map_err(|_| Reason::KeyUnknown)?
     }
 
-    /// Waits until all work has ended and its answers are in the log, and stops following.
+    /// Waits until all requests have ended and their responses are in the log, then stops
+    /// following the partitions.
     pub async fn finish(&self) {
-        self.works.close();
-        self.works.wait().await;
+        self.tasks.close();
+        self.tasks.wait().await;
         let written = async {
             while self.unwritten() > 0 {
-                sleep(LOOK).await;
+                sleep(FLUSH_POLL_INTERVAL).await;
             }
         };
-        if timeout(WRITE_OUT, written).await.is_err() {
+        if timeout(FLUSH_TIMEOUT, written).await.is_err() {
             let counters = &self.shared.counters;
             counters.count("swiftcart_claims_total", "result", "unwritten");
         }
         self.closing.cancel();
     }
 
-    /// Reads a whole body within the bound.
+    /// Reads the whole body, up to the configured maximum.
     async fn collect(&self, body: Outgoing) -> Result<Bytes, Refusal> {
         let bound = self.shared.settings.limits.keyed_bytes as usize;
         match Limited::new(body, bound).collect().await {
@@ -170,7 +173,7 @@
     }
 }
 
-/// Orders `guards` by preference for the claims of `key`.
+/// Returns `guards` in the order of preference for the claims of `key`.
 #[must_use]
 pub fn claim_guard_order(
     service: &ServiceName,
--- a/crates/swiftcart-node/src/calls/keyed/partition.rs
+++ b/crates/swiftcart-node/src/calls/keyed/partition.rs
@@ -1,4 +1,4 @@
-//! One partition of a service's claims: the core's claimant between the log and the calls.
+//! Partition of a service's claims: connects its [`Claimant`] to the log and to the requests.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -19,34 +19,34 @@
 use crate::clock::Clock;
 use crate::shared::Shared;
 
-/// The longest wait of one read for new records.
-const WAIT: Duration = Duration::from_secs(20);
+/// Maximum time for which a long poll waits for new records.
+const READ_WAIT: Duration = Duration::from_secs(20);
 
-/// Records read at once.
-const BATCH: u32 = 200;
+/// Maximum number of records of one read.
+const MAX_READ_RECORDS: u32 = 200;
 
-/// The longest time between two looks at the claimant without any event.
-const IDLE: Duration = Duration::from_secs(60);
+/// Maximum time between two polls of the claimant.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Tells a waiting claim how it ended.
+/// Result of a waiting claim.
 #[derive(Debug)]
 pub enum Verdict {
-    /// The request may be handed over, after [`Partition::try_start`].
+    /// The request may be handed over after [`Partition::try_start`].
     Won,
-    /// The request is not handed over.
+    /// The request must not be handed over.
     Settled(Decision),
 }
 
-/// A claim that was decided at once, or waits for its verdict.
+/// Result of an offered claim.
 #[derive(Debug)]
-pub enum Offered {
-    /// Nothing is handed over.
+pub enum OfferResult {
+    /// The claim was decided immediately, and the request must not be handed over.
     Decided(Decision),
-    /// The verdict follows.
+    /// The claim waits for its verdict.
     Waits(ClaimTicket, oneshot::Receiver<Verdict>),
 }
 
-/// One partition, followed and written by two tasks.
+/// Partition of the claims of a service, with one task that reads it and one that writes it.
 #[derive(Debug)]
 pub struct Partition {
     shared: Arc<Shared>,
@@ -64,11 +64,12 @@
     waiting: HashMap<ClaimTicket, oneshot::Sender<Verdict>>,
 }
 
-type Appending = Pin<Box<dyn Future<Output = AppendResult> + Send>>;
+type AppendFuture = Pin<Box<dyn Future<Output = AppendResult> + Send>>;
 
 impl Partition {
-    /// Creates a partition that has read nothing; [`follow`](Self::follow) and
-    /// [`drive`](Self::drive) have to run.
+    /// Creates a partition that has read no records.
+    ///
+    /// [`follow`](Self::follow) and [`drive`](Self::drive) must be run by the caller.
     #[must_use]
     pub fn new(
         shared: &Arc<Shared>,
@@ -92,35 +93,35 @@
         }
     }
 
-    /// Waits until the partition was read to its end once, or until `until`.
+    /// Waits until the partition has been read to its end once, or until `until`.
     pub async fn caught_up(&self, until: tokio::time::Instant) {
         let mut caught = self.caught.subscribe();
-        // Whoever waits in vain is told by the offer that the partition is catching up.
+        // After a timeout, `offer` reports that the partition is still catching up.
         let _ = timeout_at(until, caught.wait_for(|caught| *caught)).await;
     }
 
     /// Offers a claim.
-    pub fn offer(&self, claim: Claim) -> Offered {
+    pub fn offer(&self, claim: Claim) -> OfferResult {
         let now = self.clock.now();
         let mut state = self.lock();
         let offered = match state.claimant.offer(now, claim) {
             Decision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 state.waiting.insert(ticket, tx);
-                Offered::Waits(ticket, rx)
+                OfferResult::Waits(ticket, rx)
             }
-            decision => Offered::Decided(decision),
+            decision => OfferResult::Decided(decision),
         };
         drop(state);
         self.changed.notify_one();
         offered
     }
 
-    /// Allows the hand-over of a claim that won; ask right before it.
+    /// Allows the hand-over of a claim that won; call it immediately before the hand-over.
     ///
     /// # Errors
     ///
-    /// Returns why the request must not be handed over any more.
+    /// Returns a refusal when the request must no longer be handed over.
     pub fn try_start(&self, ticket: ClaimTicket) -> Result<StartPermit, Refusal> {
         let now = self.clock.now();
         let start = self.lock().claimant.try_start(ticket, now);
@@ -128,14 +129,14 @@
         start
     }
 
-    /// Notes how a hand-over ended.
+    /// Records the result of a hand-over.
     pub fn record_result(&self, ticket: ClaimTicket, finish: ExecutionResult) {
         let now = self.clock.now();
         self.lock().claimant.record_result(now, ticket, finish);
         self.changed.notify_one();
     }
 
-    /// Gives up a claim that is not handed over, and returns what its caller can be told.
+    /// Cancels a claim that is not handed over, and returns the outcome for its caller.
     pub fn cancel_claim(&self, ticket: ClaimTicket) -> Outcome {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -146,31 +147,32 @@
         outcome
     }
 
-    /// Returns the number of records that are not surely in the log.
+    /// Returns the number of records that are not known to be in the log.
     pub fn unwritten(&self) -> usize {
         self.lock().claimant.unwritten()
     }
 
-    /// Reads the partition's records until `closing`.
+    /// Reads the records of the partition until `closing` is cancelled.
     pub async fn follow(self: Arc<Self>, closing: CancellationToken) {
-        closing.run_until_cancelled(self.read_on()).await;
+        closing.run_until_cancelled(self.read_loop()).await;
     }
 
-    /// Appends what the claimant wants written and passes its verdicts on until `closing`.
+    /// Appends the claimant's records and delivers its verdicts until `closing` is cancelled.
     pub async fn drive(self: Arc<Self>, closing: CancellationToken) {
-        closing.run_until_cancelled(self.write_on()).await;
+        closing.run_until_cancelled(self.write_loop()).await;
     }
 
-    async fn read_on(&self) {
-        let mut limit = PageLimit::new(BATCH);
+    async fn read_loop(&self) {
+        let mut limit = PageLimit::new(MAX_READ_RECORDS);
         let mut backoff = Backoff::new();
         loop {
             let (from, caught) = {
                 let state = self.lock();
                 (state.claimant.ledger().next(), state.claimant.caught_up())
             };
-            // Nothing to wait for before the end was seen: an empty stream has one, too.
-            let wait = if caught { WAIT } else { Duration::ZERO };
+            // Until the end has been reached, reads do not wait for new records: an empty stream
+            // must report its end at once.
+            let wait = if caught { READ_WAIT } else { Duration::ZERO };
             let read = self
                 .platform
                 .read(&self.stream, from, limit.records(), wait);
@@ -200,8 +202,8 @@
         }
     }
 
-    async fn write_on(&self) {
-        let mut append: Option<Appending> = None;
+    async fn write_loop(&self) {
+        let mut append: Option<AppendFuture> = None;
         loop {
             let now = self.clock.now();
             let (actions, next_wakeup) = {
@@ -211,13 +213,13 @@
             for action in actions {
                 match action {
                     ClaimAction::Append(body) => append = Some(self.append(body)),
-                    ClaimAction::Run(ticket) => self.tell(ticket, Verdict::Won),
-                    ClaimAction::Settle(ticket, d) => self.tell(ticket, Verdict::Settled(d)),
+                    ClaimAction::Run(ticket) => self.notify(ticket, Verdict::Won),
+                    ClaimAction::Settle(ticket, d) => self.notify(ticket, Verdict::Settled(d)),
                 }
             }
-            let next_wakeup = next_wakeup.unwrap_or(now + IDLE);
+            let next_wakeup = next_wakeup.unwrap_or(now + MAX_POLL_INTERVAL);
             let result = tokio::select! {
-                result = next(&mut append) => result,
+                result = await_append(&mut append) => result,
                 () = self.changed.notified() => continue,
                 () = sleep_until(self.clock.tokio(next_wakeup)) => continue,
             };
@@ -227,7 +229,7 @@
         }
     }
 
-    fn append(&self, body: String) -> Appending {
+    fn append(&self, body: String) -> AppendFuture {
         let platform = self.platform.clone();
         let stream = self.stream.clone();
         let shared = Arc::clone(&self.shared);
@@ -248,11 +250,11 @@
         })
     }
 
-    fn tell(&self, ticket: ClaimTicket, verdict: Verdict) {
+    fn notify(&self, ticket: ClaimTicket, verdict: Verdict) {
         let waiter = self.lock().waiting.remove(&ticket);
         let told = waiter.map(|waiter| waiter.send(verdict));
         if !matches!(told, Some(Ok(()))) {
-            // Its caller has gone; what was won and not started frees the key.
+            // The caller has disconnected. A claim that was won but not started frees its key.
             self.cancel_claim(ticket);
         }
     }
@@ -266,8 +268,8 @@
     }
 }
 
-/// Waits for the append in flight, for ever when there is none.
-async fn next(append: &mut Option<Appending>) -> AppendResult {
+/// Waits for the append in flight; never returns when there is none.
+async fn await_append(append: &mut Option<AppendFuture>) -> AppendResult {
     match append {
         Some(append) => append.await,
         None => std::future::pending().await,
--- a/crates/swiftcart-node/src/calls/keyed/stored.rs
+++ b/crates/swiftcart-node/src/calls/keyed/stored.rs
@@ -1,4 +1,4 @@
-//! Answers that are kept for later attempts with the same key.
+//! Responses that are stored for later attempts with the same idempotency key.
 
 use bytes::Bytes;
 use http::header::{
@@ -10,11 +10,11 @@
 
 use crate::calls::answer::Answer;
 
-/// Marks an answer that an earlier attempt got.
+/// Header that marks a response as replayed from an earlier attempt.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
 
-/// The headers that are kept; the others belong to one attempt.
-const KEPT: [HeaderName; 8] = [
+/// Headers that are stored; all other headers apply to a single attempt.
+const STORED_HEADERS: [HeaderName; 8] = [
     CACHE_CONTROL,
     CONTENT_DISPOSITION,
     CONTENT_ENCODING,
@@ -25,10 +25,10 @@
     LOCATION,
 ];
 
-/// Returns the form of an answer that the log keeps.
+/// Converts a response to its stored form.
 #[must_use]
 pub fn store(head: &Parts, body: &Bytes) -> swiftcart_core::Answer {
-    let kept = KEPT.iter().filter_map(|name| {
+    let kept = STORED_HEADERS.iter().filter_map(|name| {
         let value = head.headers.get(name)?.to_str().ok()?;
         Some((name.as_str().to_owned(), value.to_owned()))
     });
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the answer that the log kept.
+/// Creates the response from its stored form, marked as replayed.
 #[must_use]
 pub fn replay(stored: &swiftcart_core::Answer) -> Response<Answer> {
     let mut response = Response::new(Answer::text(stored.body.clone()));
--- a/crates/swiftcart-node/src/calls/keyed/work.rs
+++ b/crates/swiftcart-node/src/calls/keyed/work.rs
@@ -1,4 +1,5 @@
-//! One piece of work with a key: claimed, handed over at most once, its answer stored.
+//! Execution of one request with an idempotency key: it is claimed, handed over at most once, and
+//! its response is stored.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout_at};
 
-use super::partition::{Offered, Partition, Verdict};
+use super::partition::{OfferResult, Partition, Verdict};
 use super::stored::{replay, store};
 use crate::calls::admissions::Slot;
 use crate::calls::answer::{Answer, is_framed};
@@ -25,15 +26,15 @@
 use crate::calls::rng::with_rng;
 use crate::calls::upstream::{Sent, Upstream};
 
-/// The longest wait for a partition that is being read for the first time.
-const CATCH_UP: Duration = Duration::from_secs(1);
+/// Maximum wait for the first complete read of a partition.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the caller waits for.
+/// Reply to the caller.
 pub type Reply = Result<Response<Answer>, Refusal>;
 
-/// A request with a key, held as a whole.
+/// Request with an idempotency key, with its whole body.
 #[derive(Debug)]
-pub struct Work {
+pub struct KeyedRequest {
     pub guard: Arc<Guard>,
     pub partition: Arc<Partition>,
     pub upstream: Arc<Upstream>,
@@ -43,21 +44,21 @@
     pub body: Bytes,
 }
 
-impl Work {
-    /// Runs the work and answers `caller`, if it is still there.
+impl KeyedRequest {
+    /// Runs the request and sends the reply to `caller`.
     pub async fn run(self, mut caller: oneshot::Sender<Reply>) {
         let reply = self.decide(&mut caller).await;
-        // A caller that has gone comes back with its key.
+        // A caller that has disconnected can retry with the same key.
         let _ = caller.send(reply);
     }
 
     async fn decide(&self, caller: &mut oneshot::Sender<Reply>) -> Reply {
-        let catch_up = Instant::now() + CATCH_UP;
+        let catch_up = Instant::now() + CATCH_UP_TIMEOUT;
         let due = self.guard.shared().clock.tokio(self.call.due.at());
         self.partition.caught_up(catch_up.min(due)).await;
         let (ticket, verdict) = match self.partition.offer(self.claim()) {
-            Offered::Decided(decision) => return self.settle(decision),
-            Offered::Waits(ticket, verdict) => (ticket, verdict),
+            OfferResult::Decided(decision) => return self.settle(decision),
+            OfferResult::Waits(ticket, verdict) => (ticket, verdict),
         };
         let verdict = tokio::select! {
             verdict = verdict => verdict,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Hands the request over and reads the whole answer.
+    /// Sends the request to the backend server and reads the whole response.
     async fn exchange(&self, start: StartPermit) -> Result<(http::response::Parts, Bytes), Reason> {
         let mut request = Request::new(Outgoing::Whole(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
@@ -151,14 +152,14 @@
             }
             Decision::Unknown(reason) => ("unknown", Err(reason.into())),
             Decision::Refuse(refusal) => ("refused", Err(refusal)),
-            // The partition never passes this one on.
+            // Unreachable: the partition turns this decision into `OfferResult::Waits`.
             Decision::Wait(_) => ("unknown", Err(Reason::KeyUnknown.into())),
         };
         self.count(name);
         reply
     }
 
-    /// Ends a claim that was not handed over and returns what its caller is told.
+    /// Cancels a claim that was not handed over, and returns the refusal for its caller.
     fn cancel_claim(&self, ticket: ClaimTicket, refusal: Refusal) -> Refusal {
         self.count("given-up");
         match self.partition.cancel_claim(ticket) {
--- a/crates/swiftcart-node/src/calls/notices.rs
+++ b/crates/swiftcart-node/src/calls/notices.rs
@@ -1,4 +1,4 @@
-//! What the backend server beside this node says of itself in its answers.
+//! Notices that the local backend server sends in the headers of its responses.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -14,30 +14,30 @@
 use crate::settings::Headers;
 use crate::shared::Shared;
 
-/// The value by which a backend server says that it leaves.
-const LEAVES: &[u8] = b"1";
+/// Header value by which a backend server announces that it is leaving.
+const LEAVING_VALUE: &[u8] = b"1";
 
-/// Where a notice comes from.
+/// Source of a notice.
 #[derive(Debug, Clone, Copy)]
-enum Source<'a> {
-    /// The answer to this call, which was handed over then.
+enum NoticeSource<'a> {
+    /// Response to the call, which was handed over at the given time.
     Answer(&'a Call, Instant),
-    /// A node that was told before.
+    /// Another node that received the notice.
     Node,
 }
 
-/// Follows the notices of one process of the backend server.
+/// Notices of one process of the backend server.
 #[derive(Debug)]
 pub struct Notices {
     shared: Arc<Shared>,
-    /// The process, as it calls itself.
+    /// Name that the process announced for itself.
     instance: Option<Arc<str>>,
     process: ProcessTag,
     belief: Mutex<NoticeBelief>,
 }
 
 impl Notices {
-    /// Creates what is believed of a process that nothing was heard of.
+    /// Creates the state of a process that has sent no notice.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, identity: Option<&Identity>) -> Arc<Self> {
         let tag = |identity: &Identity| ProcessTag::new(identity.id.as_bytes(), identity.start);
@@ -50,67 +50,67 @@
         })
     }
 
-    /// Returns what is believed now.
+    /// Returns the current notice.
     #[must_use]
-    pub fn now(&self) -> Notice {
+    pub fn current(&self) -> Notice {
         self.lock().now()
     }
 
-    /// Takes the head of an answer to `call`, which was handed over at `sent`; returns what is believed
-    /// now when that has changed.
+    /// Applies the headers of a response to `call`, which was handed over at `sent`. Returns the
+    /// current notice if it has changed.
     ///
-    /// An answer that bears another request's id may be older than it looks, and says nothing.
-    pub fn hear(&self, call: &Call, sent: Instant, headers: &HeaderMap) -> Option<Notice> {
+    /// A response with the id of another request is ignored, because it may be older than `sent`.
+    pub fn observe(&self, call: &Call, sent: Instant, headers: &HeaderMap) -> Option<Notice> {
         let names = &*self.shared.headers;
         if names.own_ids && headers.get(&names.request_id.0) != Some(&call.id.0) {
             return None;
         }
         let now = self.shared.clock.now();
-        let rate = rate(headers, names).unwrap_or_else(|err| {
-            self.unreadable(now, call, err);
-            // What it says is not known, so what it said before holds on.
-            self.now().rate
+        let rate = announced_rate(headers, names).unwrap_or_else(|err| {
+            self.record_unreadable(now, call, err);
+            // The header cannot be parsed, so the previous rate stays in force.
+            self.current().rate
         });
-        let said = Notice::default()
+        let announced = Notice::default()
             .with_rate(rate)
-            .with_leaving(leaves(headers, names));
+            .with_leaving(is_leaving(headers, names));
         let mut belief = self.lock();
         let old = belief.now();
-        let changed = belief.hear(now, sent, said);
+        let changed = belief.hear(now, sent, announced);
         let new = belief.now();
         drop(belief);
-        changed.then(|| self.note(old, new, Source::Answer(call, sent)))
+        changed.then(|| self.record_change(old, new, NoticeSource::Answer(call, sent)))
     }
 
-    /// Takes what another node was told of the backend server; returns what is believed now when that has
+    /// Applies a notice that another node received, and returns the current notice if it has
     /// changed.
-    pub fn relay(&self, told: ProcessNotice) -> Option<Notice> {
-        if told.process != self.process {
+    pub fn relay(&self, received: ProcessNotice) -> Option<Notice> {
+        if received.process != self.process {
             return None;
         }
         let mut belief = self.lock();
         let old = belief.now();
-        let changed = belief.relay(told.notice);
+        let changed = belief.relay(received.notice);
         let new = belief.now();
         drop(belief);
-        changed.then(|| self.note(old, new, Source::Node))
+        changed.then(|| self.record_change(old, new, NoticeSource::Node))
     }
 
-    /// Has the process `identity`, which said that it leaves, shown as draining.
-    pub fn leaves(&self, identity: Option<&Identity>) {
+    /// Marks the process `identity`, which announced that it is leaving, as draining.
+    pub fn mark_draining(&self, identity: Option<&Identity>) {
         self.shared.leaves(identity);
     }
 
-    /// Returns what other nodes are told.
+    /// Returns the current notice with the tag of its process, for other nodes.
     #[must_use]
-    pub fn told(&self) -> ProcessNotice {
+    pub fn process_notice(&self) -> ProcessNotice {
         ProcessNotice {
             process: self.process,
-            notice: self.now(),
+            notice: self.current(),
         }
     }
 
-    fn unreadable(&self, now: Instant, call: &Call, err: RateError) {
+    fn record_unreadable(&self, now: Instant, call: &Call, err: RateError) {
         self.count("unreadable");
         if let Some(log) = self.shared.call_log.irregular(now) {
             warn!(log, ""; "event" => Event::Notice, "id" => %call.id,
@@ -118,19 +118,19 @@
         }
     }
 
-    /// Counts and logs a change of what is believed, and returns it.
-    fn note(&self, old: Notice, new: Notice, source: Source<'_>) -> Notice {
-        self.count(kind(old, new));
+    /// Counts and logs a change of the notice, and returns the new notice.
+    fn record_change(&self, old: Notice, new: Notice, source: NoticeSource<'_>) -> Notice {
+        self.count(change_kind(old, new));
         let now = self.shared.clock.now();
         let log = match new.leaving && !old.leaving {
             true => Some(&self.shared.logger),
-            // A rate may change with each answer.
+            // A rate may change with each response, so these logs are rate-limited.
             false => self.shared.call_log.irregular(now),
         };
         if let Some(log) = log {
-            let (id, age) = source.parts(now);
+            let (id, age) = source.log_fields(now);
             info!(log, ""; "event" => Event::Notice, "id" => id, "instance" => self.instance(),
-                "rate" => rate_of(new), "before" => rate_of(old), "leaving" => new.leaving,
+                "rate" => logged_rate(new), "before" => logged_rate(old), "leaving" => new.leaving,
                 "age_ms" => age);
         }
         new
@@ -150,9 +150,9 @@
     }
 }
 
-impl Source<'_> {
-    /// Returns the request's id and its age in milliseconds, for logs.
-    fn parts(&self, now: Instant) -> (String, Option<u64>) {
+impl NoticeSource<'_> {
+    /// Returns the id and the age in milliseconds of the request for logs.
+    fn log_fields(&self, now: Instant) -> (String, Option<u64>) {
         match self {
             Self::Answer(call, sent) => {
                 let age = u64::try_from(now.since(*sent).as_millis()).ok();
@@ -164,12 +164,12 @@
 }
 
 /// Returns the rate for logs.
-fn rate_of(notice: Notice) -> Option<f64> {
+fn logged_rate(notice: Notice) -> Option<f64> {
     notice.rate.map(ServerRate::per_second)
 }
 
-/// Names what has changed, for counters.
-fn kind(old: Notice, new: Notice) -> &'static str {
+/// Returns the kind of a change for counters.
+fn change_kind(old: Notice, new: Notice) -> &'static str {
     match (old.rate, new.rate) {
         _ if new.leaving && !old.leaving => "leaving",
         (_, None) => "rate-lifted",
@@ -178,8 +178,8 @@
     }
 }
 
-/// Reads the rate that an answer names, the lowest one of several.
-fn rate(headers: &HeaderMap, names: &Headers) -> Result<Option<ServerRate>, RateError> {
+/// Returns the rate that a response announces, or the lowest if there are several.
+fn announced_rate(headers: &HeaderMap, names: &Headers) -> Result<Option<ServerRate>, RateError> {
     let mut values = names.rate.iter().flat_map(|name| headers.get_all(&name.0));
     values.try_fold(None, |lowest: Option<ServerRate>, value| {
         let text = value.to_str().map_err(|_| RateError::Syntax)?;
@@ -188,11 +188,11 @@
     })
 }
 
-/// Tells whether an answer says that its backend server leaves.
-fn leaves(headers: &HeaderMap, names: &Headers) -> bool {
+/// Returns `true` if a response announces that its backend server is leaving.
+fn is_leaving(headers: &HeaderMap, names: &Headers) -> bool {
     let mut values = names
         .leaving
         .iter()
         .flat_map(|name| headers.get_all(&name.0));
-    values.any(|value| value.as_bytes() == LEAVES)
+    values.any(|value| value.as_bytes() == LEAVING_VALUE)
 }
--- a/crates/swiftcart-node/src/calls/pacing.rs
+++ b/crates/swiftcart-node/src/calls/pacing.rs
@@ -1,4 +1,4 @@
-//! Holds long answers back while the instance's link has a queue.
+//! Egress pacing: delays large responses while the queue of the instance's link is not empty.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,35 +11,35 @@
 
 use crate::egress::Egress;
 
-/// The least time of one hold, so that a queue of a few bytes costs no wake-up.
-const LEAST_HOLD: Duration = Duration::from_millis(2);
+/// Minimum delay, so that a queue of a few bytes does not cause a wake-up of its own.
+const MIN_DELAY: Duration = Duration::from_millis(2);
 
-/// The bytes that the head of an answer adds on the link.
-const HEAD: usize = 512;
+/// Bytes on the link that are assumed for the head of a response.
+const HEAD_BYTES: usize = 512;
 
-/// Tells one answer when its next part may be handed to the link.
+/// Pacing of one response on the egress link.
 #[derive(Debug)]
 pub struct Pacing {
     egress: Arc<Egress>,
-    long: bool,
+    is_large: bool,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl Pacing {
-    /// Creates the pacing of an answer of `bytes` bytes whose head leaves now.
+    /// Creates the pacing of a response of `bytes` bytes, and counts its head as sent.
     #[must_use]
     pub fn new(egress: &Arc<Egress>, bytes: u64) -> Self {
-        egress.sent(HEAD);
+        egress.sent(HEAD_BYTES);
         Self {
             egress: Arc::clone(egress),
-            long: bytes >= HEAVY_RESPONSE_BYTES,
+            is_large: bytes >= HEAVY_RESPONSE_BYTES,
             timer: None,
         }
     }
 
-    /// Waits until the next part may leave; at once for a short answer.
-    pub fn poll_turn(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        while self.long {
+    /// Waits until the next part may be sent; a small response is never delayed.
+    pub fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        while self.is_large {
             if let Some(timer) = &mut self.timer {
                 ready!(timer.as_mut().poll(cx));
                 self.timer = None;
@@ -47,12 +47,12 @@
             let Some(time) = self.egress.hold_back() else {
                 break;
             };
-            self.timer = Some(Box::pin(sleep(time.max(LEAST_HOLD))));
+            self.timer = Some(Box::pin(sleep(time.max(MIN_DELAY))));
         }
         Poll::Ready(())
     }
 
-    /// Notes that a part of `bytes` bytes leaves.
+    /// Records that a part of `bytes` bytes is sent.
     pub fn sent(&self, bytes: usize) {
         self.egress.sent(bytes);
     }
--- a/crates/swiftcart-node/src/calls/peers.rs
+++ b/crates/swiftcart-node/src/calls/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other nodes, one pool for each.
+//! Connection pools to other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use super::pool::Pool;
 use crate::settings::Limits;
 
-/// Holds a pool of connections to each node that a request went to lately.
+/// Connection pools of the nodes that recently received requests.
 #[derive(Debug)]
 pub struct Peers {
     limits: Limits,
@@ -17,7 +17,7 @@
 }
 
 impl Peers {
-    /// Creates an empty collection.
+    /// Creates a collection without pools.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the connections to the node at `addr`.
+    /// Returns the connection pool of the node at `addr`, and creates it if necessary.
     #[must_use]
     pub fn pool(&self, addr: SocketAddr) -> Arc<Pool> {
         let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
@@ -38,7 +38,7 @@
         Arc::clone(pools.entry(addr).or_insert_with(|| self.open(addr)))
     }
 
-    /// Closes unused connections and forgets the nodes that none is left to.
+    /// Closes idle connections and drops the unused pools that have none left.
     pub fn sweep(&self) {
         let now = Instant::now();
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
@@ -49,6 +49,6 @@
         let limits = &self.limits;
         let bound = limits.connections as usize;
         let pool = Pool::new(addr, bound, limits.peer_idle(), limits.connect_timeout());
-        Arc::new(pool.with_kept(limits.idle_connections as usize))
+        Arc::new(pool.with_max_idle(limits.idle_connections as usize))
     }
 }
--- a/crates/swiftcart-node/src/calls/pool.rs
+++ b/crates/swiftcart-node/src/calls/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one address, kept open between requests and bounded in number.
+//! Pool of keep-alive connections to one address, with a maximum size.
 
 use std::future::pending;
 use std::io::ErrorKind;
@@ -12,33 +12,32 @@
 
 use super::conn::{Conn, OpenError};
 
-/// Connections to one peer or backend server.
+/// Pool of connections to one peer or backend server.
 ///
-/// A permit stands for a connection in use. A new connection opens only when no
-/// unused one is left, so that those in use and unused together never exceed the
-/// bound.
+/// Each connection in use holds a permit. A new connection is opened only when no idle connection
+/// is left, so that the connections in use and the idle ones together never exceed the bound.
 #[derive(Debug)]
 pub struct Pool {
     addr: SocketAddr,
     permits: Arc<Semaphore>,
     idle: Mutex<Vec<Conn>>,
-    kept: usize,
+    max_idle: usize,
     idle_time: Duration,
     connect_time: Duration,
-    /// Cancelled when whoever is at the address has lost what it was given.
+    /// Token that is cancelled when the process at the address has ended and lost its requests.
     ended: Option<CancellationToken>,
 }
 
-/// Tells what a look at an address has found.
+/// Result of a probe of an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
-    /// Nobody listens there.
-    Nobody,
-    /// Somebody took the connection, or nothing can be said.
-    Somebody,
+pub enum ProbeResult {
+    /// The connection was refused: no process listens at the address.
+    Refused,
+    /// The connection was accepted, or the probe was inconclusive.
+    NotRefused,
 }
 
-/// A connection in use.
+/// Connection in use.
 #[derive(Debug)]
 pub struct Pooled {
     conn: Conn,
@@ -48,8 +47,9 @@
 }
 
 impl Pool {
-    /// Creates a pool of at most `bound` connections that opens each within `connect_time`
-    /// and closes it when unused for `idle_time`.
+    /// Creates a pool of at most `bound` connections.
+    ///
+    /// Connecting fails after `connect_time`. A connection that is idle for `idle_time` is closed.
     #[must_use]
     pub fn new(
         addr: SocketAddr,
@@ -61,21 +61,21 @@
             addr,
             permits: Arc::new(Semaphore::new(bound.min(Semaphore::MAX_PERMITS))),
             idle: Mutex::default(),
-            kept: bound,
+            max_idle: bound,
             idle_time,
             connect_time,
             ended: None,
         }
     }
 
-    /// Lets the pool be ended while requests wait for answers.
+    /// Enables [`end`](Self::end) to fail requests that wait for a response.
     #[must_use]
-    pub fn with_end(mut self) -> Self {
+    pub fn with_end_signal(mut self) -> Self {
         self.ended = Some(CancellationToken::new());
         self
     }
 
-    /// Closes the unused connections and has those who wait for an answer give up.
+    /// Closes the idle connections and fails the requests that wait for a response.
     pub fn end(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.clear();
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Waits until the pool is ended.
+    /// Waits until [`end`](Self::end) is called; never returns without
+    /// [`with_end_signal`](Self::with_end_signal).
     pub async fn ended(&self) {
         match &self.ended {
             Some(ended) => ended.cancelled().await,
@@ -93,18 +94,18 @@
         }
     }
 
-    /// Keeps at most `kept` unused connections.
+    /// Sets the maximum number of idle connections to `max_idle`.
     #[must_use]
-    pub fn with_kept(mut self, kept: usize) -> Self {
-        self.kept = kept.min(self.kept);
+    pub fn with_max_idle(mut self, max_idle: usize) -> Self {
+        self.max_idle = max_idle.min(self.max_idle);
         self
     }
 
-    /// Takes a connection, or opens one when no unused one is left.
+    /// Takes an idle connection, or opens a connection when none is idle.
     ///
     /// # Errors
     ///
-    /// Returns why no connection opened.
+    /// Returns an error when no connection could be opened.
     pub async fn take(self: &Arc<Self>) -> Result<Pooled, OpenError> {
         let permit = Arc::clone(&self.permits).acquire_owned().await;
         let permit = permit.map_err(|_| OpenError::Slow)?;
@@ -120,29 +121,29 @@
         })
     }
 
-    /// Looks for `limit` whether anybody listens at the address.
+    /// Checks by a new connection, within `limit`, that a process listens at the address.
     ///
-    /// The new connection serves the next request. While all connections are in use nothing is
-    /// looked at.
-    pub async fn probe(&self, limit: Duration) -> Found {
+    /// The connection is kept for the next request. No check is made while all connections are in
+    /// use.
+    pub async fn probe(&self, limit: Duration) -> ProbeResult {
         let Ok(_permit) = self.permits.try_acquire() else {
-            return Found::Somebody;
+            return ProbeResult::NotRefused;
         };
         match Conn::open(self.addr, limit).await {
             Ok(conn) => {
                 self.put(conn);
-                Found::Somebody
+                ProbeResult::NotRefused
             }
             Err(OpenError::Connect(err)) if err.kind() == ErrorKind::ConnectionRefused => {
-                Found::Nobody
+                ProbeResult::Refused
             }
-            Err(_) => Found::Somebody,
+            Err(_) => ProbeResult::NotRefused,
         }
     }
 
-    /// Closes the connections that were unused for too long or have ended.
+    /// Closes the connections that were idle for too long or have ended.
     ///
-    /// Returns whether the pool is empty then.
+    /// Returns `true` if no idle connection is left.
     pub fn sweep(&self, now: Instant) -> bool {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain_mut(|conn| !self.is_stale(conn, now) && conn.check());
@@ -166,7 +167,7 @@
     fn put(&self, mut conn: Conn) {
         conn.touch();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < self.kept {
+        if idle.len() < self.max_idle {
             idle.push(conn);
         }
     }
@@ -183,13 +184,13 @@
         &mut self.conn
     }
 
-    /// Tells whether the connection served another request before.
+    /// Returns `true` if the connection has served an earlier request.
     #[must_use]
     pub const fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Gives the connection back when it can take another request, and closes it otherwise.
+    /// Returns the connection to the pool if it can take another request, and closes it otherwise.
     pub fn finish(mut self) {
         if self.conn.check() {
             self.pool.put(self.conn);
--- a/crates/swiftcart-node/src/calls/rng.rs
+++ b/crates/swiftcart-node/src/calls/rng.rs
@@ -1,4 +1,4 @@
-//! The random source of the call path: one for each thread, so that nobody waits for it.
+//! Random number generator of the call path, one per thread to avoid contention.
 
 use std::cell::RefCell;
 
@@ -9,7 +9,7 @@
     static RNG: RefCell<SmallRng> = RefCell::new(SmallRng::from_os_rng());
 }
 
-/// Calls `f` with the thread's random source.
+/// Calls `f` with the random number generator of the thread.
 pub fn with_rng<T>(f: impl FnOnce(&mut SmallRng) -> T) -> T {
     RNG.with_borrow_mut(f)
 }
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -1,4 +1,4 @@
-//! What the backend server beside this node was handed, and whether it has ended under it.
+//! Tracking of the requests that run at the local backend server, and detection of its crashes.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,80 +11,81 @@
 
 use super::answer::AnswerEnd;
 use super::body::{BodySource, Outgoing};
-use super::pool::{Found, Pool};
+use super::pool::{Pool, ProbeResult};
 use super::request::CallPrint;
 use super::rng::with_rng;
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// How long the caller of a broken request waits for the word whether the backend server has
-/// ended. On the own instance a connection opens or is refused within a millisecond; on one with
-/// a tenth of a core the node itself may have to wait for its turn.
-const PROBE_FOR: Duration = Duration::from_millis(50);
+/// Maximum time for which a broken request waits for the check of whether the backend server has
+/// ended. A local connection opens or is refused within a millisecond. On an instance with a tenth
+/// of a core the node itself may have to wait for CPU time.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The most requests that the line of one crash names.
-const NAMED: usize = 32;
+/// Maximum number of request fingerprints in the log line of a crash.
+const MAX_LOGGED_REQUESTS: usize = 32;
 
-/// The requests that one process of the backend server was handed.
+/// Tracker of the requests that one process of the backend server runs.
 #[derive(Debug)]
-pub struct Runs {
+pub struct RunTracker {
     shared: Arc<Shared>,
-    /// The process, as it calls itself.
+    /// Name that the process announced for itself.
     instance: Option<Arc<str>>,
-    watch: Mutex<Watch<Handed>>,
+    watch: Mutex<Watch<FingerprintSource>>,
 }
 
-/// What stands for a request that was handed over; its body is looked at only when it has to be.
+/// Data for the fingerprint of a request; the body is hashed only when the fingerprint is needed.
 #[derive(Debug, Clone)]
-pub struct Handed {
+pub struct FingerprintSource {
     call: CallPrint,
-    body: HandedBody,
+    body: FingerprintBody,
 }
 
 #[derive(Debug, Clone)]
-enum HandedBody {
+enum FingerprintBody {
     Empty,
     Whole(Bytes),
-    Passed(Arc<BodySource>),
+    Streamed(Arc<BodySource>),
 }
 
-/// A request that the backend server was handed; dropped without an answer, it counts as broken.
+/// Request that was sent to the backend server; it counts as broken when it is dropped without a
+/// response.
 #[derive(Debug)]
 pub struct Run {
-    runs: Arc<Runs>,
+    runs: Arc<RunTracker>,
     pool: Arc<Pool>,
     id: RunId,
     open: bool,
-    /// Whether the answer shows that the backend server can run the request.
-    sound: bool,
+    /// `true` if the response shows that the backend server can run the request.
+    is_success: bool,
 }
 
-impl Handed {
-    /// Creates what stands for a call with this body.
+impl FingerprintSource {
+    /// Creates the fingerprint data of a call with `body`.
     #[must_use]
     pub fn new(call: CallPrint, body: &Outgoing) -> Self {
         let body = match body {
-            Outgoing::Empty => HandedBody::Empty,
-            Outgoing::Whole(bytes) => HandedBody::Whole(bytes.clone()),
-            Outgoing::Stream(stream) => HandedBody::Passed(Arc::clone(stream.source())),
+            Outgoing::Empty => FingerprintBody::Empty,
+            Outgoing::Whole(bytes) => FingerprintBody::Whole(bytes.clone()),
+            Outgoing::Stream(stream) => FingerprintBody::Streamed(Arc::clone(stream.source())),
         };
         Self { call, body }
     }
 
-    /// Returns the request's fingerprint; `None` while its body is not there as a whole.
+    /// Returns the fingerprint of the request; `None` if the whole body is not available.
     #[must_use]
-    pub fn print(&self) -> Option<Fingerprint> {
+    pub fn fingerprint(&self) -> Option<Fingerprint> {
         let body = match &self.body {
-            HandedBody::Empty => BodyPrint::default(),
-            HandedBody::Whole(bytes) => BodyPrint::new([&bytes[..]]),
-            HandedBody::Passed(source) => source.print()?,
+            FingerprintBody::Empty => BodyPrint::default(),
+            FingerprintBody::Whole(bytes) => BodyPrint::new([&bytes[..]]),
+            FingerprintBody::Streamed(source) => source.print()?,
         };
         Some(self.call.with_body(body))
     }
 }
 
-impl Runs {
-    /// Creates the watch over the process that calls itself `instance`.
+impl RunTracker {
+    /// Creates the tracker of the process that is named `instance`.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, instance: Option<&str>) -> Arc<Self> {
         Arc::new(Self {
@@ -94,48 +95,49 @@
         })
     }
 
-    /// Notes that the backend server is handed a request over a connection of `pool`.
-    pub fn start(self: &Arc<Self>, pool: &Arc<Pool>, handed: Handed) -> Run {
+    /// Records that a request is sent to the backend server on a connection of `pool`.
+    pub fn start(self: &Arc<Self>, pool: &Arc<Pool>, source: FingerprintSource) -> Run {
         let now = self.shared.clock.now();
         Run {
             runs: Arc::clone(self),
             pool: Arc::clone(pool),
-            id: self.lock().start(now, handed),
+            id: self.lock().start(now, source),
             open: true,
-            sound: false,
+            is_success: false,
         }
     }
 
-    /// Notes that the backend server said that it leaves.
-    pub fn leaves(&self) {
+    /// Records that the backend server announced that it is leaving.
+    pub fn mark_leaving(&self) {
         self.lock().leaves();
     }
 
-    /// Notes that a later process has taken its place.
-    pub fn succeeded(&self) {
+    /// Records that a later process has replaced this one.
+    pub fn record_successor(&self) {
         let now = self.shared.clock.now();
-        let crash = self.lock().succeeded(now, draw());
+        let crash = self.lock().succeeded(now, random_crash_id());
         self.report(crash);
     }
 
-    fn gone(&self) {
+    fn record_gone(&self) {
         let now = self.shared.clock.now();
-        let crash = self.lock().gone(now, draw());
+        let crash = self.lock().gone(now, random_crash_id());
         self.report(crash);
     }
 
-    fn broke(&self, run: RunId) {
+    fn record_break(&self, run: RunId) {
         let now = self.shared.clock.now();
         let crash = self.lock().broke(now, run);
         self.report(crash);
     }
 
-    /// Notes a whole answer; a `sound` one clears the request where it was suspected.
-    fn answered(&self, run: RunId, sound: bool) {
-        let handed = self.lock().answered(run);
+    /// Records a complete response. If `is_success` is set, the request is no longer suspected of
+    /// crashing backend servers.
+    fn record_answer(&self, run: RunId, is_success: bool) {
+        let source = self.lock().answered(run);
         let suspects = &self.shared.suspects;
-        let handed = handed.filter(|handed| sound && suspects.may_hold(handed.call.head));
-        if let Some(print) = handed.and_then(|handed| handed.print()) {
+        let source = source.filter(|source| is_success && suspects.may_hold(source.call.head));
+        if let Some(print) = source.and_then(|source| source.fingerprint()) {
             suspects.finished(self.shared.clock.now(), print);
         }
     }
@@ -144,8 +146,8 @@
         self.lock().has_ended()
     }
 
-    /// Makes known that the backend server has ended, and what it was running.
-    fn report(&self, crash: Option<Crash<Handed>>) {
+    /// Reports the crash of the backend server with the requests that it was running.
+    fn report(&self, crash: Option<Crash<FingerprintSource>>) {
         let Some(Crash { id, runs }) = crash else {
             return;
         };
@@ -153,59 +155,69 @@
         shared
             .counters
             .count("swiftcart_crashes_total", "part", "guard");
-        let prints: Vec<Fingerprint> = runs.iter().filter_map(Handed::print).collect();
+        let prints: Vec<Fingerprint> = runs
+            .iter()
+            .filter_map(FingerprintSource::fingerprint)
+            .collect();
         shared.suspects.crashed(shared.clock.now(), id, &prints);
-        let named: Vec<String> = prints.iter().take(NAMED).map(ToString::to_string).collect();
+        let logged: Vec<String> = prints
+            .iter()
+            .take(MAX_LOGGED_REQUESTS)
+            .map(ToString::to_string)
+            .collect();
         warn!(shared.logger, ""; "event" => Event::Crashed,
             "instance" => self.instance.as_deref().unwrap_or("-"),
             "crash" => format!("{:016x}", id.0), "running" => runs.len(),
-            "prints" => named.join(","));
+            "prints" => logged.join(","));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Watch<Handed>> {
+    fn lock(&self) -> MutexGuard<'_, Watch<FingerprintSource>> {
         self.watch.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Run {
-    /// Notes the answer's status: a backend server that failed, or gave up at the deadline, may
-    /// not have come to what ends it.
+    /// Records the status of the response.
+    ///
+    /// A server error does not clear the request: the backend server may have failed or passed the
+    /// deadline before it reached the code that crashes it.
     #[must_use]
     pub fn with_status(mut self, status: StatusCode) -> Self {
-        self.sound = !status.is_server_error();
+        self.is_success = !status.is_server_error();
         self
     }
 
-    /// Notes that the backend server was not handed the request after all.
+    /// Records that the request was not sent to the backend server.
     pub fn unsent(mut self) {
         self.open = false;
         self.runs.lock().unsent(self.id);
     }
 
-    /// Notes that the backend server lives, and gave an answer that cannot be passed on.
+    /// Records that the backend server is alive, but that its response cannot be passed on.
     pub fn rejected(mut self) {
         self.open = false;
-        self.runs.answered(self.id, false);
+        self.runs.record_answer(self.id, false);
     }
 
-    /// Notes how the answer ended.
+    /// Records how the response ended.
     pub fn close(mut self, end: AnswerEnd) {
         match end {
             AnswerEnd::Whole => {
                 self.open = false;
-                self.runs.answered(self.id, self.sound);
+                self.runs.record_answer(self.id, self.is_success);
             }
-            AnswerEnd::Broken => drop(tokio::spawn(async move { self.broke().await })),
+            AnswerEnd::Broken => drop(tokio::spawn(async move { self.record_break().await })),
             AnswerEnd::Gone => {}
         }
     }
 
-    /// Notes that the answer broke off, and returns why: an end of the backend server or less.
-    pub async fn broke(mut self) -> Reason {
+    /// Records that the response was incomplete, and returns the reason: [`Reason::Crashed`] if the
+    /// backend server has ended, otherwise [`Reason::AnswerBroken`].
+    pub async fn record_break(mut self) -> Reason {
         self.open = false;
-        self.runs.broke(self.id);
-        if !self.runs.has_ended() && self.pool.probe(PROBE_FOR).await == Found::Nobody {
-            self.runs.gone();
+        self.runs.record_break(self.id);
+        if !self.runs.has_ended() && self.pool.probe(PROBE_TIMEOUT).await == ProbeResult::Refused {
+            self.runs.record_gone();
         }
         match self.runs.has_ended() {
             true => Reason::Crashed,
@@ -217,11 +229,11 @@
 impl Drop for Run {
     fn drop(&mut self) {
         if self.open {
-            self.runs.broke(self.id);
+            self.runs.record_break(self.id);
         }
     }
 }
 
-fn draw() -> CrashId {
+fn random_crash_id() -> CrashId {
     CrashId(with_rng(Rng::random))
 }
--- a/crates/swiftcart-node/src/calls/socket.rs
+++ b/crates/swiftcart-node/src/calls/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a caller's or peer's connection, which bears only so much silence and
-//! notices a departure at once.
+//! Socket of a connection from a caller or peer, with a write timeout and immediate detection of
+//! disconnects.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -17,43 +17,43 @@
 
 use super::pipelining::Pipeline;
 
-/// The longest time to read on after the last answer of a connection.
-const LINGER: Duration = Duration::from_secs(1);
+/// Maximum time to keep reading after the last response of a connection.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes read at once.
-const SCRAP: usize = 4096;
+/// Buffer size of one read in bytes.
+const READ_CHUNK_BYTES: usize = 4096;
 
-/// Bytes read ahead at most; a caller that sends more waits until hyper takes them.
-const READ_AHEAD: usize = 16 << 10;
+/// Maximum number of bytes read ahead; a caller that sends more is blocked until hyper reads them.
+const READ_AHEAD_BYTES: usize = 16 << 10;
 
-/// A socket whose writes fail when the other side takes nothing for too long.
+/// Socket whose writes fail when the remote side accepts no data for too long.
 ///
-/// Without it a caller that stops reading would hold a slot for ever. It reads ahead of
-/// hyper, so that the other side's departure is noticed while a request is being answered.
+/// Without the timeout a caller that stops reading would occupy a slot forever. The socket reads
+/// ahead of hyper, so that a disconnect is detected while a request is being processed.
 #[derive(Debug, Clone)]
 pub struct Socket(Arc<Mutex<Inner>>);
 
 #[derive(Debug)]
 struct Inner {
     io: TokioIo<TcpStream>,
-    silence: Duration,
+    write_timeout: Duration,
     timer: Option<Pin<Box<Sleep>>>,
     waiting: bool,
     linger: Option<Pin<Box<Sleep>>>,
-    /// What was read and not taken yet.
+    /// Data that was read ahead and not yet taken by hyper.
     ahead: BytesMut,
-    /// How reading has ended.
+    /// Result of the end of reading.
     end: Option<io::Result<()>>,
     pipeline: Option<Pipeline>,
 }
 
 impl Socket {
-    /// Creates a socket that bears `silence` at most while it has something to write.
+    /// Creates a socket whose writes time out after `write_timeout` without progress.
     #[must_use]
-    pub fn new(stream: TcpStream, silence: Duration, pipeline: Option<Pipeline>) -> Self {
+    pub fn new(stream: TcpStream, write_timeout: Duration, pipeline: Option<Pipeline>) -> Self {
         Self(Arc::new(Mutex::new(Inner {
             io: TokioIo::new(stream),
-            silence,
+            write_timeout,
             timer: None,
             waiting: false,
             linger: None,
@@ -63,11 +63,11 @@
         })))
     }
 
-    /// Reads ahead until the other side has closed or broken the connection.
+    /// Reads ahead until the remote side has closed the connection or the connection has failed.
     pub async fn disconnected(&self) {
         poll_fn(|cx| {
             let mut inner = self.lock();
-            while inner.end.is_none() && inner.ahead.len() < READ_AHEAD {
+            while inner.end.is_none() && inner.ahead.len() < READ_AHEAD_BYTES {
                 ready!(inner.fill(cx));
             }
             match inner.end {
@@ -86,7 +86,7 @@
 impl Inner {
     /// Reads once from the socket.
     fn fill(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut bytes = [MaybeUninit::uninit(); SCRAP];
+        let mut bytes = [MaybeUninit::uninit(); READ_CHUNK_BYTES];
         let mut buf = ReadBuf::uninit(&mut bytes);
         match ready!(Pin::new(&mut self.io).poll_read(cx, buf.unfilled())) {
             Ok(()) if buf.filled().is_empty() => self.end = Some(Ok(())),
@@ -101,7 +101,7 @@
         Poll::Ready(())
     }
 
-    fn bound<T>(
+    fn apply_timeout<T>(
         &mut self,
         cx: &mut Context<'_>,
         result: Poll<io::Result<T>>,
@@ -110,11 +110,13 @@
             self.waiting = false;
             return result;
         }
-        let silence = self.silence;
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(silence)));
+        let write_timeout = self.write_timeout;
+        let timer = self
+            .timer
+            .get_or_insert_with(|| Box::pin(sleep(write_timeout)));
         if !self.waiting {
             self.waiting = true;
-            timer.as_mut().reset(Instant::now() + silence);
+            timer.as_mut().reset(Instant::now() + write_timeout);
         }
         match timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
@@ -142,7 +144,7 @@
                 inner.end = end;
                 buf.put_slice(&inner.ahead.split_to(len));
                 if inner.ahead.is_empty() {
-                    // An unused connection holds no buffer.
+                    // An idle connection keeps no buffer.
                     inner.ahead = BytesMut::new();
                 }
                 Poll::Ready(Ok(()))
@@ -159,22 +161,22 @@
     ) -> Poll<io::Result<usize>> {
         let mut inner = self.lock();
         let result = Pin::new(&mut inner.io).poll_write(cx, buf);
-        inner.bound(cx, result)
+        inner.apply_timeout(cx, result)
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.lock().io).poll_flush(cx)
     }
 
-    /// Ends the writing side, then reads on for a moment.
+    /// Shuts down the write side, then keeps reading for at most [`LINGER_TIMEOUT`].
     ///
-    /// Closing a socket that still has something to read resets the connection, and
-    /// the answer with it: a caller whose upload is refused would never learn why.
+    /// Closing a socket with unread data resets the connection, and the response is lost: a caller
+    /// whose upload is refused would not receive the reason.
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut inner = self.lock();
         if inner.linger.is_none() {
             ready!(Pin::new(&mut inner.io).poll_shutdown(cx))?;
-            inner.linger = Some(Box::pin(sleep(LINGER)));
+            inner.linger = Some(Box::pin(sleep(LINGER_TIMEOUT)));
         }
         inner.pipeline = None;
         while inner.end.is_none() {
@@ -202,6 +204,6 @@
     ) -> Poll<io::Result<usize>> {
         let mut inner = self.lock();
         let result = Pin::new(&mut inner.io).poll_write_vectored(cx, bufs);
-        inner.bound(cx, result)
+        inner.apply_timeout(cx, result)
     }
 }
--- a/crates/swiftcart-node/src/calls/upstream.rs
+++ b/crates/swiftcart-node/src/calls/upstream.rs
@@ -1,4 +1,4 @@
-//! The backend server beside this node: its connections, its admission and the hand-over.
+//! Client of the local backend server: connections, admission control and sending of requests.
 
 use std::sync::Arc;
 
@@ -16,39 +16,42 @@
 use super::notices::Notices;
 use super::pool::{Pool, Pooled};
 use super::request::Call;
-use super::runs::{Handed, Run, Runs};
+use super::runs::{FingerprintSource, Run, RunTracker};
 use crate::clock::Clock;
 use crate::registration::Identity;
 use crate::settings::Headers;
 use crate::shared::Shared;
 
-/// The backend server as it announced itself, with its connections and admission.
+/// Local backend server as announced, with its connections and admission control.
 #[derive(Debug, Clone)]
 pub struct Upstream {
     backend: Backend,
-    /// Which process of which backend server it is, where that is known.
+    /// Identity of the backend server's process, if it is known.
     identity: Option<Identity>,
     headers: Arc<Headers>,
     clock: Clock,
     pool: Arc<Pool>,
     admissions: Arc<Admissions>,
-    runs: Arc<Runs>,
+    runs: Arc<RunTracker>,
     notices: Arc<Notices>,
 }
 
-/// The head of an answer, and what its body comes over.
+/// Head of a response, with the connection that its body arrives on.
 #[derive(Debug)]
 pub struct Sent {
-    /// The answer.
+    /// Response of the backend server.
     pub response: Response<Incoming>,
-    /// The connection that it comes over.
+    /// Connection that the response arrives on.
     pub pooled: Pooled,
-    /// The request, as it was handed over.
+    /// Tracked run of the request.
     pub run: Run,
 }
 
 impl Upstream {
-    /// Creates the upstream for `backend`, with what is kept of the `old` one.
+    /// Creates the upstream for `backend`.
+    ///
+    /// The admission control, the runs and the notices of `old` are kept if service, address and
+    /// process are the same. Its connection pool is kept if the connection bound is the same, too.
     #[must_use]
     pub fn new(shared: &Arc<Shared>, old: Option<&Self>, backend: Backend) -> Self {
         let limits = &shared.settings.limits;
@@ -77,7 +80,7 @@
             |old| Arc::clone(&old.admissions),
         );
         let runs = same.map_or_else(
-            || Runs::new(shared, shared.registration().id()),
+            || RunTracker::new(shared, shared.registration().id()),
             |old| Arc::clone(&old.runs),
         );
         let notices = same.map_or_else(
@@ -90,7 +93,7 @@
                 || {
                     let bound = backend.connections as usize;
                     let (idle, connect) = (limits.idle_timeout(), limits.connect_timeout());
-                    Arc::new(Pool::new(backend.addr, bound, idle, connect).with_end())
+                    Arc::new(Pool::new(backend.addr, bound, idle, connect).with_end_signal())
                 },
                 |old| Arc::clone(&old.pool),
             );
@@ -106,145 +109,149 @@
         }
     }
 
-    /// Takes over the table's limits, the number of the service's guards and the gate.
-    pub fn adopt(&self, limits: Limits, guards: usize, stopping: bool) {
+    /// Applies the limits of the service, the number of its guards and the admission state.
+    pub fn apply_limits(&self, limits: Limits, guards: usize, stopping: bool) {
         self.admissions
             .set_admission_state(admission_state(self.backend.readiness, stopping));
         self.admissions.resize(self.backend.slots, limits, guards);
         if self.backend.readiness == Readiness::Draining {
-            self.runs.leaves();
+            self.runs.mark_leaving();
         }
     }
 
-    /// Takes no new work any more; what waits is refused, since it has not run.
+    /// Stops admitting requests; waiting requests are refused, since they have not run.
     pub fn close(&self) {
         self.admissions
             .set_admission_state(AdmissionState::Draining);
     }
 
-    /// Makes way for `next`, which has taken this backend server's place.
+    /// Closes this upstream after `next` has replaced it.
     ///
-    /// When it is a later process of the same backend server, this one is gone, and so are the
-    /// answers to what it was running. Another backend server may have started while this one
-    /// finishes its work.
-    pub fn give_way(&self, next: &Self) {
+    /// If `next` is a later process of the same backend server, this process has ended and its
+    /// running requests get no responses. If `next` is a different backend server, this one may
+    /// still be finishing its requests.
+    pub fn replace_with(&self, next: &Self) {
         if Arc::ptr_eq(&self.admissions, &next.admissions) {
             return;
         }
         self.close();
         match (&self.identity, &next.identity) {
             (Some(old), Some(new)) if new.succeeds(old) => {
-                self.runs.succeeded();
+                self.runs.record_successor();
                 self.pool.end();
             }
-            (Some(old), Some(new)) if new.id != old.id => self.runs.succeeded(),
+            (Some(old), Some(new)) if new.id != old.id => self.runs.record_successor(),
             _ => {}
         }
     }
 
-    /// Notes that the backend server has left, or is heard of no more.
-    pub fn leave(&self) {
-        self.runs.leaves();
+    /// Records that the backend server is leaving or is no longer announced.
+    pub fn mark_leaving(&self) {
+        self.runs.mark_leaving();
         self.close();
     }
 
-    /// Returns the service that the backend server belongs to.
+    /// Returns the service of the backend server.
     #[must_use]
     pub const fn service(&self) -> &ServiceName {
         &self.backend.service
     }
 
-    /// Returns the load to carry back on answers.
+    /// Returns the load that is reported with responses.
     #[must_use]
     pub fn load(&self) -> Load {
         self.admissions.load()
     }
 
-    /// Returns the backend server's pace to carry back on answers.
+    /// Returns the pace of the backend server that is reported with responses.
     #[must_use]
     pub fn pace(&self) -> Option<Pace> {
         self.admissions.pace()
     }
 
-    /// Returns what the backend server said of itself in its answers.
+    /// Returns the current notice from the responses of the backend server.
     #[must_use]
-    pub fn told(&self) -> ProcessNotice {
-        self.notices.told()
+    pub fn process_notice(&self) -> ProcessNotice {
+        self.notices.process_notice()
     }
 
-    /// Takes what another node was told of the backend server.
-    pub fn relay(&self, told: ProcessNotice) {
-        let notice = self.notices.relay(told);
-        notice.into_iter().for_each(|notice| self.heed(notice));
+    /// Applies a notice of the backend server that another node received.
+    pub fn relay(&self, notice: ProcessNotice) {
+        let notice = self.notices.relay(notice);
+        notice
+            .into_iter()
+            .for_each(|notice| self.apply_notice(notice));
     }
 
-    /// Closes unused connections.
+    /// Closes idle connections.
     pub fn sweep(&self) {
         self.pool.sweep(tokio::time::Instant::now());
     }
 
-    /// Waits for the right to run a request.
+    /// Waits for a slot to run a request.
     ///
     /// # Errors
     ///
-    /// Returns why the request is not run.
+    /// Returns a refusal when the request is not admitted.
     pub async fn enter(&self, call: &Call) -> Result<Slot, Refusal> {
         self.admissions.enter(call.admission_request()).await
     }
 
-    /// Tells whether a request would be let in now, and takes its part of the rate.
+    /// Checks that a request would be admitted now, and charges it to the rate limit.
     ///
     /// # Errors
     ///
-    /// Returns why the request would not be run.
+    /// Returns a refusal when the request would not be admitted.
     pub fn probe(&self, call: &Call) -> Result<(), Refusal> {
         self.admissions.probe(call.admission_request())
     }
 
-    /// Waits for the right to run a request after [`probe`](Self::probe).
+    /// Waits for a slot to run a request that passed [`probe`](Self::probe).
     ///
     /// # Errors
     ///
-    /// Returns why the request is not run.
+    /// Returns a refusal when the request is not admitted.
     pub async fn enter_probed(&self, call: &Call) -> Result<Slot, Refusal> {
         self.admissions.enter_probed(call.admission_request()).await
     }
 
-    /// Hands `request` over, to be started before `until`, and waits for the answer's head.
+    /// Sends `request` with the deadline `until`, and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; the reason's outcome is `not-run` only when
-    /// nothing of the request was written. [`Reason::Crashed`] when the backend server has ended.
+    /// Returns the reason when there is no response. Its outcome is `not-run` only when nothing of
+    /// the request was written. It is [`Reason::Crashed`] when the backend server has ended.
     pub async fn send(
         &self,
         call: &Call,
         until: Instant,
         mut request: Request<Outgoing>,
     ) -> Result<Sent, Reason> {
-        self.address(request.headers_mut(), until, call)?;
+        self.set_headers(request.headers_mut(), until, call)?;
         let until = self.clock.tokio(until);
-        let handed = Handed::new(call.print, request.body());
+        let source = FingerprintSource::new(call.print, request.body());
         let mut run = None;
-        let handing = || {
-            let before = run.replace(self.runs.start(&self.pool, handed.clone()));
+        let on_send = || {
+            let before = run.replace(self.runs.start(&self.pool, source.clone()));
             if let Some(before) = before {
                 before.unsent();
             }
         };
         let start = self.clock.now();
-        let sent = exchange(&self.pool, until, request, Reason::ConnectFailed, handing).await;
+        let sent = exchange(&self.pool, until, request, Reason::ConnectFailed, on_send).await;
         match (sent, run) {
             (Ok((response, pooled)), Some(run)) => {
-                let notice = self.notices.hear(call, start, response.headers());
-                notice.into_iter().for_each(|notice| self.heed(notice));
+                let notice = self.notices.observe(call, start, response.headers());
+                notice
+                    .into_iter()
+                    .for_each(|notice| self.apply_notice(notice));
                 Ok(Sent {
                     run: run.with_status(response.status()),
                     response,
                     pooled,
                 })
             }
-            (Err(Reason::AnswerBroken), Some(run)) => Err(run.broke().await),
+            (Err(Reason::AnswerBroken), Some(run)) => Err(run.record_break().await),
             (Err(reason), Some(run)) if reason.outcome() == Outcome::NotRun => {
                 run.unsent();
                 Err(reason)
@@ -254,17 +261,22 @@
         }
     }
 
-    /// Acts on what the backend server has said of itself.
-    fn heed(&self, notice: Notice) {
+    /// Applies a notice of the backend server.
+    fn apply_notice(&self, notice: Notice) {
         self.admissions.set_rate(notice.rate);
         if notice.leaving {
-            self.leave();
-            self.notices.leaves(self.identity.as_ref());
+            self.mark_leaving();
+            self.notices.mark_draining(self.identity.as_ref());
         }
     }
 
-    /// Sets the headers that the backend server gets from the node beside it.
-    fn address(&self, headers: &mut HeaderMap, until: Instant, call: &Call) -> Result<(), Reason> {
+    /// Sets the headers that the guard adds for the backend server.
+    fn set_headers(
+        &self,
+        headers: &mut HeaderMap,
+        until: Instant,
+        call: &Call,
+    ) -> Result<(), Reason> {
         let names = &*self.headers;
         match names.time_left {
             true => {
--- a/crates/swiftcart-node/src/calls/verdict.rs
+++ b/crates/swiftcart-node/src/calls/verdict.rs
@@ -1,4 +1,4 @@
-//! What a guard concludes from the head of a backend server's answer.
+//! Validation of the head of a backend server's response.
 
 use http::{HeaderMap, HeaderName, Method, Response};
 use swiftcart_core::Reason;
@@ -7,14 +7,15 @@
 use super::request::Call;
 use crate::settings::{Name, Settings};
 
-/// Checks that an answer belongs to `call`, is complete in form, and was not a refusal.
+/// Checks that a response belongs to `call`, is well framed and is not a refusal.
 ///
 /// # Errors
 ///
-/// [`Reason::Shed`] when the backend server says that it did not run the request, and
-/// [`Reason::AnswerBroken`] when the answer cannot be passed on: it bears another
-/// request's id, lacks the mark of a success, or has no length where one is needed.
-pub fn judge<B>(
+/// Returns [`Reason::Shed`] when the backend server states that it did not run the request.
+/// Returns [`Reason::AnswerBroken`] when the response cannot be passed on: it does not have the id
+/// of the request, lacks the signature header of a successful response, or has no length although
+/// one is required.
+pub fn check_response<B>(
     settings: &Settings,
     call: &Call,
     method: &Method,
@@ -25,11 +26,11 @@
     let has = |name: &Name| headers.contains_key(&name.0);
     let id = names
         .own_ids
-        .then(|| ids(&names.request_id.0, headers, call));
+        .then(|| compare_ids(&names.request_id.0, headers, call));
     match (id, answer.status()) {
-        (Some(Id::Other), _) => Err(Reason::AnswerBroken),
+        (Some(IdMatch::Mismatch), _) => Err(Reason::AnswerBroken),
         _ if names.not_run.as_ref().is_some_and(has) => Err(Reason::Shed),
-        (Some(Id::Missing), _) => Err(Reason::AnswerBroken),
+        (Some(IdMatch::Missing), _) => Err(Reason::AnswerBroken),
         (_, status) if status.is_success() && names.signature.as_ref().is_some_and(|n| !has(n)) => {
             Err(Reason::AnswerBroken)
         }
@@ -38,19 +39,19 @@
     }
 }
 
-/// Tells whose id an answer bears.
+/// Result of the comparison of a response's id with the id of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Id {
-    Own,
+enum IdMatch {
+    Match,
     Missing,
-    Other,
+    Mismatch,
 }
 
-fn ids(name: &HeaderName, headers: &HeaderMap, call: &Call) -> Id {
+fn compare_ids(name: &HeaderName, headers: &HeaderMap, call: &Call) -> IdMatch {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
-        (None, _) => Id::Missing,
-        (Some(id), None) if *id == call.id.0 => Id::Own,
-        _ => Id::Other,
+        (None, _) => IdMatch::Missing,
+        (Some(id), None) if *id == call.id.0 => IdMatch::Match,
+        _ => IdMatch::Mismatch,
     }
 }
--- a/crates/swiftcart-node/tests/common/mod.rs
+++ b/crates/swiftcart-node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes, stand-ins and callers for the tests of the call path.
+//! Helpers of the call path tests: nodes, stand-in servers and callers.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -20,24 +20,25 @@
 use swiftcart_standin::{BackendServer, BackendSettings, Log};
 use tokio::net::TcpStream;
 
-/// The service that the tests' table routes `/` to.
+/// Service that the tests' table routes `/` to.
 pub const SERVICE: &str = "booking";
 
-/// How long a condition may take before the test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-static NEXT: AtomicU16 = AtomicU16::new(1);
+static NEXT_ADDRESS: AtomicU16 = AtomicU16::new(1);
 
-/// Returns a loopback address of this test alone, so that fixed ports never collide.
+/// Returns a loopback address that no other test uses, so that fixed ports never collide.
 pub fn own_ip() -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    let n = u8::try_from(n).expect("few addresses");
+    let n = NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed);
+    let n = u8::try_from(n).expect("at most 255 addresses per test process");
     Ipv4Addr::new(127, high, low, n)
 }
 
-/// Returns an address that nobody listens on, now or later: a port that was free a
-/// moment ago may be given to another test's listener.
+/// Returns an address on which nothing ever listens.
+///
+/// A free port of a shared address would not do, because another test's listener may get it.
 pub fn dead_addr() -> SocketAddr {
     (own_ip(), 9).into()
 }
@@ -58,7 +59,7 @@
     .to_string()
 }
 
-/// Starts a log that holds a table with one route and one service.
+/// Starts a log with a table of one route and one service.
 pub async fn log_with(limits: Limits) -> Log {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let log = Log::start(any).await.unwrap();
@@ -76,7 +77,7 @@
     log
 }
 
-/// Starts a node that joins no other and waits until it is ready.
+/// Starts a node without seeds and waits until it is ready.
 pub async fn node(log: &Log) -> Node {
     start(log, &[]).await
 }
@@ -86,14 +87,14 @@
     start(log, &[seed]).await
 }
 
-/// Starts a node that joins `other` and waits until it routes to its backend server.
+/// Starts a node that joins `other`, and waits until it routes to the backend server of `other`.
 pub async fn node_beside(other: &Node, log: &Log) -> Node {
     let node = joining_node(other.shared().id.0, log).await;
     wait_until_routed(&node, other.shared().id).await;
     node
 }
 
-/// Starts a node whose instance's link carries `mbit_s` and waits until it is ready.
+/// Starts a node with a link rate of `mbit_s` and waits until it is ready.
 pub async fn node_on_link(log: &Log, mbit_s: f64) -> Node {
     let mut settings = settings(log, &[]);
     settings.link.mbit_s = mbit_s;
@@ -113,14 +114,14 @@
     let node = Node::start(settings, silent_log()).await.unwrap();
     let mut phase = node.shared().phase.subscribe();
     let ready = phase.wait_for(|phase| *phase == Phase::Ready);
-    tokio::time::timeout(PATIENCE, ready)
+    tokio::time::timeout(CONDITION_TIMEOUT, ready)
         .await
         .unwrap()
         .unwrap();
     node
 }
 
-/// Starts a backend server that announces itself to `node`, and waits until it is routed to.
+/// Starts a backend server that announces itself to `node`, and waits until `node` routes to it.
 pub async fn backend_at(node: &Node, settings: BackendSettings) -> BackendServer {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let admin = node.shared().settings.listen.admin;
@@ -131,7 +132,7 @@
     backend
 }
 
-/// Announces whatever listens on `addr` as the backend server beside `node`.
+/// Announces `addr` as the address of the backend server beside `node`.
 pub async fn announce(node: &Node, addr: SocketAddr) {
     node.shared().backend.send_replace(Some(Backend {
         service: ServiceName::new(SERVICE),
@@ -148,34 +149,34 @@
     until(|| node.shared().view.load().has_candidate(id)).await;
 }
 
-/// Waits for a condition.
+/// Waits until `condition` is true.
 pub async fn until(mut condition: impl FnMut() -> bool) {
     until_async(async || condition()).await;
 }
 
-/// Waits for a condition that is looked at over the network.
+/// Waits until `condition` is true; the condition may use the network.
 pub async fn until_async(mut condition: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(CONDITION_TIMEOUT, wait)
         .await
-        .expect("the condition never held");
+        .expect("condition not met before the timeout");
 }
 
-/// What a caller got.
+/// Response that a caller received.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// `None` when the answer broke off.
+    /// `None` when the response ended early.
     pub body: Option<Bytes>,
 }
 
 impl Reply {
-    /// Returns status, outcome and reason, with `-` for a header that is absent.
+    /// Returns the status, the outcome and the reason, with `-` for an absent header.
     pub fn summary(&self) -> (u16, &str, &str) {
         let text = |name| self.headers.get(name).map_or("-", |v| v.to_str().unwrap());
         let outcome = text("swiftcart-outcome");
@@ -183,7 +184,7 @@
     }
 }
 
-/// Sends one request on a connection of its own and returns the answer's head.
+/// Sends one request on a new connection and returns the head of the response.
 pub async fn head(node: &Node, request: Request<Full<Bytes>>) -> Response<Incoming> {
     head_at(node.shared().settings.listen.calls, request).await
 }
@@ -195,12 +196,12 @@
     sender.send_request(request).await.unwrap()
 }
 
-/// Sends one request on a connection of its own and reads the answer.
+/// Sends one request on a new connection and reads the response.
 pub async fn call(node: &Node, request: Request<Full<Bytes>>) -> Reply {
     call_at(node.shared().settings.listen.calls, request).await
 }
 
-/// Sends one request to `addr` on a connection of its own and reads the answer.
+/// Sends one request to `addr` on a new connection and reads the response.
 pub async fn call_at(addr: SocketAddr, request: Request<Full<Bytes>>) -> Reply {
     let (head, body) = head_at(addr, request).await.into_parts();
     Reply {
@@ -210,7 +211,7 @@
     }
 }
 
-/// Creates a request with these headers.
+/// Creates a request with `headers`; its body is empty for `GET` and a fixed text otherwise.
 pub fn request(method: &str, path: &str, headers: &[(&str, &str)]) -> Request<Full<Bytes>> {
     let mut request = Request::builder()
         .method(method)
--- a/crates/swiftcart-node/tests/keyed.rs
+++ b/crates/swiftcart-node/tests/keyed.rs
@@ -1,4 +1,5 @@
-//! Requests with an idempotency key: run once, answered the same again.
+//! Tests of requests with an idempotency key: a request runs once, and a retry gets the stored
+//! response.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -24,7 +25,7 @@
     cancelled: 0,
 };
 
-async fn mesh() -> (Log, Node, BackendServer) {
+async fn start_mesh() -> (Log, Node, BackendServer) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let backend = backend_at(&node, BackendSettings::new(SERVICE)).await;
@@ -35,8 +36,8 @@
     request("POST", "/book", &[KEY]).map(|_| Full::new(body.into()))
 }
 
-/// Repeats the request until no attempt is in progress.
-async fn settled(node: &Node) -> Reply {
+/// Sends the request until the reply is not `key-in-progress`.
+async fn call_until_settled(node: &Node) -> Reply {
     loop {
         let got = call(node, with_body("pitch 7")).await;
         if got.summary() != (409, "unknown", "key-in-progress") {
@@ -46,10 +47,10 @@
 }
 
 #[tokio::test]
-async fn a_repeat_gets_the_stored_answer_and_another_body_is_refused() {
-    let (_log, node, backend) = mesh().await;
+async fn retry_gets_the_stored_response_and_a_different_body_is_refused() {
+    let (_log, node, backend) = start_mesh().await;
     let first = call(&node, with_body("pitch 7")).await;
-    let again = settled(&node).await;
+    let again = call_until_settled(&node).await;
     let other = call(&node, with_body("pitch 8")).await;
     assert_eq!(first.summary(), (200, "-", "-"));
     let replayed = again.headers.get("idempotent-replayed");
@@ -63,14 +64,14 @@
 }
 
 #[tokio::test]
-async fn attempts_through_two_guards_at_once_run_once() {
+async fn concurrent_attempts_through_two_guards_run_once() {
     let log = log_with(Limits::default()).await;
     let (a, b) = (node(&log).await, node(&log).await);
     let backends = [
         backend_at(&a, BackendSettings::new(SERVICE)).await,
         backend_at(&b, BackendSettings::new(SERVICE)).await,
     ];
-    // The nodes do not know each other, so that each one claims for its own backend server.
+    // The nodes do not know each other, so each one claims the request for its own backend server.
     let to = |node| call(node, with_body("pitch 7"));
     let (g1, g2, g3, g4) = tokio::join!(to(&a), to(&b), to(&a), to(&b));
     let got = [g1, g2, g3, g4];
@@ -86,8 +87,8 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_left_after_the_hand_over_finds_its_answer() {
-    let (_log, node, backend) = mesh().await;
+async fn caller_that_disconnects_after_the_hand_over_gets_the_stored_response() {
+    let (_log, node, backend) = start_mesh().await;
     backend.set_faults(BackendFaults::new().with_slow_ms(200));
     let mut socket = TcpStream::connect(node.shared().settings.listen.calls)
         .await
@@ -100,21 +101,21 @@
     until(|| backend.runs_by_key(KEY.1).started == 1).await;
     drop(socket);
     until(|| backend.runs_by_key(KEY.1).finished == 1).await;
-    let again = settled(&node).await;
+    let again = call_until_settled(&node).await;
     assert_eq!(again.summary(), (200, "-", "-"));
     assert_eq!(backend.runs_by_key(KEY.1), ONCE);
 }
 
 #[rstest]
-#[case::platform_out("pitch 7".into(), true, (503, "not-run", "platform-down"))]
-#[case::body_over_the_bound(vec![7; (1 << 20) + 1], false, (413, "not-run", "body-too-large"))]
+#[case::platform_unavailable("pitch 7".into(), true, (503, "not-run", "platform-down"))]
+#[case::body_over_the_limit(vec![7; (1 << 20) + 1], false, (413, "not-run", "body-too-large"))]
 #[tokio::test]
-async fn what_cannot_be_claimed_is_not_run(
+async fn request_that_cannot_be_claimed_is_not_run(
     #[case] body: Vec<u8>,
     #[case] outage: bool,
     #[case] summary: (u16, &str, &str),
 ) {
-    let (log, node, backend) = mesh().await;
+    let (log, node, backend) = start_mesh().await;
     assert_eq!(
         call(
             &node,
@@ -138,20 +139,20 @@
 }
 
 #[tokio::test]
-async fn an_unknown_end_is_remembered_and_never_run_again() {
-    let (_log, node, backend) = mesh().await;
+async fn request_with_unknown_outcome_is_never_run_again() {
+    let (_log, node, backend) = start_mesh().await;
     backend.set_faults(BackendFaults::new().with_lose_answers(1));
     let first = call(&node, with_body("pitch 7")).await;
     assert_eq!(first.summary(), (502, "unknown", "answer-broken"));
-    let again = settled(&node).await;
+    let again = call_until_settled(&node).await;
     assert_eq!(again.summary(), (502, "unknown", "answer-broken"));
     assert_eq!(backend.runs_by_key(KEY.1).started, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_partition_with_more_than_a_page_of_long_records_is_read_in_smaller_pages() {
+async fn partition_with_oversize_pages_is_read_in_smaller_pages() {
     let log = log_with(Limits::default()).await;
-    // Each byte takes two in JSON, which the log does not count.
+    // Each byte takes two bytes in JSON. The log does not count the escapes.
     let long = "\"".repeat(250 * 1024);
     for partition in 0..8 {
         for _ in 0..18 {
--- a/crates/swiftcart-node/tests/mesh/mod.rs
+++ b/crates/swiftcart-node/tests/mesh/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own, with kills, freezes and cuts.
+//! Test harness that runs nodes as separate processes and kills, pauses and partitions them.
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -24,10 +24,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long a condition may take before the test fails.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How long one look at a node may take; a frozen node does not answer.
-const LOOK: Duration = Duration::from_secs(2);
+/// Maximum time for a condition to become true.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout of one request to a node, needed because a paused node does not respond.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 const PORTS: [(&str, u16); 5] = [
     ("calls", 7001),
     ("peer", 7002),
@@ -36,9 +36,9 @@
     ("sync", 7005),
 ];
 
-static MESHES: AtomicU8 = AtomicU8::new(100);
+static NEXT_MESH: AtomicU8 = AtomicU8::new(100);
 
-/// What a node tells of itself.
+/// State that a node reports.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
 pub struct State {
     pub version: Version,
@@ -46,7 +46,7 @@
     pub digest: String,
 }
 
-/// One node, which may be down.
+/// Process of one node, which may be stopped.
 #[derive(Debug)]
 pub struct Process {
     pub ip: Ipv4Addr,
@@ -55,7 +55,7 @@
     cut: Vec<SocketAddr>,
 }
 
-/// The nodes of a few failure domains around one log.
+/// Nodes of several failure domains that share one log.
 #[derive(Debug)]
 pub struct Mesh {
     pub log: Log,
@@ -63,12 +63,12 @@
     dir: TempDir,
     table: Table,
     publishes: u128,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<ObservedVersions>>,
 }
 
-/// What the watch has seen of each address.
+/// Versions that were observed at each address.
 #[derive(Debug, Default)]
-struct Seen {
+struct ObservedVersions {
     greatest: BTreeMap<Ipv4Addr, Version>,
     reverts: BTreeSet<(Ipv4Addr, Version, Version)>,
 }
@@ -89,7 +89,7 @@
         kill_process(pid, signal).unwrap();
     }
 
-    /// Stops the process without its knowledge, longer than every timeout if need be.
+    /// Pauses the process until [`resume`](Self::resume), which may be longer than every timeout.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
@@ -115,11 +115,12 @@
 }
 
 impl Mesh {
-    /// Starts so many nodes in each failure domain and waits until all are ready and known.
+    /// Starts the given number of nodes in each failure domain and waits until all are ready and
+    /// know each other.
     pub async fn start(domains: &[(&'static str, usize)]) -> Self {
         let log = Log::start(([127, 0, 0, 1], 0).into()).await.unwrap();
         let [.., high, low] = std::process::id().to_be_bytes();
-        let mesh = MESHES.fetch_add(1, Ordering::Relaxed);
+        let mesh = NEXT_MESH.fetch_add(1, Ordering::Relaxed);
         let names = domains.iter().flat_map(|(d, n)| vec![*d; *n]);
         let nodes = names.zip(1..).map(|(domain, n)| Process {
             ip: Ipv4Addr::new(127, high | 1, low ^ mesh, n),
@@ -138,21 +139,21 @@
         for i in 0..mesh.nodes.len() {
             mesh.spawn(i);
         }
-        mesh.watch();
+        mesh.watch_versions();
         let all: Vec<_> = (0..mesh.nodes.len()).collect();
         mesh.until_known(&all).await;
         mesh
     }
 
-    /// Starts a process in the place of one that is down, at the same addresses.
+    /// Starts the process of node `i`, which must not be running, at the node's addresses.
     pub fn spawn(&mut self, i: usize) {
         let node = &self.nodes[i];
         let listen: BTreeMap<_, _> = PORTS
             .iter()
             .map(|(name, _)| (name, node.addr(name)))
             .collect();
-        let firsts = self.nodes.iter().enumerate();
-        let seeds: Vec<_> = firsts
+        let indexed = self.nodes.iter().enumerate();
+        let seeds: Vec<_> = indexed
             .filter(|(j, n)| *j == 0 || self.nodes[j - 1].domain != n.domain)
             .map(|(_, n)| n.addr("gossip"))
             .collect();
@@ -175,7 +176,7 @@
         self.nodes[i].child = Some(child);
     }
 
-    /// Publishes a table with one more service, and returns its version.
+    /// Publishes the table with another service added, and returns the new version.
     pub fn publish(&mut self) -> Version {
         self.publishes += 1;
         let name = format!("s{}", self.publishes);
@@ -198,7 +199,7 @@
         Version(self.log.append("config", &body).unwrap() + 1)
     }
 
-    /// Announces a backend server of `service` beside a node, for a long time.
+    /// Announces a backend server of `service` at node `i`, with a TTL of ten minutes.
     pub async fn announce(&self, i: usize, service: &str, readiness: &str) {
         let body = json!({"service": service, "addr": "127.0.0.1:1", "slots": 4,
             "connections": 4, "readiness": readiness, "ttl_ms": 600_000});
@@ -208,7 +209,7 @@
             .unwrap();
     }
 
-    /// Cuts these nodes off from all others, and from the platform when `platform` says so.
+    /// Partitions the nodes of `group` from all others, and from the platform if `platform` is set.
     pub async fn cut(&mut self, group: &[usize], platform: bool) {
         for i in 0..self.nodes.len() {
             let is_inside = group.contains(&i);
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Ends every cut.
+    /// Removes all partitions.
     pub async fn heal(&mut self) {
         for i in 0..self.nodes.len() {
             self.set_cut(i, &[]).await;
@@ -238,12 +239,12 @@
     }
 
     pub async fn state(&self, i: usize) -> Option<State> {
-        look(self.nodes[i].admin(), "/v1/state").await
+        get_json(self.nodes[i].admin(), "/v1/state").await
     }
 
-    /// Returns how node `i` sees each node; a node that it does not know is missing.
+    /// Returns the liveness of each node that node `i` knows.
     pub async fn liveness(&self, i: usize) -> BTreeMap<usize, Liveness> {
-        let members: Vec<Member> = look(self.nodes[i].admin(), "/v1/members")
+        let members: Vec<Member> = get_json(self.nodes[i].admin(), "/v1/members")
             .await
             .unwrap_or_default();
         let place = |m: &Member| self.nodes.iter().position(|n| n.addr("gossip") == m.id.0);
@@ -253,7 +254,7 @@
             .collect()
     }
 
-    /// Waits until these nodes are ready and each knows all of them alive.
+    /// Waits until the nodes of `group` are ready and each considers all of them alive.
     pub async fn until_known(&self, group: &[usize]) {
         until(async || {
             for i in group {
@@ -269,7 +270,7 @@
         .await;
     }
 
-    /// Waits until these nodes are ready at `version`, all with the same digest.
+    /// Waits until the nodes of `group` are ready at `version` with the same digest.
     pub async fn until_at(&self, group: &[usize], version: Version) {
         until(async || {
             let mut digests = Vec::new();
@@ -287,21 +288,21 @@
         .await;
     }
 
-    /// Returns every step back that a ready node has made since the start.
+    /// Returns every observed change of a node to a lower version.
     pub fn reverts(&self) -> Vec<(Ipv4Addr, Version, Version)> {
         let seen = self.seen.lock().unwrap();
         seen.reverts.iter().copied().collect()
     }
 
-    /// Looks at every node all the time, over its restarts.
-    fn watch(&self) {
+    /// Polls the version of every node continuously, including across restarts.
+    fn watch_versions(&self) {
         for node in &self.nodes {
             let (ip, admin) = (node.ip, node.admin());
             let seen = Arc::downgrade(&self.seen);
             tokio::spawn(async move {
                 while let Some(seen) = seen.upgrade() {
-                    if let Some(state) = look::<State>(admin, "/v1/state").await {
-                        seen.lock().unwrap().note(ip, &state);
+                    if let Some(state) = get_json::<State>(admin, "/v1/state").await {
+                        seen.lock().unwrap().record(ip, &state);
                     }
                     drop(seen);
                     sleep(Duration::from_millis(10)).await;
@@ -311,11 +312,11 @@
     }
 }
 
-impl Seen {
-    fn note(&mut self, ip: Ipv4Addr, state: &State) {
+impl ObservedVersions {
+    fn record(&mut self, ip: Ipv4Addr, state: &State) {
         let greatest = self.greatest.entry(ip).or_default();
         match state.version {
-            // A process that does not serve yet has put nothing in force.
+            // A process that is not ready and reports no version has not loaded a table yet.
             version if version < *greatest && (state.ready || version > Version::NONE) => {
                 self.reverts.insert((ip, *greatest, version));
             }
@@ -324,24 +325,24 @@
     }
 }
 
-/// Waits for a condition that is looked at over the network.
+/// Waits until `condition` is true; the condition may use the network.
 pub async fn until(mut condition: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !condition().await {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, wait)
+    timeout(CONDITION_TIMEOUT, wait)
         .await
-        .expect("the condition never held");
+        .expect("condition not met before the timeout");
 }
 
-async fn look<T: serde::de::DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
+async fn get_json<T: serde::de::DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
     let body = send(addr, "GET", path, String::new()).await?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Sends one request and returns the body of a 2xx answer.
+/// Sends one request and returns the body of a 2xx response.
 async fn send(addr: SocketAddr, method: &str, path: &str, body: String) -> Option<Vec<u8>> {
     let exchange = async {
         let socket = TcpStream::connect(addr).await.ok()?;
@@ -361,5 +362,5 @@
         conn.abort();
         ok.then(|| bytes.to_vec())
     };
-    timeout(LOOK, exchange).await.ok().flatten()
+    timeout(REQUEST_TIMEOUT, exchange).await.ok().flatten()
 }
