--- a/crates/swiftcart-node/src/calls/body.rs
+++ b/crates/swiftcart-node/src/calls/body.rs
@@ -98,8 +98,8 @@
 impl BodySource {
     /// Creates the source of `body`.
     ///
-    /// The source keeps up to `keep_bytes` bytes for another attempt. It fails when the caller sends
-    /// no data for `idle_timeout`.
+    /// The source keeps up to `keep_bytes` bytes for another attempt. It fails when the caller
+    /// sends no data for `idle_timeout`.
     pub fn new(body: Incoming, keep_bytes: usize, idle_timeout: Duration) -> Arc<Self> {
         Arc::new(Self(Mutex::new(Inner {
             body,
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -155,9 +155,9 @@
     /// notice.
     #[must_use]
     pub fn notice(&self, asks: bool) -> Option<HeaderValue> {
-        let told = self.told()?;
-        let is_sent = asks || told.notice != Notice::default();
-        is_sent.then(|| HeaderValue::try_from(told.to_string()).ok())?
+        let notice = self.told()?;
+        let is_sent = asks || notice.notice != Notice::default();
+        is_sent.then(|| HeaderValue::try_from(notice.to_string()).ok())?
     }
 
     /// Returns the share of retries among the requests that the backend server runs.
