--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -34,7 +34,7 @@
     pub pace: Option<Pace>,
 }
 
-/// Gatekeeper of the backend server beside this node.
+/// Guard of the backend server beside this node: the only process that sends requests to it.
 #[derive(Debug)]
 pub struct Guard {
     shared: Arc<Shared>,
