--- a/crates/swiftcart-node/src/calls/ingress/original.rs
+++ b/crates/swiftcart-node/src/calls/ingress/original.rs
@@ -8,14 +8,14 @@
 use hyper::body::{Body, Incoming};
 use swiftcart_core::{BodyHash, Fingerprint};
 
-use crate::calls::body::{BodyError, Gate, Outgoing, Source};
+use crate::calls::body::{BodyError, BodySource, Gate, Outgoing};
 use crate::calls::request::CallPrint;
 
 /// Head and body source of a request, kept for all of its attempts.
 #[derive(Debug)]
 pub struct OriginalRequest {
     pub head: Parts,
-    source: Option<Arc<Source>>,
+    source: Option<Arc<BodySource>>,
     /// `true` if the body may be longer than the replay buffer.
     pub exceeds_buffer: bool,
 }
@@ -32,7 +32,7 @@
         Self {
             head,
             exceeds_buffer: body.as_ref().is_some_and(is_long),
-            source: body.map(|body| Source::new(body, limit, idle_timeout)),
+            source: body.map(|body| BodySource::new(body, limit, idle_timeout)),
         }
     }
 
@@ -75,7 +75,7 @@
     /// Returns `true` if the body is, or may be, longer than `bytes`.
     #[must_use]
     pub fn exceeds(&self, bytes: u64) -> bool {
-        let longer = |source: &Arc<Source>| source.len_hint().is_none_or(|len| len > bytes);
+        let longer = |source: &Arc<BodySource>| source.len_hint().is_none_or(|len| len > bytes);
         self.source.as_ref().is_some_and(longer)
     }
 
--- a/crates/swiftcart-node/src/calls/serve.rs
+++ b/crates/swiftcart-node/src/calls/serve.rs
@@ -160,15 +160,15 @@
             request
         });
         let service = TowerToHyperService::new(service);
-        let gone = socket.clone();
+        let disconnected = socket.clone();
         let mut conn = pin!(self.builder.serve_connection(socket, service));
-        let mut gone = pin!(gone.gone());
+        let mut disconnected = pin!(disconnected.disconnected());
         let ended = async {
-            // `gone` is polled first, since it reads the bytes that have arrived. With the reverse
+            // `disconnected` is polled first, since it reads the bytes that have arrived. With the reverse
             // order, hyper would not notice these bytes.
             tokio::select! {
                 biased;
-                () = gone.as_mut() => return None,
+                () = disconnected.as_mut() => return None,
                 result = conn.as_mut() => return Some(result),
                 () = self.closing.cancelled() => {}
                 () = self.idle(pipeline.as_ref()) => {}
@@ -176,7 +176,7 @@
             conn.as_mut().graceful_shutdown();
             tokio::select! {
                 biased;
-                () = gone => None,
+                () = disconnected => None,
                 result = conn.as_mut() => Some(result),
             }
         };
--- a/crates/swiftcart-node/tests/calls.rs
+++ b/crates/swiftcart-node/tests/calls.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use common::{
     SERVICE, announce, backend_at, call, dead_addr, head, log_with, node, node_beside, request,
-    routed, until,
+    until, wait_until_routed,
 };
 use http_body_util::{BodyExt, Full};
 use rstest::rstest;
@@ -145,7 +145,7 @@
     )
     .await;
     assert_eq!(
-        (got.told(), backend.runs.load(Ordering::SeqCst)),
+        (got.summary(), backend.runs.load(Ordering::SeqCst)),
         (expected, runs)
     );
 }
@@ -179,7 +179,7 @@
     let node = node(&log).await;
     announce(&node, dead_addr()).await;
     let got = call(&node, request("POST", "/", &[])).await;
-    assert_eq!(got.told(), (502, "not-run", "connect-failed"));
+    assert_eq!(got.summary(), (502, "not-run", "connect-failed"));
 }
 
 #[tokio::test]
@@ -197,7 +197,7 @@
             socket.write_all(answer).await.unwrap();
         };
         let (got, ()) = tokio::join!(call(&node, request("POST", "/", &[])), serve);
-        assert_eq!(got.told(), (200, "-", "-"));
+        assert_eq!(got.summary(), (200, "-", "-"));
     }
 }
 
@@ -212,7 +212,7 @@
     announce(&node, backend.addr).await;
     let headers = [("swiftcart-deadline-ms", "60")];
     let got = call(&node, request(method, "/", &headers)).await;
-    assert_eq!(got.told(), (504, "unknown", "timeout"));
+    assert_eq!(got.summary(), (504, "unknown", "timeout"));
     backend.gone.notified().await;
 }
 
@@ -246,8 +246,8 @@
         call(&node, request("POST", "/", &[("x-request-id", "second")])).await
     };
     let (first, second) = tokio::join!(first, rest);
-    assert_eq!(first.told(), (200, "-", "-"));
-    assert_eq!(second.told(), (503, "not-run", "not-ready"));
+    assert_eq!(first.summary(), (200, "-", "-"));
+    assert_eq!(second.summary(), (503, "not-run", "not-ready"));
     assert_eq!(backend.runs_by_id("second"), Runs::default());
 }
 
@@ -268,7 +268,7 @@
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let got = call(&node, request("GET", path, headers)).await;
-    assert_eq!(got.told(), expected);
+    assert_eq!(got.summary(), expected);
     let metric = format!("swiftcart_refusals_total{{reason=\"{}\"}} 1", expected.2);
     assert!(node.shared().counters.render().contains(&metric));
 }
@@ -282,11 +282,11 @@
     let live = node_beside(&broken, &log).await;
     let _backend = backend_at(&live, BackendSettings::new(SERVICE)).await;
     let entry = node_beside(&broken, &log).await;
-    routed(&entry, live.shared().id).await;
+    wait_until_routed(&entry, live.shared().id).await;
     while backend.runs.load(Ordering::SeqCst) == 0 {
         backend.close.notify_one();
         let got = call(&entry, request("GET", "/", &[])).await;
-        assert_eq!(got.told(), (200, "-", "-"));
+        assert_eq!(got.summary(), (200, "-", "-"));
     }
     let retried = "swiftcart_retries_total{reason=\"answer-broken\"} 1";
     assert!(entry.shared().counters.render().contains(retried));
@@ -300,7 +300,7 @@
     let live = node_beside(&dead, &log).await;
     let backend = backend_at(&live, BackendSettings::new(SERVICE)).await;
     let entry = node_beside(&dead, &log).await;
-    routed(&entry, live.shared().id).await;
+    wait_until_routed(&entry, live.shared().id).await;
     let body = Bytes::from(vec![7; 300_000]);
     let digest = blake3::hash(&body).to_hex();
     let retried = "swiftcart_retries_total{reason=\"connect-failed\"}";
