--- a/crates/swiftcart-node/src/control.rs
+++ b/crates/swiftcart-node/src/control.rs
@@ -13,15 +13,15 @@
 mod following;
 mod frames;
 mod members;
-mod memory;
 mod net;
-mod placed;
 mod publish;
 mod pulls;
+mod quarantine_store;
 mod quotas;
 mod reader;
 mod rollouts;
 mod roster;
+mod snapshot_cache;
 mod source;
 mod stream;
 mod sync_client;
@@ -36,9 +36,9 @@
 
 pub use error::ControlError;
 
-use self::board::Settled;
+use self::board::RecordedRollout;
 use self::control_loop::Control;
-use self::pulls::Pulled;
+use self::pulls::PullOutcome;
 use self::reader::Read;
 use crate::edge::{Edges, Listed};
 use crate::logging::Event;
@@ -47,29 +47,29 @@
 /// An event from outside that the control loop takes.
 #[derive(Debug)]
 enum Input {
-    Pulled(Box<Pulled>),
+    PullOutcome(Box<PullOutcome>),
     Read(Box<Result<Read, PlatformError>>),
     /// What the directory holds.
-    Found(Listed),
-    Appended(Result<(), PlatformError>),
+    Discovered(Listed),
+    CheckpointAppended(Result<(), PlatformError>),
     /// How far the platform knows a roll-out to be.
-    Settled(Settled),
+    RecordedRollout(RecordedRollout),
 }
 
-/// Opens the control sockets; [`Opened::run`] then keeps the routing view of `shared`.
+/// Opens the control sockets; [`BoundControl::run`] then keeps the routing view of `shared`.
 ///
 /// # Errors
 ///
 /// Fails when an address cannot be bound.
-pub async fn open(shared: Arc<Shared>, edges: Edges) -> Result<Opened, ControlError> {
-    Control::open(shared, edges).await.map(Opened)
+pub async fn open(shared: Arc<Shared>, edges: Edges) -> Result<BoundControl, ControlError> {
+    Control::open(shared, edges).await.map(BoundControl)
 }
 
 /// A control edge whose sockets are open.
 #[derive(Debug)]
-pub struct Opened(Control);
+pub struct BoundControl(Control);
 
-impl Opened {
+impl BoundControl {
     /// Follows configuration and members until the task is ended.
     pub async fn run(self) {
         let logger = self.0.shared().logger.clone();
@@ -79,7 +79,7 @@
 }
 
 /// Counts and logs records of the platform that were passed over.
-fn note_unreadable(shared: &Shared, topic: &'static str, unreadable: u64) {
+fn report_skipped(shared: &Shared, topic: &'static str, unreadable: u64) {
     let name = "swiftcart_platform_records_skipped_total";
     shared.counters.add(name, "topic", topic, unreadable);
     warn!(shared.logger, ""; "event" => Event::Skipped, "topic" => topic, "records" => unreadable);
--- a/crates/swiftcart-node/src/control/board.rs
+++ b/crates/swiftcart-node/src/control/board.rs
@@ -18,14 +18,14 @@
 use crate::shared::Shared;
 
 /// Records that wait to be written; one for each roll-out that this node watches.
-const WAITING: usize = 64;
+const QUEUE_CAPACITY: usize = 64;
 
 /// The longest pause before another try. A roll-out has some seconds to end.
-const LONGEST: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// What the platform knows of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Settled {
+pub(super) struct RecordedRollout {
     pub(super) service: ServiceName,
     pub(super) order: OrderId,
     pub(super) state: RolloutState,
@@ -49,17 +49,17 @@
         board: Arc<dyn RolloutBoard>,
         inputs: mpsc::Sender<Input>,
     ) -> Self {
-        let (records, mut waiting) = mpsc::channel(WAITING);
-        let mut writing = Writing {
+        let (records, mut queued) = mpsc::channel(QUEUE_CAPACITY);
+        let mut writer = WriterTask {
             shared: Arc::clone(shared),
             board,
-            known: None,
+            cached: None,
         };
         let task = tokio::spawn(async move {
-            while let Some(record) = waiting.recv().await {
-                let settled = writing.settle(record).await;
+            while let Some(record) = queued.recv().await {
+                let recorded = writer.write_until_recorded(record).await;
                 // The control loop is gone when the node has stopped.
-                drop(inputs.send(Input::Settled(settled)).await);
+                drop(inputs.send(Input::RecordedRollout(recorded)).await);
             }
         });
         Self { records, task }
@@ -78,39 +78,39 @@
 }
 
 #[derive(Debug)]
-struct Writing {
+struct WriterTask {
     shared: Arc<Shared>,
     board: Arc<dyn RolloutBoard>,
     /// The board as it was read or written last; `None` when that is not certain.
-    known: Option<Board>,
+    cached: Option<Board>,
 }
 
-impl Writing {
+impl WriterTask {
     /// Writes `record` unless the platform knows an end of the same order, or a later order.
-    async fn settle(&mut self, record: RolloutRecord) -> Settled {
+    async fn write_until_recorded(&mut self, record: RolloutRecord) -> RecordedRollout {
         let mut backoff = Backoff::new();
         let mut rng = SmallRng::from_os_rng();
         loop {
-            match self.try_settle(&record).await {
-                Ok(Some(settled)) => return settled,
+            match self.try_write(&record).await {
+                Ok(Some(recorded)) => return recorded,
                 Ok(None) => {}
                 Err(err) => {
-                    self.known = None;
+                    self.cached = None;
                     warn!(self.shared.logger, ""; "event" => Event::Rollout,
                         "service" => %record.service, "order" => record.order.0,
                         "state" => record.state.as_str(), "error" => %err);
-                    sleep(backoff.failed(&err, &mut rng).min(LONGEST)).await;
+                    sleep(backoff.failed(&err, &mut rng).min(MAX_BACKOFF)).await;
                 }
             }
         }
     }
 
     /// Makes one try; `None` when another record came in between.
-    async fn try_settle(
+    async fn try_write(
         &mut self,
         record: &RolloutRecord,
-    ) -> Result<Option<Settled>, PlatformError> {
-        let board = match self.known.take() {
+    ) -> Result<Option<RecordedRollout>, PlatformError> {
+        let board = match self.cached.take() {
             Some(board) => board,
             None => self.board.read().await?,
         };
@@ -118,10 +118,10 @@
             .records
             .iter()
             .find(|old| old.service == record.service);
-        if let Some(old) = old.filter(|old| stands(old, record)) {
-            let settled = Settled::from(old);
-            self.known = Some(board);
-            return Ok(Some(settled));
+        if let Some(old) = old.filter(|old| supersedes(old, record)) {
+            let recorded = RecordedRollout::from(old);
+            self.cached = Some(board);
+            return Ok(Some(recorded));
         }
         let Some(place) = self.board.write(record.clone(), board.place).await? else {
             return Ok(None);
@@ -129,12 +129,12 @@
         info!(self.shared.logger, ""; "event" => Event::Rollout, "service" => %record.service,
             "order" => record.order.0, "target" => %record.target,
             "state" => record.state.as_str(), "place" => place);
-        self.known = Some(with(board, record, place));
-        Ok(Some(Settled::from(record)))
+        self.cached = Some(with_record(board, record, place));
+        Ok(Some(RecordedRollout::from(record)))
     }
 }
 
-impl From<&RolloutRecord> for Settled {
+impl From<&RolloutRecord> for RecordedRollout {
     fn from(record: &RolloutRecord) -> Self {
         Self {
             service: record.service.clone(),
@@ -146,13 +146,13 @@
 }
 
 /// Tells whether `old` makes `new` needless: it is of a later order, or says as much already.
-fn stands(old: &RolloutRecord, new: &RolloutRecord) -> bool {
+fn supersedes(old: &RolloutRecord, new: &RolloutRecord) -> bool {
     let ended = old.state != RolloutState::Running;
     let same = old.order == new.order;
     old.order > new.order || (same && (ended || new.state == RolloutState::Running))
 }
 
-fn with(mut board: Board, record: &RolloutRecord, place: u64) -> Board {
+fn with_record(mut board: Board, record: &RolloutRecord, place: u64) -> Board {
     board.records.retain(|old| old.service != record.service);
     board.records.push(record.clone());
     board.place = place;
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -14,20 +14,20 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::board::BoardWriter;
-use super::drains::Draining;
+use super::drains::DrainGossip;
 use super::finder::Finder;
-use super::findings::Telling;
-use super::memory::Memory;
+use super::findings::FindingsGossip;
 use super::net::Net;
-use super::placed::Wholes;
 use super::publish;
 use super::pulls::Pulls;
+use super::quarantine_store::QuarantineStore;
 use super::quotas::Accounting;
 use super::reader::Reader;
-use super::rollouts::Watching;
+use super::rollouts::RolloutWatch;
 use super::roster::Roster;
+use super::snapshot_cache::SnapshotCache;
 use super::stream::Stream;
-use super::sync_server::{Pending, SyncServer};
+use super::sync_server::{PendingPull, SyncServer};
 use super::{ControlError, Input};
 use crate::edge::Edges;
 use crate::logging::{Event, unix_ms};
@@ -35,15 +35,15 @@
 use crate::shared::Shared;
 
 /// Time between two ticks of the state machines.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait of a node that starts for a member that tells it of the others.
-const MEET: Duration = Duration::from_secs(2);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Least time between two views that differ by their members only. Building one takes time in
 /// proportion to the mesh, and when many processes start at once each node hears of all others
 /// within half a second.
-const VIEW_PAUSE: Duration = Duration::from_millis(50);
+const MIN_VIEW_INTERVAL: Duration = Duration::from_millis(50);
 /// Events that wait for the loop at most.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Owns the control state of one node.
 #[derive(Debug)]
@@ -54,48 +54,48 @@
     pub(super) roster: Roster,
     pub(super) pulls: Pulls,
     pub(super) reader: Reader,
-    pub(super) wholes: Wholes,
+    pub(super) snapshot_cache: SnapshotCache,
     /// Whether a node without a version asks others for a whole one with its place.
-    pub(super) asks_whole: bool,
+    pub(super) pulls_snapshots: bool,
     /// How many nodes the directory has named.
-    pub(super) listed: usize,
+    pub(super) listed_nodes: usize,
     pub(super) net: Net,
     inputs: mpsc::Receiver<Input>,
     pub(super) sender: mpsc::Sender<Input>,
-    asked: mpsc::Receiver<Pending>,
+    pull_requests: mpsc::Receiver<PendingPull>,
     /// Held open for as long as the node runs.
     _server: SyncServer,
     pub(super) backend: watch::Receiver<Option<Backend>>,
     /// Which process of which backend server was told to the other nodes.
     pub(super) identity: Option<Identity>,
     /// Whether the other nodes were looked up, where there is a place to look.
-    pub(super) found: bool,
+    pub(super) discovered: bool,
     /// Held open for as long as the node runs.
     _finder: Option<Finder>,
     /// What other nodes are told of requests that end backend servers.
-    pub(super) findings: Telling,
+    pub(super) findings: FindingsGossip,
     /// Where held requests are remembered, where there is a place for it.
-    pub(super) memory: Option<Memory>,
+    pub(super) quarantine_store: Option<QuarantineStore>,
     /// What client accounts have sent, as far as this node adds it up.
     pub(super) accounting: Accounting,
     /// The failure domains that are drained.
-    pub(super) draining: Draining,
+    pub(super) drain_gossip: DrainGossip,
     /// Whether the own backend server was shown as cold to other nodes.
-    pub(super) shown_cold: bool,
+    pub(super) advertised_cold: bool,
     /// The roll-outs that are known and watched.
-    pub(super) watching: Watching,
+    pub(super) rollout_watch: RolloutWatch,
     /// Who writes to operators how far they are, where there is a place for it.
     pub(super) board: Option<BoardWriter>,
     /// When the pace of the own backend server is told to all nodes.
-    pub(super) telling: PaceAnnouncer,
+    pub(super) pace_announcer: PaceAnnouncer,
     pub(super) left: bool,
     /// Whether the version or the own backend server changed since the view was built.
     pub(super) stale: bool,
     /// Whether other members changed since the view was built, and when that was.
-    pub(super) moved: bool,
-    built: Instant,
+    pub(super) members_changed: bool,
+    view_built: Instant,
     /// Whether the platform's log was out of reach at the last read.
-    pub(super) down: bool,
+    pub(super) platform_down: bool,
 }
 
 impl Control {
@@ -103,13 +103,13 @@
         let settings = &shared.settings;
         let key = MeshKey::from_secret(settings.mesh_key.as_str());
         let net = Net::bind(Arc::clone(&shared), key.clone()).await?;
-        let (pending, asked) = mpsc::channel(QUEUE);
+        let (pending, pull_requests) = mpsc::channel(QUEUE_CAPACITY);
         let server = SyncServer::bind(settings.listen.sync, pending).await?;
-        let (sender, inputs) = mpsc::channel(QUEUE);
+        let (sender, inputs) = mpsc::channel(QUEUE_CAPACITY);
         let mut rng = SmallRng::from_os_rng();
         let seeds = settings.seeds.iter().copied().map(NodeId).collect();
         let membership = Membership::new(
-            myself(&shared),
+            local_member(&shared),
             settings.gossip.timing(),
             seeds,
             rng.random(),
@@ -117,11 +117,11 @@
         let stream = Stream::new(shared.id, settings, edges.snapshots.is_some());
         let pulls = Pulls::new(Arc::clone(&shared), key, sender.clone());
         let reader = Reader::new(Arc::clone(&shared), edges.snapshots, sender.clone(), rng);
-        let wholes = Wholes::new(settings.link);
-        let memory = edges
+        let snapshot_cache = SnapshotCache::new(settings.link);
+        let quarantine_store = edges
             .directory
             .clone()
-            .map(|directory| Memory::start(&shared, directory));
+            .map(|directory| QuarantineStore::start(&shared, directory));
         let board = edges
             .board
             .map(|board| BoardWriter::start(&shared, board, sender.clone()));
@@ -132,34 +132,34 @@
             roster: Roster::new(&membership),
             backend: shared.backend.subscribe(),
             identity: None,
-            found: finder.is_none(),
+            discovered: finder.is_none(),
             _finder: finder,
-            findings: Telling::default(),
-            memory,
-            telling: PaceAnnouncer::default(),
+            findings: FindingsGossip::default(),
+            quarantine_store,
+            pace_announcer: PaceAnnouncer::default(),
             accounting: Accounting::new(settings.quotas.bounds()),
-            draining: Draining::default(),
-            shown_cold: false,
-            watching: Watching::default(),
+            drain_gossip: DrainGossip::default(),
+            advertised_cold: false,
+            rollout_watch: RolloutWatch::default(),
             board,
             left: false,
             stale: true,
-            moved: false,
-            built: Instant::default(),
-            down: false,
+            members_changed: false,
+            view_built: Instant::default(),
+            platform_down: false,
             _server: server,
             shared,
             membership,
             stream,
             pulls,
             reader,
-            wholes,
-            asks_whole: true,
-            listed: 0,
+            snapshot_cache,
+            pulls_snapshots: true,
+            listed_nodes: 0,
             net,
             inputs,
             sender,
-            asked,
+            pull_requests,
         })
     }
 
@@ -170,14 +170,14 @@
     /// Takes events until the task is ended.
     pub(super) async fn run(mut self) {
         let stopping = self.shared.stopping.clone();
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.on_tick(),
                 (from, datagram) = self.net.receive() => self.on_datagram(from, datagram),
                 Some(input) = self.inputs.recv() => self.on_input(input),
-                Some(pending) = self.asked.recv() => self.on_asked(pending),
+                Some(pending) = self.pull_requests.recv() => self.on_pull_request(pending),
                 Ok(()) = self.backend.changed() => self.on_backend(),
                 () = stopping.cancelled(), if !self.left => self.on_stopping(),
             }
@@ -192,25 +192,25 @@
     fn on_tick(&mut self) {
         let now = self.now();
         self.membership.set_head(self.stream.source.head());
-        self.take_misses();
+        self.apply_unreached();
         let actions = self.membership.tick(now);
-        self.act(actions);
+        self.apply_member_actions(actions);
         self.announce_pace();
-        self.tell_findings(now);
-        self.tell_quotas(now);
-        self.tell_drains(now);
-        self.show_warmup(now);
+        self.gossip_findings(now);
+        self.exchange_quotas(now);
+        self.gossip_drains(now);
+        self.advertise_warmup(now);
         self.watch_rollouts(now);
-        let todo = self.stream.on_tick(now, &self.roster.witnesses);
-        self.follow_up(todo);
-        let duty = self.duty(now);
-        self.reader.tick(now, duty, self.stream.from());
-        if duty.rank < self.reader.readers() && !self.left {
-            let due = self.stream.checkpoint(now, duty.rank);
-            self.follow(due.into_iter().collect());
+        let effects = self.stream.on_tick(now, &self.roster.witnesses);
+        self.apply_effects(effects);
+        let read_role = self.read_role(now);
+        self.reader.tick(now, read_role, self.stream.from());
+        if read_role.rank < self.reader.readers() && !self.left {
+            let due = self.stream.checkpoint(now, read_role.rank);
+            self.apply_feed_actions(due.into_iter().collect());
         }
-        self.ask_floors(now, duty);
-        self.wholes.tick(now);
+        self.request_floors(now, read_role);
+        self.snapshot_cache.tick(now);
     }
 
     fn on_datagram(&mut self, from: NodeId, datagram: Datagram) {
@@ -220,7 +220,7 @@
             Datagram::Push { origin, entries } => self.on_push(now, from, *origin, entries),
             Datagram::Offer { origin, head } => {
                 let actions = self.stream.source.on_offer(now, from, *origin, *head);
-                self.follow(actions);
+                self.apply_feed_actions(actions);
             }
             Datagram::Report { version } if self.stream.witness.on_report(from, *version) => {
                 let version = *version;
@@ -228,45 +228,45 @@
             }
             Datagram::ReportAck { version } => {
                 let witnesses = &self.roster.witnesses;
-                let todo = self.stream.on_ack(now, from, *version, witnesses);
-                self.follow_up(todo);
+                let effects = self.stream.on_ack(now, from, *version, witnesses);
+                self.apply_effects(effects);
             }
             Datagram::FloorAsk => {
-                let vouched = self.stream.vouched(now);
-                let version = self.stream.witness.answer(from, vouched);
+                let confirmed_version = self.stream.confirmed_version(now);
+                let version = self.stream.witness.answer(from, confirmed_version);
                 self.net.send(from, &Datagram::FloorReply { version });
             }
             Datagram::Findings(findings) => self.on_findings(now, from, findings),
             Datagram::Rollouts(message) => self.on_rollouts(now, from, message),
             Datagram::Quotas(message) => self.on_quotas(now, from, message),
             Datagram::Drains(message) => self.on_drains(now, from, message),
-            Datagram::FloorReply { version } => self.stream.join.on_peer_floor(from, *version),
+            Datagram::FloorReply { version } => self.stream.readiness.on_peer_floor(from, *version),
             _ => {}
         }
         let actions = self.membership.on_datagram(now, from, datagram);
-        self.act(actions);
+        self.apply_member_actions(actions);
         if let Some(head) = head {
             let actions = self.stream.source.on_head(now, from, head);
-            self.follow(actions);
+            self.apply_feed_actions(actions);
         }
     }
 
     fn on_input(&mut self, input: Input) {
         match input {
-            Input::Pulled(pulled) => self.on_pulled(*pulled),
+            Input::PullOutcome(pulled) => self.on_pulled(*pulled),
             Input::Read(result) => self.on_read(*result),
-            Input::Found(found) => self.on_found(&found),
-            Input::Settled(settled) => self.on_settled(&settled),
-            Input::Appended(Ok(())) => {
+            Input::Discovered(discovered) => self.on_discovered(&discovered),
+            Input::RecordedRollout(recorded) => self.on_recorded(&recorded),
+            Input::CheckpointAppended(Ok(())) => {
                 info!(self.shared.logger, ""; "event" => Event::Checkpoint);
             }
-            Input::Appended(Err(e)) => {
+            Input::CheckpointAppended(Err(e)) => {
                 warn!(self.shared.logger, ""; "event" => Event::Checkpoint, "error" => %e);
             }
         }
     }
 
-    fn on_asked(&mut self, pending: Pending) {
+    fn on_pull_request(&mut self, pending: PendingPull) {
         let now = self.now();
         let Some(request) = self.pulls.open(&pending) else {
             return;
@@ -278,7 +278,7 @@
         };
         let reply = match (busy, request) {
             (Some(busy), _) => busy,
-            (None, SyncRequest::Whole) => self.tell_whole(),
+            (None, SyncRequest::Whole) => self.answer_snapshot_pull(),
             (None, SyncRequest::Feed { from }) => SyncReply::Feed(self.stream.source.answer(from)),
             (None, SyncRequest::Members { buckets }) => {
                 SyncReply::Members(self.membership.differing_entries(&buckets))
@@ -291,9 +291,9 @@
     ///
     /// A node that knows no members has no backend servers to offer; but one that is cut
     /// off has to serve what it can.
-    pub(super) fn met(&self, now: Instant) -> bool {
-        let joined = self.found || !self.membership.is_alone();
-        (joined && self.membership.is_synced()) || now.elapsed() >= MEET
+    pub(super) fn members_known(&self, now: Instant) -> bool {
+        let joined = self.discovered || !self.membership.is_alone();
+        (joined && self.membership.is_synced()) || now.elapsed() >= JOIN_TIMEOUT
     }
 
     /// Shows the view first, so that who reads a version or a phase finds it in force.
@@ -302,17 +302,18 @@
         let phase = publish::phase(self, now);
         let old = *self.shared.phase.borrow();
         let entering = old != phase && !old.is_stop();
-        let moved = self.moved && now.since(self.built) >= VIEW_PAUSE;
-        if self.stale || entering || moved {
+        let members_changed =
+            self.members_changed && now.since(self.view_built) >= MIN_VIEW_INTERVAL;
+        if self.stale || entering || members_changed {
             self.roster = Roster::new(&self.membership);
             publish::view(self, now);
-            (self.stale, self.moved, self.built) = (false, false, now);
+            (self.stale, self.members_changed, self.view_built) = (false, false, now);
         }
         publish::progress(self, now);
     }
 }
 
-fn myself(shared: &Shared) -> Member {
+fn local_member(shared: &Shared) -> Member {
     let listen = &shared.settings.listen;
     Member {
         id: shared.id,
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -10,63 +10,63 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// The time between two rounds of news, of which there are [`ROUNDS`].
-const ROUND: Duration = Duration::from_millis(100);
+/// The time between two rounds of news, of which there are [`GOSSIP_ROUNDS`].
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The rounds in which a node passes on what is new to it.
-const ROUNDS: u32 = 3;
+const GOSSIP_ROUNDS: u32 = 3;
 
 /// The time between two comparisons with another node, while there is anything to compare.
-const COMPARE: Duration = Duration::from_secs(1);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What is known of drained failure domains, and when it is told.
 #[derive(Debug, Default)]
-pub(super) struct Draining {
+pub(super) struct DrainGossip {
     drains: Drains,
     rounds: u32,
     next_round: Instant,
     next_compare: Instant,
-    asked: bool,
+    requested: bool,
 }
 
 impl Control {
     /// Takes orders that were read from the platform.
-    pub(super) fn take_drains(&mut self, now: Instant, news: &[DrainUpdate]) {
-        let drains = &mut self.draining.drains;
+    pub(super) fn apply_drains(&mut self, now: Instant, updates: &[DrainUpdate]) {
+        let drains = &mut self.drain_gossip.drains;
         let mut changed = false;
-        for news in news {
-            changed |= match news {
+        for update in updates {
+            changed |= match update {
                 DrainUpdate::Order(order) => drains.take(order),
                 DrainUpdate::List(list) => drains.take_list(list),
             };
         }
         if changed {
-            self.follow_drains(now);
+            self.on_drains_changed(now);
         }
     }
 
     /// Passes on what is new, and compares the rest with others now and then.
-    pub(super) fn tell_drains(&mut self, now: Instant) {
-        if !self.draining.asked && self.met(now) {
-            self.draining.asked = true;
+    pub(super) fn gossip_drains(&mut self, now: Instant) {
+        if !self.drain_gossip.requested && self.members_known(now) {
+            self.drain_gossip.requested = true;
             let question = DrainMessage {
                 asks: true,
-                ..self.draining.drains.message()
+                ..self.drain_gossip.drains.message()
             };
             self.send_drains(true, &question);
         }
-        if self.draining.drains.is_empty() {
+        if self.drain_gossip.drains.is_empty() {
             return;
         }
-        if self.draining.rounds > 0 && now >= self.draining.next_round {
-            self.draining.rounds -= 1;
-            self.draining.next_round = now + ROUND;
-            let message = self.draining.drains.message();
+        if self.drain_gossip.rounds > 0 && now >= self.drain_gossip.next_round {
+            self.drain_gossip.rounds -= 1;
+            self.drain_gossip.next_round = now + GOSSIP_INTERVAL;
+            let message = self.drain_gossip.drains.message();
             self.send_drains(true, &message);
         }
-        if now >= self.draining.next_compare {
-            self.draining.next_compare = now + COMPARE;
-            let digest = self.draining.drains.digest();
+        if now >= self.drain_gossip.next_compare {
+            self.drain_gossip.next_compare = now + COMPARE_INTERVAL;
+            let digest = self.drain_gossip.drains.digest();
             let message = DrainMessage {
                 digest,
                 ..DrainMessage::default()
@@ -79,7 +79,7 @@
 
     /// Takes what another node tells of drained failure domains, and answers what it asks.
     pub(super) fn on_drains(&mut self, now: Instant, from: NodeId, message: &DrainMessage) {
-        let drains = &mut self.draining.drains;
+        let drains = &mut self.drain_gossip.drains;
         let changed = drains.merge(message);
         let differs = drains.digest() != message.digest;
         if (message.asks && !drains.is_empty()) || (message.orders.is_empty() && differs) {
@@ -91,17 +91,17 @@
             self.net.send(from, &Datagram::Drains(answer));
         }
         if changed {
-            self.follow_drains(now);
+            self.on_drains_changed(now);
         }
     }
 
     /// Returns the members as requests may go to them, where a failure domain is drained: those in it
     /// take none.
-    pub(super) fn undrained<'a>(
+    pub(super) fn mark_drained<'a>(
         &self,
         members: impl Iterator<Item = &'a Member>,
     ) -> Option<Vec<Member>> {
-        let drains = &self.draining.drains;
+        let drains = &self.drain_gossip.drains;
         if !drains.any_drained() {
             return None;
         }
@@ -116,20 +116,20 @@
         Some(members.collect())
     }
 
-    fn follow_drains(&mut self, now: Instant) {
-        self.draining.rounds = ROUNDS;
-        self.draining.next_round = now;
+    fn on_drains_changed(&mut self, now: Instant) {
+        self.drain_gossip.rounds = GOSSIP_ROUNDS;
+        self.drain_gossip.next_round = now;
         let domain = &self.shared.settings.domain;
-        let drained = self.draining.drains.is_drained(domain);
+        let drained = self.drain_gossip.drains.is_drained(domain);
         let before = self.shared.drained.send_replace(drained);
         if before && !drained {
             self.shared.warmup.with(|warmup| warmup.assume_cold(now));
         }
-        for order in &self.draining.drains.message().orders {
+        for order in &self.drain_gossip.drains.message().orders {
             info!(self.shared.logger, ""; "event" => Event::Drain, "domain" => %order.domain,
                 "place" => order.place.0, "drained" => order.drained);
         }
-        self.show_anew(now);
+        self.readvertise_backend(now);
         self.stale = true;
     }
 
--- a/crates/swiftcart-node/src/control/error.rs
+++ b/crates/swiftcart-node/src/control/error.rs
@@ -11,12 +11,12 @@
     #[derive(Debug)]
     pub enum ControlError {
         /// The datagram socket cannot be opened.
-        Datagrams(addr: SocketAddr, err: io::Error) {
+        BindGossip(addr: SocketAddr, err: io::Error) {
             source(err)
             display("listen.gossip: {addr} cannot be bound: {err}: free the port or choose another")
         }
         /// The socket for state pulls cannot be opened.
-        Pulls(addr: SocketAddr, err: io::Error) {
+        BindSync(addr: SocketAddr, err: io::Error) {
             source(err)
             display("listen.sync: {addr} cannot be listened on: {err}: free the port or choose another")
         }
@@ -27,7 +27,7 @@
             display("state pull failed: {err}")
         }
         /// A pull took too long.
-        Slow {
+        Timeout {
             display("state pull took too long")
         }
         /// A message of a pull could not be sealed or opened.
@@ -37,7 +37,7 @@
             display("state pull refused: {err}")
         }
         /// The peer's address for pulls is not known.
-        Unknown {
+        UnknownAddress {
             display("the peer's address for state pulls is not known")
         }
     }
@@ -48,11 +48,11 @@
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
-            Self::Datagrams(..) | Self::Pulls(..) => "listen",
-            Self::Slow => "timeout",
+            Self::BindGossip(..) | Self::BindSync(..) => "listen",
+            Self::Timeout => "timeout",
             Self::Sync(_) => "connection",
             Self::Wire(e) => e.as_str(),
-            Self::Unknown => "unknown-address",
+            Self::UnknownAddress => "unknown-address",
         }
     }
 }
--- a/crates/swiftcart-node/src/control/finder.rs
+++ b/crates/swiftcart-node/src/control/finder.rs
@@ -11,17 +11,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::{Input, note_unreadable};
+use super::{Input, report_skipped};
 use crate::edge::{Asked, Directory, Listed};
 use crate::logging::Event;
 use crate::shared::Shared;
 
 /// The longest pause between two tries; others look for lost nodes as well.
-const LONGEST: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// When a node that entered after it had looked looks again, unless it has met somebody: those
 /// who were listed are gone, and another one may have entered at the same time.
-const AGAIN: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Looks the other nodes up, however often that has to be tried.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     ) -> Self {
         let shared = Arc::clone(shared);
         Self(tokio::spawn(async move {
-            look(&shared, &*directory, &inputs).await;
+            discover(&shared, &*directory, &inputs).await;
         }))
     }
 }
@@ -50,47 +50,50 @@
 ///
 /// A node that starts again is listed still, so that one call is enough. While a whole mesh
 /// starts for the first time nobody is, and each node enters before it looks.
-async fn look(shared: &Shared, directory: &dyn Directory, inputs: &mpsc::Sender<Input>) {
+async fn discover(shared: &Shared, directory: &dyn Directory, inputs: &mpsc::Sender<Input>) {
     let id = shared.id;
     let first = shared.settings.first_start;
     if first {
-        persist(&shared.logger, || directory.enter(id)).await;
+        retry_until_ok(&shared.logger, || directory.enter(id)).await;
     }
-    let found = find(shared, directory, first).await;
+    let found = query_directory(shared, directory, first).await;
     let listed = first || found.nodes.contains(&id);
     // The control loop is gone when the node has stopped.
-    drop(inputs.send(Input::Found(found)).await);
+    drop(inputs.send(Input::Discovered(found)).await);
     if listed {
         return;
     }
-    persist(&shared.logger, || directory.enter(id)).await;
-    sleep(AGAIN).await;
+    retry_until_ok(&shared.logger, || directory.enter(id)).await;
+    sleep(RETRY_DELAY).await;
     if shared.members.load().len() <= 1 {
-        let found = find(shared, directory, true).await;
-        drop(inputs.send(Input::Found(found)).await);
+        let found = query_directory(shared, directory, true).await;
+        drop(inputs.send(Input::Discovered(found)).await);
     }
 }
 
-async fn find(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
-    let found = persist(&shared.logger, || directory.find(shared.id, entered)).await;
+async fn query_directory(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
+    let found = retry_until_ok(&shared.logger, || directory.find(shared.id, entered)).await;
     info!(shared.logger, ""; "event" => Event::Found, "nodes" => found.nodes.len(),
         "held" => found.memos.len());
     if directory.unreadable() > 0 {
-        note_unreadable(shared, "directory", directory.unreadable());
+        report_skipped(shared, "directory", directory.unreadable());
     }
     found
 }
 
 /// Asks until there is an answer.
-pub(super) async fn persist<'a, T>(logger: &Logger, ask: impl Fn() -> Asked<'a, T>) -> T {
+pub(super) async fn retry_until_ok<'a, T>(
+    logger: &Logger,
+    request: impl Fn() -> Asked<'a, T>,
+) -> T {
     let mut backoff = Backoff::new();
     let mut rng = SmallRng::from_os_rng();
     loop {
-        match ask().await {
+        match request().await {
             Ok(answer) => return answer,
             Err(err) => {
                 warn!(logger, ""; "event" => Event::Found, "error" => %err);
-                sleep(backoff.failed(&err, &mut rng).min(LONGEST)).await;
+                sleep(backoff.failed(&err, &mut rng).min(MAX_BACKOFF)).await;
             }
         }
     }
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -11,38 +11,38 @@
 
 /// The time between two rounds of news. Everyone knows after some five rounds; a caller who was
 /// told that the outcome is unknown comes back after 250 ms.
-const ROUND: Duration = Duration::from_millis(100);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The time between two comparisons with another node, while there is anything to compare.
-const COMPARE: Duration = Duration::from_secs(1);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// When findings are passed on and compared, and which requests are held as far as was logged.
 #[derive(Debug, Default)]
-pub(super) struct Telling {
+pub(super) struct FindingsGossip {
     next_round: Instant,
     next_compare: Instant,
-    asked: bool,
+    requested: bool,
     held: BTreeSet<RequestPrint>,
 }
 
 impl Control {
     /// Passes on what is new, and compares the rest with others now and then.
-    pub(super) fn tell_findings(&mut self, now: Instant) {
-        if !self.findings.asked && self.met(now) {
-            self.findings.asked = true;
-            self.ask_findings();
+    pub(super) fn gossip_findings(&mut self, now: Instant) {
+        if !self.findings.requested && self.members_known(now) {
+            self.findings.requested = true;
+            self.request_findings();
         }
         if !self.shared.suspects.is_used() {
             return;
         }
         if now >= self.findings.next_round {
-            self.findings.next_round = now + ROUND;
-            self.pass_findings(now);
+            self.findings.next_round = now + GOSSIP_INTERVAL;
+            self.gossip_new_findings(now);
         }
         if now >= self.findings.next_compare {
-            self.findings.next_compare = now + COMPARE;
-            self.compare_findings(now);
-            self.remember(now);
+            self.findings.next_compare = now + COMPARE_INTERVAL;
+            self.send_findings_digest(now);
+            self.persist_quarantine(now);
         }
         self.log_held(now);
     }
@@ -65,14 +65,14 @@
     }
 
     /// Asks some nodes what they know: a process that has started remembers nothing.
-    fn ask_findings(&mut self) {
+    fn request_findings(&mut self) {
         let question = self.shared.suspects.with(|quarantine| quarantine.ask());
         for id in self.membership.broadcast_targets(true) {
             self.net.send(id, &Datagram::Findings(question.clone()));
         }
     }
 
-    fn pass_findings(&mut self, now: Instant) {
+    fn gossip_new_findings(&mut self, now: Instant) {
         let suspects = &self.shared.suspects;
         let (digest, due) = suspects.with(|quarantine| {
             let due = quarantine.round(now);
@@ -81,21 +81,22 @@
         if due.list.is_empty() {
             return;
         }
-        let told = self.membership.broadcast_targets(due.own);
+        let peers = self.membership.broadcast_targets(due.own);
         for findings in Findings::pack(digest, due.list) {
-            for id in &told {
+            for id in &peers {
                 self.net.send(*id, &Datagram::Findings(findings.clone()));
             }
         }
     }
 
-    fn compare_findings(&mut self, now: Instant) {
-        let word = self.shared.suspects.with(|quarantine| {
+    fn send_findings_digest(&mut self, now: Instant) {
+        let digest_message = self.shared.suspects.with(|quarantine| {
             quarantine.sweep(now);
             quarantine.word()
         });
         for id in self.membership.broadcast_targets(false).into_iter().take(1) {
-            self.net.send(id, &Datagram::Findings(word.clone()));
+            self.net
+                .send(id, &Datagram::Findings(digest_message.clone()));
         }
     }
 
--- a/crates/swiftcart-node/src/control/following.rs
+++ b/crates/swiftcart-node/src/control/following.rs
@@ -12,32 +12,32 @@
 
 use super::control_loop::Control;
 use super::net::{Traffic, count};
-use super::pulls::Pulled;
-use super::reader::{Duty, Read, STREAM};
-use super::stream::Todo;
-use super::{Input, note_unreadable};
+use super::pulls::PullOutcome;
+use super::reader::{Read, ReadRole, STREAM};
+use super::stream::StreamEffects;
+use super::{Input, report_skipped};
 use crate::edge::SnapshotSource;
 use crate::logging::Event;
 
 /// The longest encoded records that are pushed; longer ones are offered for a pull.
-const PUSH_BYTES: usize = 1100;
+const MAX_PUSH_BYTES: usize = 1100;
 
 /// The time after its start from which a node knows those of its failure domain, so that it does
 /// not take itself for a reader beside all others: half of them are known after 0.5 s.
-const RANKED: Duration = Duration::from_secs(1);
+const RANK_DELAY: Duration = Duration::from_secs(1);
 
 /// Joiners that follow a log spread their first read over this time for each node that is known.
-const JOIN_SPREAD: Duration = Duration::from_millis(5);
+const JOIN_SPREAD_PER_NODE: Duration = Duration::from_millis(5);
 
 /// How long a node waits for the readers' first configuration while the whole mesh starts for the
 /// first time. Callers come seconds later, and one read for each node is what the platform can spare least.
-const FIRST_WAIT: Duration = Duration::from_secs(4);
+const FIRST_START_WAIT: Duration = Duration::from_secs(4);
 
 impl Control {
     pub(super) fn on_push(&mut self, now: Instant, from: NodeId, origin: NodeId, entries: &[u8]) {
         let witnesses = &self.roster.witnesses;
         match self.stream.on_push(now, from, origin, entries, witnesses) {
-            Ok(todo) => self.follow_up(todo),
+            Ok(effects) => self.apply_effects(effects),
             Err(_) => {
                 let counters = &self.shared.counters;
                 counters.count("swiftcart_datagrams_dropped_total", "reason", "malformed");
@@ -47,65 +47,65 @@
 
     pub(super) fn on_read(&mut self, result: Result<Read, PlatformError>) {
         let now = self.now();
-        let duty = self.duty(now);
-        let unreadable = self.reader.done(now, duty, &result);
+        let read_role = self.read_role(now);
+        let unreadable = self.reader.finish(now, read_role, &result);
         if unreadable > 0 {
-            note_unreadable(&self.shared, "config", unreadable);
+            report_skipped(&self.shared, "config", unreadable);
         }
-        let orders = self.reader.whole().map(SnapshotSource::orders);
-        self.take_orders(now, &orders.unwrap_or_default());
-        let drains = self.reader.whole().map(SnapshotSource::drains);
-        self.take_drains(now, &drains.unwrap_or_default());
+        let orders = self.reader.snapshots().map(SnapshotSource::orders);
+        self.apply_orders(now, &orders.unwrap_or_default());
+        let drains = self.reader.snapshots().map(SnapshotSource::drains);
+        self.apply_drains(now, &drains.unwrap_or_default());
         match result {
             Ok(read) => {
-                self.note_platform(None);
+                self.record_platform_state(None);
                 if let Read::Page(page) = &read {
                     let len = page.entries.iter().map(|e| e.body.len()).sum();
                     count(&self.shared, Traffic::PlatformRead, len);
                 }
-                let todo = self.stream.on_read(now, read, &self.roster.witnesses);
-                self.follow_up(todo);
-                let duty = self.duty(now);
-                self.reader.tick(now, duty, self.stream.from());
+                let effects = self.stream.on_read(now, read, &self.roster.witnesses);
+                self.apply_effects(effects);
+                let read_role = self.read_role(now);
+                self.reader.tick(now, read_role, self.stream.from());
             }
             Err(PlatformError::TooLarge) => {}
             Err(e) => {
-                self.stream.join.on_outage();
-                self.note_platform(Some(&e));
+                self.stream.readiness.on_outage();
+                self.record_platform_state(Some(&e));
             }
         }
     }
 
-    fn note_platform(&mut self, error: Option<&PlatformError>) {
+    fn record_platform_state(&mut self, error: Option<&PlatformError>) {
         let logger = &self.shared.logger;
         match error {
             Some(e) => {
                 let counters = &self.shared.counters;
                 counters.count("swiftcart_platform_errors_total", "reason", e.as_str());
-                if !std::mem::replace(&mut self.down, true) {
+                if !std::mem::replace(&mut self.platform_down, true) {
                     warn!(logger, ""; "event" => Event::PlatformDown, "error" => %e);
                 }
             }
-            None if std::mem::take(&mut self.down) => {
+            None if std::mem::take(&mut self.platform_down) => {
                 info!(logger, ""; "event" => Event::PlatformUp);
             }
             None => {}
         }
     }
 
-    pub(super) fn on_pulled(&mut self, pulled: Pulled) {
+    pub(super) fn on_pulled(&mut self, pulled: PullOutcome) {
         let now = self.now();
         let peer = pulled.peer;
         self.pulls.end(peer);
         match pulled.result {
             Ok(SyncReply::Feed(answer)) => {
                 let actions = self.stream.source.on_pull_reply(now, peer, answer);
-                self.follow(actions);
+                self.apply_feed_actions(actions);
             }
-            Ok(SyncReply::Whole(placed)) => self.on_whole(peer, placed),
+            Ok(SyncReply::Whole(positioned)) => self.on_positioned_snapshot(peer, positioned),
             Ok(SyncReply::Members(entries)) => {
                 let actions = self.membership.merge(now, entries);
-                self.act(actions);
+                self.apply_member_actions(actions);
             }
             Ok(SyncReply::Busy { .. }) => {
                 self.stream.source.on_pull_failed(peer);
@@ -113,7 +113,7 @@
             }
             Err(e) => {
                 // It may be of the release before, which does not know the question.
-                self.asks_whole = false;
+                self.pulls_snapshots = false;
                 self.stream.source.on_pull_failed(peer);
                 self.count_pull(e.as_str());
             }
@@ -126,32 +126,35 @@
     }
 
     /// Carries out the feed's actions, which may lead to further ones.
-    pub(super) fn follow(&mut self, actions: Vec<FeedAction>) {
+    pub(super) fn apply_feed_actions(&mut self, actions: Vec<FeedAction>) {
         let now = self.now();
-        let todo = self.stream.after(now, actions, &self.roster.witnesses);
-        self.follow_up(todo);
+        let effects = self
+            .stream
+            .process_actions(now, actions, &self.roster.witnesses);
+        self.apply_effects(effects);
     }
 
-    pub(super) fn follow_up(&mut self, todo: Todo) {
-        self.stale |= todo.enforced;
-        for (version, to) in todo.reports {
+    pub(super) fn apply_effects(&mut self, effects: StreamEffects) {
+        self.stale |= effects.enforced;
+        for (version, to) in effects.reports {
             for witness in to {
                 self.net.send(witness, &Datagram::Report { version });
             }
         }
-        for action in todo.feed {
-            self.follow_one(action);
+        for action in effects.feed {
+            self.apply_feed_action(action);
         }
     }
 
-    fn follow_one(&mut self, action: FeedAction) {
+    fn apply_feed_action(&mut self, action: FeedAction) {
         let logger = &self.shared.logger;
         let counters = &self.shared.counters;
         match action {
             FeedAction::Push { origin, entries } => self.push(origin, entries.as_slice()),
             FeedAction::Pull { peer, from } => {
-                let whole = self.asks_whole && from == Offset(0) && self.reader.whole().is_some();
-                let request = match whole {
+                let wants_snapshot =
+                    self.pulls_snapshots && from == Offset(0) && self.reader.snapshots().is_some();
+                let request = match wants_snapshot {
                     true => SyncRequest::Whole,
                     false => SyncRequest::Feed { from },
                 };
@@ -160,7 +163,7 @@
                 }
             }
             FeedAction::Stalled(rule) => {
-                self.stream.join.on_outage();
+                self.stream.readiness.on_outage();
                 warn!(logger, ""; "event" => Event::Stalled, "rule" => rule);
             }
             FeedAction::Diverged(source) => {
@@ -168,7 +171,7 @@
                 warn!(logger, ""; "event" => Event::Diverged, "source" => ?source);
             }
             FeedAction::NoStart(first) => {
-                self.stream.join.on_outage();
+                self.stream.readiness.on_outage();
                 warn!(logger, ""; "event" => Event::NoStart, "first" => first.0);
             }
             FeedAction::AppendCheckpoint(checkpoint) => self.append(checkpoint),
@@ -181,7 +184,7 @@
                 delta: None,
             } => {
                 let head = self.stream.source.head();
-                self.pass_on(origin, &Datagram::Offer { origin, head });
+                self.send_to_children(origin, &Datagram::Offer { origin, head });
             }
             FeedAction::Applied(_) => {}
         }
@@ -192,14 +195,14 @@
         let head = self.stream.source.head();
         let offer = Datagram::Offer { origin, head };
         let datagram = match postcard::to_stdvec(entries) {
-            Ok(entries) if entries.len() <= PUSH_BYTES => Datagram::Push { origin, entries },
+            Ok(entries) if entries.len() <= MAX_PUSH_BYTES => Datagram::Push { origin, entries },
             Ok(_) | Err(_) => offer,
         };
-        self.pass_on(origin, &datagram);
+        self.send_to_children(origin, &datagram);
     }
 
     /// Sends a datagram to this node's children in the tree of `origin`.
-    fn pass_on(&self, origin: NodeId, datagram: &Datagram) {
+    fn send_to_children(&self, origin: NodeId, datagram: &Datagram) {
         let fanout = usize::try_from(self.shared.settings.gossip.fanout).unwrap_or(1);
         for child in push_children(&self.roster.near, origin, self.shared.id, fanout) {
             self.net.send(child, datagram);
@@ -213,35 +216,39 @@
         tokio::spawn(async move {
             let result = platform.append(STREAM, &body.encode()).await.map(drop);
             // The control loop is gone when the node has stopped.
-            drop(sender.send(Input::Appended(result)).await);
+            drop(sender.send(Input::CheckpointAppended(result)).await);
         });
     }
 
     /// Asks peers how far this node was, while the platform is out of reach.
-    pub(super) fn ask_floors(&mut self, now: Instant, duty: Duty) {
-        let answers = self.down || self.stream.asks_peers();
-        if !duty.joining || !answers {
+    pub(super) fn request_floors(&mut self, now: Instant, read_role: ReadRole) {
+        let uses_peers = self.platform_down || self.stream.needs_peer_confirmation();
+        if !read_role.joining || !uses_peers {
             return;
         }
-        for peer in self.stream.join.peers_to_query(now, &self.roster.asked) {
+        for peer in self
+            .stream
+            .readiness
+            .peers_to_query(now, &self.roster.floor_peers)
+        {
             self.net.send(peer, &Datagram::FloorAsk);
         }
     }
 
-    pub(super) fn duty(&mut self, now: Instant) -> Duty {
-        let settled = self.met(now) && now.elapsed() >= RANKED;
-        let reads = settled && self.roster.rank < self.reader.readers();
+    pub(super) fn read_role(&mut self, now: Instant) -> ReadRole {
+        let rank_known = self.members_known(now) && now.elapsed() >= RANK_DELAY;
+        let reads = rank_known && self.roster.rank < self.reader.readers();
         let first = self.shared.settings.first_start;
         let known = u32::try_from(self.roster.known).unwrap_or(u32::MAX);
-        Duty {
+        ReadRole {
             rank: self.roster.rank,
             joining: self.stream.served(now).is_err(),
-            spread: match self.reader.whole() {
-                Some(_) => self.reading_spread(),
-                None => JOIN_SPREAD.saturating_mul(known),
+            spread: match self.reader.snapshots() {
+                Some(_) => self.read_spread(),
+                None => JOIN_SPREAD_PER_NODE.saturating_mul(known),
             },
-            settled,
-            waits: !self.may_read(now) || first && !reads && now.elapsed() < FIRST_WAIT,
+            rank_known,
+            deferred: !self.may_read(now) || first && !reads && now.elapsed() < FIRST_START_WAIT,
         }
     }
 }
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -12,14 +12,14 @@
 use crate::logging::Event;
 
 /// Of the slots of a cold backend server, whose work takes longer, others are shown one in so many.
-const COLD_SLOTS: u32 = 2;
+const COLD_SLOT_DIVISOR: u32 = 2;
 
 impl Control {
     pub(super) fn on_backend(&mut self) {
         let backend = self.backend.borrow_and_update().clone();
         let now = self.now();
-        self.clear_backend();
-        let backend = self.shown(now, backend);
+        self.update_clearance();
+        let backend = self.advertised(now, backend);
         let identity = self.shared.registration().identity().cloned();
         let actions = match self.identity == identity {
             true => self.membership.update_backend(now, backend),
@@ -27,14 +27,14 @@
         };
         self.identity = identity;
         // What is known of the pace may be another backend server's.
-        self.telling = PaceAnnouncer::default();
+        self.pace_announcer = PaceAnnouncer::default();
         self.shared.pace.store(0, Ordering::Relaxed);
-        self.act(actions);
+        self.apply_member_actions(actions);
         self.stale = true;
     }
 
     /// Returns the backend server as it is shown to other nodes.
-    pub(super) fn shown(&self, now: Instant, backend: Option<Backend>) -> Option<Backend> {
+    pub(super) fn advertised(&self, now: Instant, backend: Option<Backend>) -> Option<Backend> {
         let clearance = self.shared.clearing.shown(now);
         let drained = *self.shared.drained.borrow();
         let cold = self.shared.warmup.is_cold(now);
@@ -44,7 +44,7 @@
                 false => clearance.readiness(backend.readiness),
             },
             slots: match cold {
-                true => (backend.slots / COLD_SLOTS).max(1),
+                true => (backend.slots / COLD_SLOT_DIVISOR).max(1),
                 false => backend.slots,
             },
             ..backend
@@ -52,21 +52,21 @@
     }
 
     /// Shows other nodes when the own backend server has become cold, or warm.
-    pub(super) fn show_warmup(&mut self, now: Instant) {
+    pub(super) fn advertise_warmup(&mut self, now: Instant) {
         let cold = self.shared.warmup.is_cold(now);
-        if self.shown_cold != cold {
-            self.shown_cold = cold;
-            self.show_anew(now);
+        if self.advertised_cold != cold {
+            self.advertised_cold = cold;
+            self.readvertise_backend(now);
         }
     }
 
     /// Shows the backend server anew to other nodes.
-    pub(super) fn show_anew(&mut self, now: Instant) {
+    pub(super) fn readvertise_backend(&mut self, now: Instant) {
         let backend = self.backend.borrow().clone();
-        let shown = self.shown(now, backend);
+        let shown = self.advertised(now, backend);
         if !self.left && self.membership.me().backend != shown {
             let actions = self.membership.update_backend(now, shown);
-            self.act(actions);
+            self.apply_member_actions(actions);
             self.stale = true;
         }
     }
@@ -78,14 +78,14 @@
             0 => None,
             pace => Some(Pace(pace)),
         };
-        if let Some(pace) = self.telling.due(now, pace) {
+        if let Some(pace) = self.pace_announcer.due(now, pace) {
             let actions = self.membership.announce_pace(now, pace);
-            self.act(actions);
+            self.apply_member_actions(actions);
         }
     }
 
     /// Tells the membership of the nodes to which requests found no connection.
-    pub(super) fn take_misses(&mut self) {
+    pub(super) fn apply_unreached(&mut self) {
         let now = self.now();
         for (node, tried) in self.shared.unreached.take() {
             self.membership.unreached(now, tried, node);
@@ -93,24 +93,24 @@
     }
 
     /// Takes what the directory holds: the other nodes, and which requests to hold.
-    pub(super) fn on_found(&mut self, found: &Listed) {
-        self.found = true;
-        self.listed = found.nodes.len();
+    pub(super) fn on_discovered(&mut self, discovered: &Listed) {
+        self.discovered = true;
+        self.listed_nodes = discovered.nodes.len();
         let now = self.now();
-        self.recall(now, &found.memos);
-        let actions = self.membership.add_seeds(now, found.nodes.clone());
-        self.act(actions);
+        self.restore_quarantine(now, &discovered.memos);
+        let actions = self.membership.add_seeds(now, discovered.nodes.clone());
+        self.apply_member_actions(actions);
     }
 
     pub(super) fn on_stopping(&mut self) {
         self.left = true;
         let now = self.now();
         let actions = self.membership.leave(now);
-        self.act(actions);
+        self.apply_member_actions(actions);
     }
 
     /// Carries out what the membership asks for.
-    pub(super) fn act(&mut self, actions: Vec<Action>) {
+    pub(super) fn apply_member_actions(&mut self, actions: Vec<Action>) {
         let mut changed = false;
         for action in actions {
             match action {
@@ -130,7 +130,7 @@
                 }
             }
         }
-        self.moved |= changed;
+        self.members_changed |= changed;
     }
 
     fn log_member(&self, id: NodeId) {
--- a/crates/swiftcart-node/src/control/net.rs
+++ b/crates/swiftcart-node/src/control/net.rs
@@ -51,7 +51,7 @@
         let addr = shared.settings.listen.gossip;
         let socket = UdpSocket::bind(addr)
             .await
-            .map_err(|e| ControlError::Datagrams(addr, e))?;
+            .map_err(|e| ControlError::BindGossip(addr, e))?;
         Ok(Self {
             socket,
             key,
--- a/crates/swiftcart-node/src/control/publish.rs
+++ b/crates/swiftcart-node/src/control/publish.rs
@@ -13,11 +13,11 @@
 
 /// Tells whether the node may serve, and if not, what it waits for.
 pub(super) fn phase(control: &mut Control, now: Instant) -> Phase {
-    let met = control.met(now);
+    let members_known = control.members_known(now);
     match control.stream.served(now) {
-        Ok(_) if met => Phase::Ready,
+        Ok(_) if members_known => Phase::Ready,
         Ok(_) => Phase::NoMembers,
-        Err(e) => waiting(e),
+        Err(e) => not_ready_phase(e),
     }
 }
 
@@ -30,7 +30,7 @@
         Ok(version) => version,
         Err(_) => shared.progress.load().version,
     };
-    let new = seen(&control.stream, version);
+    let new = progress_of(&control.stream, version);
     if **shared.progress.load() != new {
         shared.progress.store(Arc::new(new));
     }
@@ -55,7 +55,7 @@
     let settings = &shared.settings;
     let place = Locality::new(&settings.domain).with_regions(&settings.regions);
     let routes = Arc::clone(config.routes());
-    let view = match control.undrained(routable()) {
+    let view = match control.mark_drained(routable()) {
         Some(members) => View::with_routes(routes, members.iter(), shared.id, place),
         None => View::with_routes(routes, routable(), shared.id, place),
     };
@@ -66,7 +66,7 @@
     shared.adopt(config, view);
 }
 
-const fn waiting(reason: NotReady) -> Phase {
+const fn not_ready_phase(reason: NotReady) -> Phase {
     match reason {
         NotReady::BehindPeer(..) => Phase::BelowFloor,
         _ => Phase::NoConfig,
@@ -74,7 +74,7 @@
 }
 
 /// What operators see of the stream.
-fn seen(stream: &Stream, version: Version) -> Progress {
+fn progress_of(stream: &Stream, version: Version) -> Progress {
     Progress {
         version,
         position: stream.source.position(),
--- a/crates/swiftcart-node/src/control/pulls.rs
+++ b/crates/swiftcart-node/src/control/pulls.rs
@@ -13,14 +13,14 @@
 
 use super::net::{Traffic, count};
 use super::sync_client::pull;
-use super::sync_server::Pending;
+use super::sync_server::PendingPull;
 use super::{ControlError, Input, reachable};
 use crate::shared::Shared;
 
 /// Pulls of this node that are open at the same time.
-const OPEN_PULLS: usize = 2;
+const MAX_OPEN_PULLS: usize = 2;
 /// Pulls served at once and in a second.
-const GATE: (u32, u32) = (4, 20);
+const SERVE_LIMITS: (u32, u32) = (4, 20);
 
 /// Holds the pulls that this node has open, and the bound on those it serves.
 #[derive(Debug)]
@@ -28,13 +28,13 @@
     shared: Arc<Shared>,
     key: MeshKey,
     inputs: mpsc::Sender<Input>,
-    gate: SyncLimiter,
+    limiter: SyncLimiter,
     open: BTreeSet<NodeId>,
 }
 
 /// The end of one pull of this node.
 #[derive(Debug)]
-pub(super) struct Pulled {
+pub(super) struct PullOutcome {
     pub(super) peer: NodeId,
     pub(super) result: Result<SyncReply, ControlError>,
 }
@@ -45,14 +45,14 @@
             shared,
             key,
             inputs,
-            gate: SyncLimiter::new(GATE.0, GATE.1),
+            limiter: SyncLimiter::new(SERVE_LIMITS.0, SERVE_LIMITS.1),
             open: BTreeSet::new(),
         }
     }
 
-    /// Starts a pull whose end comes as an [`Input::Pulled`]; returns whether it did.
+    /// Starts a pull whose end comes as an [`Input::PullOutcome`]; returns whether it did.
     pub(super) fn start(&mut self, peer: NodeId, addr: SocketAddr, request: &SyncRequest) -> bool {
-        if self.open.len() >= OPEN_PULLS || !self.open.insert(peer) {
+        if self.open.len() >= MAX_OPEN_PULLS || !self.open.insert(peer) {
             return false;
         }
         let frame = seal_sync(request, self.shared.id, &self.key);
@@ -63,9 +63,9 @@
                 Ok(frame) => exchange(&shared, &key, addr, frame).await,
                 Err(e) => Err(ControlError::Wire(e)),
             };
-            let pulled = Box::new(Pulled { peer, result });
+            let pulled = Box::new(PullOutcome { peer, result });
             // The control loop is gone when the node has stopped.
-            drop(inputs.send(Input::Pulled(pulled)).await);
+            drop(inputs.send(Input::PullOutcome(pulled)).await);
         });
         true
     }
@@ -76,7 +76,7 @@
     }
 
     /// Opens a request; one that does not hold against its tag is counted and dropped.
-    pub(super) fn open(&self, pending: &Pending) -> Option<SyncRequest> {
+    pub(super) fn open(&self, pending: &PendingPull) -> Option<SyncRequest> {
         count(&self.shared, Traffic::PullsReceived, pending.frame.len());
         match open_sync::<SyncRequest>(&pending.frame, &self.key) {
             Ok((from, request)) => reachable(&self.shared, from.0).then_some(request),
@@ -90,9 +90,9 @@
 
     /// Tells whether a request is served now, or the answer that sends the asker away.
     pub(super) fn admit(&mut self, now: Instant) -> Option<SyncReply> {
-        match self.gate.admit(now) {
+        match self.limiter.admit(now) {
             SyncAdmission::Serve => {
-                self.gate.done();
+                self.limiter.done();
                 None
             }
             SyncAdmission::Busy { retry_after } => {
@@ -105,7 +105,7 @@
     }
 
     /// Answers a request.
-    pub(super) fn answer(&self, pending: Pending, reply: &SyncReply) {
+    pub(super) fn answer(&self, pending: PendingPull, reply: &SyncReply) {
         if let Ok(frame) = seal_sync(reply, self.shared.id, &self.key) {
             count(&self.shared, Traffic::PullsSent, frame.len());
             pending.answer(frame);
@@ -122,7 +122,7 @@
     if !reachable(shared, addr) {
         // A cut swallows packets, so the asker learns of it by its timeout only.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        return Err(ControlError::Unknown);
+        return Err(ControlError::UnknownAddress);
     }
     count(shared, Traffic::PullsSent, frame.len());
     let answer = pull(addr, frame).await?;
--- a/crates/swiftcart-node/src/control/quotas.rs
+++ b/crates/swiftcart-node/src/control/quotas.rs
@@ -13,21 +13,21 @@
 use crate::logging::Event;
 
 /// The time for which it is remembered which node adds up for an account.
-const SEATED_FOR: Duration = Duration::from_secs(1);
+const LEDGER_CACHE_TTL: Duration = Duration::from_secs(1);
 
 /// The time between two rounds of the ledger.
-const ROUND: Duration = Duration::from_millis(100);
+const LEDGER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The time between two sweeps of counts that nobody needs any more.
-const SWEEP: Duration = Duration::from_secs(10);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What this node adds up, and who does for the other accounts.
 #[derive(Debug)]
 pub(super) struct Accounting {
     ledger: QuotaLedger,
     /// The nodes that add up for accounts, while the members are those of the hash.
-    seats: HashMap<AccountTag, NodeId>,
-    seated: (u32, Instant),
+    ledger_nodes: HashMap<AccountTag, NodeId>,
+    cached_members: (u32, Instant),
     next_round: Instant,
     next_sweep: Instant,
     /// The accounts that were logged as limited.
@@ -38,8 +38,8 @@
     pub(super) fn new(bounds: QuotaBounds) -> Self {
         Self {
             ledger: QuotaLedger::new(bounds),
-            seats: HashMap::new(),
-            seated: (0, Instant::default()),
+            ledger_nodes: HashMap::new(),
+            cached_members: (0, Instant::default()),
             next_round: Instant::default(),
             next_sweep: Instant::default(),
             limited: BTreeMap::new(),
@@ -49,20 +49,20 @@
 
 impl Control {
     /// Tells the counts that are due, and reminds all nodes of accounts that are limited.
-    pub(super) fn tell_quotas(&mut self, now: Instant) {
+    pub(super) fn exchange_quotas(&mut self, now: Instant) {
         let has_accounts = !self.shared.view.load().accounts().is_empty();
         if !has_accounts {
             return;
         }
-        self.seat(now);
+        self.refresh_ledger_nodes(now);
         let due = self.shared.quotas.with(|meter| meter.due(now));
-        self.tell_usage(now, due);
+        self.send_usage(now, due);
         if now >= self.accounting.next_round {
-            self.accounting.next_round = now + ROUND;
-            self.remind(now);
+            self.accounting.next_round = now + LEDGER_INTERVAL;
+            self.broadcast_limits(now);
         }
         if now >= self.accounting.next_sweep {
-            self.accounting.next_sweep = now + SWEEP;
+            self.accounting.next_sweep = now + SWEEP_INTERVAL;
             self.shared.quotas.with(|meter| meter.sweep(now));
         }
     }
@@ -71,36 +71,36 @@
     pub(super) fn on_quotas(&mut self, now: Instant, from: NodeId, message: &QuotaMessage) {
         match message {
             QuotaMessage::Usage(list) => {
-                let answers = self.add_up(now, from, list);
+                let answers = self.record_usage(now, from, list);
                 if !answers.is_empty() {
                     let message = QuotaMessage::Admit(answers);
                     self.net.send(from, &Datagram::Quotas(message));
                 }
             }
-            QuotaMessage::Admit(list) => self.admit(now, list),
+            QuotaMessage::Admit(list) => self.apply_ratios(now, list),
         }
     }
 
-    fn tell_usage(&mut self, now: Instant, due: Vec<Usage>) {
+    fn send_usage(&mut self, now: Instant, due: Vec<Usage>) {
         let mut by_node: BTreeMap<NodeId, Vec<Usage>> = BTreeMap::new();
         for usage in due {
-            let node = self.ledger_of(usage.account);
+            let node = self.ledger_node(usage.account);
             by_node.entry(node).or_default().push(usage);
         }
         for (node, list) in by_node {
             if node == self.shared.id {
-                let answers = self.add_up(now, node, &list);
-                self.admit(now, &answers);
+                let answers = self.record_usage(now, node, &list);
+                self.apply_ratios(now, &answers);
                 continue;
             }
-            for part in list.chunks(MAX_USAGE_ENTRIES) {
-                let message = QuotaMessage::Usage(part.to_vec());
+            for chunk in list.chunks(MAX_USAGE_ENTRIES) {
+                let message = QuotaMessage::Usage(chunk.to_vec());
                 self.net.send(node, &Datagram::Quotas(message));
             }
         }
     }
 
-    fn add_up(&mut self, now: Instant, from: NodeId, list: &[Usage]) -> Vec<AdmissionRatio> {
+    fn record_usage(&mut self, now: Instant, from: NodeId, list: &[Usage]) -> Vec<AdmissionRatio> {
         let view = self.shared.view.load();
         let ledger = &mut self.accounting.ledger;
         let limited = list.iter().filter_map(|usage| {
@@ -111,27 +111,27 @@
         limited.collect()
     }
 
-    fn admit(&self, now: Instant, list: &[AdmissionRatio]) {
+    fn apply_ratios(&self, now: Instant, list: &[AdmissionRatio]) {
         self.shared.quotas.with(|meter| {
-            for admittance in list {
-                meter.receive(now, *admittance);
+            for ratio in list {
+                meter.receive(now, *ratio);
             }
         });
     }
 
-    fn remind(&mut self, now: Instant) {
+    fn broadcast_limits(&mut self, now: Instant) {
         let due = self.accounting.ledger.limit_updates(now);
         if due.is_empty() {
             return;
         }
-        self.admit(now, &due);
+        self.apply_ratios(now, &due);
         let me = self.shared.id;
         let others = self.membership.members().map(|member| member.id);
         let others: Vec<NodeId> = others
             .filter(|id| *id != me && self.membership.routable(*id))
             .collect();
-        for part in due.chunks(MAX_USAGE_ENTRIES) {
-            let message = Datagram::Quotas(QuotaMessage::Admit(part.to_vec()));
+        for chunk in due.chunks(MAX_USAGE_ENTRIES) {
+            let message = Datagram::Quotas(QuotaMessage::Admit(chunk.to_vec()));
             for id in &others {
                 self.net.send(*id, &message);
             }
@@ -158,14 +158,14 @@
 
     /// Forgets who adds up for which account when the members change, and takes over how many of
     /// them are reached.
-    fn seat(&mut self, now: Instant) {
+    fn refresh_ledger_nodes(&mut self, now: Instant) {
         let hash = self.membership.hash();
-        let (known, since) = self.accounting.seated;
-        if known == hash && now.since(since) < SEATED_FOR {
+        let (known, since) = self.accounting.cached_members;
+        if known == hash && now.since(since) < LEDGER_CACHE_TTL {
             return;
         }
-        self.accounting.seated = (hash, now);
-        self.accounting.seats.clear();
+        self.accounting.cached_members = (hash, now);
+        self.accounting.ledger_nodes.clear();
         let members = self.membership.members();
         let (mut reached, mut others) = (0_usize, 0_usize);
         for member in members {
@@ -177,21 +177,21 @@
             }
         }
         let nodes = (reached + others).max(1);
-        let part = reached as f64 / nodes as f64;
-        self.accounting.ledger.set_reachable_share(part);
+        let share = reached as f64 / nodes as f64;
+        self.accounting.ledger.set_reachable_share(share);
         self.shared.quotas.with(|meter| meter.set_nodes(nodes));
     }
 
     /// Returns the node that adds up for an account: the first by rank of those that are reached.
-    fn ledger_of(&mut self, account: AccountTag) -> NodeId {
-        if let Some(node) = self.accounting.seats.get(&account) {
+    fn ledger_node(&mut self, account: AccountTag) -> NodeId {
+        if let Some(node) = self.accounting.ledger_nodes.get(&account) {
             return *node;
         }
         let members = self.membership.members().map(|member| member.id);
         let reached: Vec<NodeId> = members.filter(|id| self.membership.routable(*id)).collect();
         let ranked = rank(&reached, &account.0.to_string());
         let node = ranked.first().copied().unwrap_or(self.shared.id);
-        self.accounting.seats.insert(account, node);
+        self.accounting.ledger_nodes.insert(account, node);
         node
     }
 }
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -12,105 +12,109 @@
     TRIAL_INTERVAL, rank,
 };
 
-use super::board::Settled;
+use super::board::RecordedRollout;
 use super::control_loop::Control;
-use super::trials::Watched;
+use super::trials::WatchedRollout;
 use crate::clearing::{Cleared, RolloutRole};
 use crate::edge::RolloutState;
 use crate::logging::{Event, unix_ms};
 
 /// The time between two rounds of news. Everyone knows after some five rounds, before backend
 /// servers that are started for an order are ready.
-const ROUND: Duration = Duration::from_millis(100);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The time between two comparisons with another node, while there is anything to compare.
-const COMPARE: Duration = Duration::from_secs(1);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a node knows of roll-outs, and those that it watches.
 #[derive(Debug, Default)]
-pub(super) struct Watching {
+pub(super) struct RolloutWatch {
     pub(super) rollouts: Rollouts,
-    pub(super) watched: BTreeMap<ServiceName, Watched>,
+    pub(super) watched: BTreeMap<ServiceName, WatchedRollout>,
     next_round: Instant,
     next_compare: Instant,
     next_trial: Instant,
     /// Rounds of evidence so far.
-    pub(super) rounds: u32,
-    asked: bool,
+    pub(super) evidence_rounds: u32,
+    requested: bool,
 }
 
 impl Control {
     /// Takes orders that were read from the platform.
-    pub(super) fn take_orders(&mut self, now: Instant, orders: &[RolloutOrder]) {
+    pub(super) fn apply_orders(&mut self, now: Instant, orders: &[RolloutOrder]) {
         for order in orders {
-            if self.watching.rollouts.order(now, order) {
+            if self.rollout_watch.rollouts.order(now, order) {
                 let ms = u64::try_from(order.duration.as_millis()).unwrap_or(u64::MAX);
                 info!(self.shared.logger, ""; "event" => Event::Rollout,
                     "service" => %order.service, "order" => order.id.0,
                     "target" => %order.target, "stage" => "ordered", "duration_ms" => ms);
-                self.clear_backend();
+                self.update_clearance();
             }
         }
     }
 
     /// Moves roll-outs on, and tells others what there is to tell.
     pub(super) fn watch_rollouts(&mut self, now: Instant) {
-        if !self.watching.asked && self.met(now) {
-            self.watching.asked = true;
-            self.ask_rollouts();
+        if !self.rollout_watch.requested && self.members_known(now) {
+            self.rollout_watch.requested = true;
+            self.request_rollouts();
         }
-        if self.watching.rollouts.is_empty() {
+        if self.rollout_watch.rollouts.is_empty() {
             return;
         }
-        if now >= self.watching.next_round {
-            self.watching.next_round = now + ROUND;
-            self.pass_rollouts(now);
+        if now >= self.rollout_watch.next_round {
+            self.rollout_watch.next_round = now + GOSSIP_INTERVAL;
+            self.gossip_new_statuses(now);
         }
-        if now >= self.watching.next_compare {
-            self.watching.next_compare = now + COMPARE;
-            let digest_message = self.watching.rollouts.digest_message();
+        if now >= self.rollout_watch.next_compare {
+            self.rollout_watch.next_compare = now + COMPARE_INTERVAL;
+            let digest_message = self.rollout_watch.rollouts.digest_message();
             for id in self.membership.broadcast_targets(false).into_iter().take(1) {
-                self.tell_words(id, digest_message.clone());
+                self.send_statuses(id, digest_message.clone());
             }
         }
-        if now >= self.watching.next_trial {
-            self.watching.next_trial = now + TRIAL_INTERVAL;
-            self.tell_evidence(now);
+        if now >= self.rollout_watch.next_trial {
+            self.rollout_watch.next_trial = now + TRIAL_INTERVAL;
+            self.send_evidence(now);
             self.run_trials(now);
-            self.show_backend(now);
+            self.advertise_backend(now);
         }
     }
 
     /// Takes what another node tells of roll-outs.
     pub(super) fn on_rollouts(&mut self, now: Instant, from: NodeId, message: &RolloutMessage) {
         match message {
-            RolloutMessage::Statuses(words) => self.on_words(now, from, words),
+            RolloutMessage::Statuses(statuses) => self.on_statuses(now, from, statuses),
             RolloutMessage::Evidence(evidence) => self.on_evidence(now, from, evidence.clone()),
             RolloutMessage::Grant(grant) => {
                 if self.shared.clearing.grant(now, grant) {
-                    self.show_backend(now);
+                    self.advertise_backend(now);
                 }
             }
         }
     }
 
     /// Takes what the platform knows of a roll-out.
-    pub(super) fn on_settled(&mut self, settled: &Settled) {
+    pub(super) fn on_recorded(&mut self, recorded: &RecordedRollout) {
         let now = self.now();
-        let Settled {
+        let RecordedRollout {
             service,
             order,
             state,
             due_ms,
-        } = settled;
+        } = recorded;
         let left = Duration::from_millis(due_ms.saturating_sub(unix_ms()));
-        if let Some(watched) = self.watching.watched.get_mut(service)
+        if let Some(watched) = self.rollout_watch.watched.get_mut(service)
             && watched.trial.order() == *order
         {
-            watched.known = true;
+            watched.recorded = true;
         }
         match state {
-            RolloutState::Running => self.watching.rollouts.set_due(service, *order, now + left),
+            RolloutState::Running => {
+                self.rollout_watch
+                    .rollouts
+                    .set_due(service, *order, now + left)
+            }
             RolloutState::Completed => self.advance(service, *order, RolloutStage::Completed, None),
             RolloutState::RolledBack => {
                 self.advance(service, *order, RolloutStage::RolledBack, None);
@@ -119,7 +123,7 @@
     }
 
     /// Gives the own backend server the part that it has by what is known now.
-    pub(super) fn clear_backend(&mut self) {
+    pub(super) fn update_clearance(&mut self) {
         let backend = self.backend.borrow().clone();
         let release = self
             .shared
@@ -127,7 +131,7 @@
             .identity()
             .map(|own| own.release.clone());
         let cleared = match &backend {
-            Some(backend) => self.cleared(backend, release.as_ref()),
+            Some(backend) => self.clearance_of(backend, release.as_ref()),
             None => Cleared::default(),
         };
         let epoch = rand::rng().random();
@@ -138,11 +142,11 @@
                 "order" => part.order.0, "side" => ?part.side, "clearance" => ?cleared.clearance,
                 "release" => release.as_ref().map(Release::as_str));
         }
-        self.show_backend(self.now());
+        self.advertise_backend(self.now());
     }
 
-    fn cleared(&self, backend: &Backend, release: Option<&Release>) -> Cleared {
-        let rollouts = &self.watching.rollouts;
+    fn clearance_of(&self, backend: &Backend, release: Option<&Release>) -> Cleared {
+        let rollouts = &self.rollout_watch.rollouts;
         let Some((rollout, side)) = rollouts.side(&backend.service, release) else {
             return Cleared::default();
         };
@@ -151,29 +155,29 @@
             order: rollout.order,
             side,
         };
-        let turn = match rollout.stage {
-            RolloutStage::Moving(_) => self.shared.clearing.turn(self.draw_turn(backend)),
+        let batch = match rollout.stage {
+            RolloutStage::Moving(_) => self.shared.clearing.turn(self.batch_of(backend)),
             _ => RolloutBatch::FIRST,
         };
         Cleared {
             part: Some(part),
-            clearance: rollout.stage.clearance(side, turn),
+            clearance: rollout.stage.clearance(side, batch),
         }
     }
 
     /// Draws the turn of the own backend server: its place among those that are shown as it is,
     /// which are those of its side before the first one has moved.
-    fn draw_turn(&self, backend: &Backend) -> RolloutBatch {
-        let shown = self.shown(self.now(), Some(backend.clone()));
-        let alike = |other: &Backend| {
-            let readiness = shown.as_ref().map(|shown| shown.readiness);
+    fn batch_of(&self, backend: &Backend) -> RolloutBatch {
+        let advertised = self.advertised(self.now(), Some(backend.clone()));
+        let has_same_readiness = |other: &Backend| {
+            let readiness = advertised.as_ref().map(|backend| backend.readiness);
             other.service == backend.service && Some(other.readiness) == readiness
         };
         let live = self
             .membership
             .members()
             .filter(|member| member.liveness.is_live());
-        let side = live.filter(|member| member.backend.as_ref().is_some_and(alike));
+        let side = live.filter(|member| member.backend.as_ref().is_some_and(has_same_readiness));
         let ids: Vec<NodeId> = side.map(|member| member.id).collect();
         let ranked = rank(&ids, backend.service.as_str());
         let place = ranked.iter().position(|id| *id == self.shared.id);
@@ -181,51 +185,51 @@
     }
 
     /// Shows the backend server anew to other nodes where that has changed.
-    fn show_backend(&mut self, now: Instant) {
+    fn advertise_backend(&mut self, now: Instant) {
         if self.shared.clearing.is_used() {
-            self.show_anew(now);
+            self.readvertise_backend(now);
         }
     }
 
     /// Asks some nodes what they know: a process that has started remembers nothing.
-    fn ask_rollouts(&mut self) {
-        let sync_request = self.watching.rollouts.request_all();
+    fn request_rollouts(&mut self) {
+        let sync_request = self.rollout_watch.rollouts.request_all();
         for id in self.membership.broadcast_targets(true) {
-            self.tell_words(id, sync_request.clone());
+            self.send_statuses(id, sync_request.clone());
         }
     }
 
-    fn on_words(&mut self, now: Instant, from: NodeId, words: &RolloutStatuses) {
-        if self.watching.rollouts.merge(now, &words.list) {
-            self.clear_backend();
+    fn on_statuses(&mut self, now: Instant, from: NodeId, statuses: &RolloutStatuses) {
+        if self.rollout_watch.rollouts.merge(now, &statuses.list) {
+            self.update_clearance();
         }
-        if words.asks {
-            let rollouts = &self.watching.rollouts;
-            for words in RolloutStatuses::pack(rollouts.digest(), rollouts.all(now)) {
-                self.tell_words(from, words);
+        if statuses.asks {
+            let rollouts = &self.rollout_watch.rollouts;
+            for statuses in RolloutStatuses::pack(rollouts.digest(), rollouts.all(now)) {
+                self.send_statuses(from, statuses);
             }
         }
-        if let Some(sync_request) = self.watching.rollouts.sync_request(words) {
-            self.tell_words(from, sync_request);
+        if let Some(sync_request) = self.rollout_watch.rollouts.sync_request(statuses) {
+            self.send_statuses(from, sync_request);
         }
     }
 
-    fn pass_rollouts(&mut self, now: Instant) {
-        let due = self.watching.rollouts.gossip_round(now);
+    fn gossip_new_statuses(&mut self, now: Instant) {
+        let due = self.rollout_watch.rollouts.gossip_round(now);
         if due.is_empty() {
             return;
         }
-        let digest = self.watching.rollouts.digest();
-        let told = self.membership.broadcast_targets(true);
-        for words in RolloutStatuses::pack(digest, due) {
-            for id in &told {
-                self.tell_words(*id, words.clone());
+        let digest = self.rollout_watch.rollouts.digest();
+        let peers = self.membership.broadcast_targets(true);
+        for statuses in RolloutStatuses::pack(digest, due) {
+            for id in &peers {
+                self.send_statuses(*id, statuses.clone());
             }
         }
     }
 
-    fn tell_words(&self, to: NodeId, words: RolloutStatuses) {
-        let message = RolloutMessage::Statuses(words);
+    fn send_statuses(&self, to: NodeId, statuses: RolloutStatuses) {
+        let message = RolloutMessage::Statuses(statuses);
         self.net.send(to, &Datagram::Rollouts(message));
     }
 
@@ -237,9 +241,9 @@
         stage: RolloutStage,
         cause: Option<Cause>,
     ) {
-        if self.watching.rollouts.advance(service, order, stage) {
+        if self.rollout_watch.rollouts.advance(service, order, stage) {
             self.log_stage(service, order, stage, cause);
-            self.clear_backend();
+            self.update_clearance();
         }
     }
 
@@ -253,21 +257,21 @@
     ) {
         let counters = &self.shared.counters;
         counters.count("swiftcart_rollout_stages_total", "stage", stage.as_str());
-        let watched = self.watching.watched.get(service);
-        let so_far = watched.map_or_else(Exposure::default, |watched| watched.trial.exposure());
+        let watched = self.rollout_watch.watched.get(service);
+        let exposure = watched.map_or_else(Exposure::default, |watched| watched.trial.exposure());
         let logger = &self.shared.logger;
-        let why = cause.map_or("told", Cause::as_str);
+        let cause_name = cause.map_or("told", Cause::as_str);
         match cause.and_then(Cause::finding) {
             Some(found) => warn!(logger, ""; "event" => Event::Rollout, "service" => %service,
-                "order" => order.0, "stage" => stage.as_str(), "cause" => why,
-                "requests" => so_far.all, "at_new" => so_far.new, "route" => found.route.0,
+                "order" => order.0, "stage" => stage.as_str(), "cause" => cause_name,
+                "requests" => exposure.all, "at_new" => exposure.new, "route" => found.route.0,
                 "measure" => found.metric.as_str(), "old_runs" => found.old.all,
                 "old_bad" => found.old.bad, "new_runs" => found.new.all, "new_bad" => found.new.bad,
                 "weight" => format!("{:.1}", found.log_ratio), "affected" => found.affected.bad,
                 "of_new" => found.affected.all, "alike" => found.old_affected.bad, "of_old" => found.old_affected.all),
             None => info!(logger, ""; "event" => Event::Rollout, "service" => %service,
-                "order" => order.0, "stage" => stage.as_str(), "cause" => why,
-                "requests" => so_far.all, "at_new" => so_far.new),
+                "order" => order.0, "stage" => stage.as_str(), "cause" => cause_name,
+                "requests" => exposure.all, "at_new" => exposure.new),
         }
     }
 }
--- a/crates/swiftcart-node/src/control/roster.rs
+++ b/crates/swiftcart-node/src/control/roster.rs
@@ -10,7 +10,7 @@
     /// The nodes that hear of a version before it is put in force.
     pub(super) witnesses: Vec<NodeId>,
     /// The nodes that a joiner asks how far it was: `near` and the witnesses elsewhere.
-    pub(super) asked: Vec<NodeId>,
+    pub(super) floor_peers: Vec<NodeId>,
     /// This node's rank among `near` for reading the platform's log.
     pub(super) rank: usize,
     /// All live nodes that are known.
@@ -35,7 +35,7 @@
         let elsewhere = witnesses.iter().filter(|id| far.contains(id));
         let others = near.iter().filter(|id| **id != me.id);
         Self {
-            asked: others.chain(elsewhere).copied().collect(),
+            floor_peers: others.chain(elsewhere).copied().collect(),
             witnesses,
             rank: ranked.iter().position(|id| *id == me.id).unwrap_or(0),
             known: near.len() + far.len(),
--- a/crates/swiftcart-node/src/control/stream.rs
+++ b/crates/swiftcart-node/src/control/stream.rs
@@ -17,21 +17,21 @@
 pub(super) struct Stream {
     pub(super) source: Source,
     pub(super) witness: Witness,
-    pub(super) join: ReadinessGate,
-    floor: EnforcementGate,
+    pub(super) readiness: ReadinessGate,
+    enforcement: EnforcementGate,
     /// The versions that wait for a witness.
-    waiting: BTreeMap<Version, Config>,
+    unacknowledged: BTreeMap<Version, Config>,
     /// The version that the floor has let through.
     enforced: Config,
     /// The platform's clock at a time of ours.
-    clock: Option<(Instant, u64)>,
+    platform_clock: Option<(Instant, u64)>,
     /// Whether a peer that is ready may vouch for the version, as when the platform is away.
-    peers: bool,
+    peers_confirm: bool,
 }
 
 /// What the control loop has to do after an event.
 #[derive(Debug, Default)]
-pub(super) struct Todo {
+pub(super) struct StreamEffects {
     /// Actions of the feed, other than applying.
     pub(super) feed: Vec<FeedAction>,
     /// A version to report, and to whom.
@@ -41,10 +41,10 @@
 }
 
 impl Stream {
-    /// Follows the platform's log, or with `whole` the versions that the platform has judged.
-    pub(super) fn new(me: NodeId, settings: &Settings, whole: bool) -> Self {
+    /// Follows the platform's log, or with `from_snapshots` the versions that the platform has judged.
+    pub(super) fn new(me: NodeId, settings: &Settings, from_snapshots: bool) -> Self {
         let retention = std::time::Duration::from_secs(settings.platform.retention_s);
-        let source = match whole {
+        let source = match from_snapshots {
             true => Source::snapshots(me),
             false => Source::log(me, FeedSettings::new(retention)),
         };
@@ -52,48 +52,53 @@
             enforced: source.config(),
             source,
             witness: Witness::new(),
-            join: ReadinessGate::new(),
-            floor: EnforcementGate::new(),
-            waiting: BTreeMap::new(),
-            clock: None,
-            peers: whole && settings.first_start,
+            readiness: ReadinessGate::new(),
+            enforcement: EnforcementGate::new(),
+            unacknowledged: BTreeMap::new(),
+            platform_clock: None,
+            peers_confirm: from_snapshots && settings.first_start,
         }
     }
 
     /// Tells whether peers are to vouch for the version that this node has.
-    pub(super) fn asks_peers(&mut self) -> bool {
-        let asks = self.peers && self.source.version() > Version::NONE;
+    pub(super) fn needs_peer_confirmation(&mut self) -> bool {
+        let asks = self.peers_confirm && self.source.version() > Version::NONE;
         if asks {
-            self.join.on_outage();
+            self.readiness.on_outage();
         }
         asks
     }
 
     /// Takes what was read from the platform.
-    pub(super) fn on_read(&mut self, now: Instant, read: Read, witnesses: &[NodeId]) -> Todo {
+    pub(super) fn on_read(
+        &mut self,
+        now: Instant,
+        read: Read,
+        witnesses: &[NodeId],
+    ) -> StreamEffects {
         let actions = match (&mut self.source, read) {
             (Source::Log(feed), Read::Page(page)) => {
-                self.clock = Some((now, page.now_ms));
-                self.join.on_log_end(page.next);
+                self.platform_clock = Some((now, page.now_ms));
+                self.readiness.on_log_end(page.next);
                 feed.on_page(page.first, page.next, page.entries)
             }
             (Source::SnapshotFeed(snapshots), Read::Newest(Some(snapshot))) => {
-                self.join.on_log_end(Offset(snapshot.version.0));
+                self.readiness.on_log_end(Offset(snapshot.version.0));
                 snapshots.on_read(snapshot)
             }
             // Nothing was published yet; a node is as far as the platform with the first version.
             (Source::SnapshotFeed(_), Read::Newest(None)) => {
-                self.join.on_log_end(Offset(1));
+                self.readiness.on_log_end(Offset(1));
                 Vec::new()
             }
             (Source::SnapshotFeed(_), Read::Confirmed(version)) => {
-                self.join.on_log_end(Offset(version.0));
+                self.readiness.on_log_end(Offset(version.0));
                 Vec::new()
             }
-            (Source::Log(_), Read::Newest(_) | Read::Confirmed(_) | Read::Unplaced)
-            | (Source::SnapshotFeed(_), Read::Page(_) | Read::Unplaced) => Vec::new(),
+            (Source::Log(_), Read::Newest(_) | Read::Confirmed(_) | Read::UnknownPosition)
+            | (Source::SnapshotFeed(_), Read::Page(_) | Read::UnknownPosition) => Vec::new(),
         };
-        self.after(now, actions, witnesses)
+        self.process_actions(now, actions, witnesses)
     }
 
     /// Takes what another node pushed.
@@ -108,26 +113,26 @@
         origin: NodeId,
         bytes: &[u8],
         witnesses: &[NodeId],
-    ) -> Result<Todo, postcard::Error> {
+    ) -> Result<StreamEffects, postcard::Error> {
         let actions = self.source.on_push(now, peer, origin, bytes)?;
-        Ok(self.after(now, actions, witnesses))
+        Ok(self.process_actions(now, actions, witnesses))
     }
 
     /// Sorts the feed's actions; a greater version goes to the floor first.
-    pub(super) fn after(
+    pub(super) fn process_actions(
         &mut self,
         now: Instant,
         actions: Vec<FeedAction>,
         witnesses: &[NodeId],
-    ) -> Todo {
+    ) -> StreamEffects {
         let is_applied = |action: &FeedAction| matches!(action, FeedAction::Applied(_));
         let (applied, feed): (Vec<_>, Vec<_>) = actions.into_iter().partition(is_applied);
-        let mut todo = match applied.is_empty() {
-            true => Todo::default(),
+        let mut effects = match applied.is_empty() {
+            true => StreamEffects::default(),
             false => self.advance(now, witnesses),
         };
-        todo.feed = feed;
-        todo
+        effects.feed = feed;
+        effects
     }
 
     /// Takes a witness's acknowledgement.
@@ -137,20 +142,20 @@
         peer: NodeId,
         version: Version,
         witnesses: &[NodeId],
-    ) -> Todo {
-        let actions = self.floor.on_ack(now, peer, version, witnesses);
+    ) -> StreamEffects {
+        let actions = self.enforcement.on_ack(now, peer, version, witnesses);
         self.enforce(actions)
     }
 
     /// Puts versions in force whose witnesses did not answer in time.
-    pub(super) fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> Todo {
-        let actions = self.floor.on_tick(now, witnesses);
+    pub(super) fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> StreamEffects {
+        let actions = self.enforcement.on_tick(now, witnesses);
         self.enforce(actions)
     }
 
     /// Returns the checkpoint to append, when one is due for a reader of this rank.
     pub(super) fn checkpoint(&mut self, now: Instant, rank: usize) -> Option<FeedAction> {
-        let (at, ms) = self.clock?;
+        let (at, ms) = self.platform_clock?;
         let passed = u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
         match &mut self.source {
             Source::Log(feed) => feed.on_tick(ms.saturating_add(passed), rank),
@@ -175,37 +180,37 @@
             // A version still waits for its witness; the node is not yet that far.
             false => Offset(version.0),
         };
-        self.join.ready(now, position, version)?;
+        self.readiness.ready(now, position, version)?;
         Ok(&self.enforced)
     }
 
     /// Returns the version that answers a joiner: none while this node is joining itself.
-    pub(super) fn vouched(&mut self, now: Instant) -> Version {
+    pub(super) fn confirmed_version(&mut self, now: Instant) -> Version {
         self.served(now).map_or(Version::NONE, Config::version)
     }
 
-    fn advance(&mut self, now: Instant, witnesses: &[NodeId]) -> Todo {
+    fn advance(&mut self, now: Instant, witnesses: &[NodeId]) -> StreamEffects {
         let version = self.source.version();
-        self.waiting.insert(version, self.source.config());
-        let actions = self.floor.on_version(now, version, witnesses);
+        self.unacknowledged.insert(version, self.source.config());
+        let actions = self.enforcement.on_version(now, version, witnesses);
         self.enforce(actions)
     }
 
-    fn enforce(&mut self, actions: Vec<EnforcementAction>) -> Todo {
-        let mut todo = Todo::default();
+    fn enforce(&mut self, actions: Vec<EnforcementAction>) -> StreamEffects {
+        let mut effects = StreamEffects::default();
         for action in actions {
             match action {
-                EnforcementAction::Report { version, to } => todo.reports.push((version, to)),
+                EnforcementAction::Report { version, to } => effects.reports.push((version, to)),
                 EnforcementAction::Enforce(version) => {
-                    let later = self.waiting.split_off(&Version(version.0 + 1));
-                    let ready = std::mem::replace(&mut self.waiting, later);
+                    let later = self.unacknowledged.split_off(&Version(version.0 + 1));
+                    let ready = std::mem::replace(&mut self.unacknowledged, later);
                     if let Some((_, latest)) = ready.into_iter().next_back() {
                         self.enforced = latest;
-                        todo.enforced = true;
+                        effects.enforced = true;
                     }
                 }
             }
         }
-        todo
+        effects
     }
 }
--- a/crates/swiftcart-node/src/control/sync_server.rs
+++ b/crates/swiftcart-node/src/control/sync_server.rs
@@ -12,11 +12,11 @@
 use super::{ControlError, frames};
 
 /// Pulls served at the same time; further ones wait in the listener's queue.
-const PLACES: usize = 8;
+const MAX_CONCURRENT_PULLS: usize = 8;
 /// Longest request that is accepted, in bytes; a member pull with all its buckets has 1.3 kB.
-const REQUEST_BYTES: usize = 4096;
+const MAX_REQUEST_BYTES: usize = 4096;
 /// Longest time for one pull, as the asker bounds it too.
-const PULL_TIME: Duration = Duration::from_secs(2);
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The pause after a connection could not be accepted, for want of descriptors perhaps.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -26,7 +26,7 @@
 
 /// Holds one sealed request and the way back to its sender.
 #[derive(Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingPull {
     /// The sealed request.
     pub(super) frame: Vec<u8>,
     answer: oneshot::Sender<Vec<u8>>,
@@ -40,15 +40,15 @@
     /// Fails when the address cannot be bound.
     pub(super) async fn bind(
         addr: SocketAddr,
-        requests: mpsc::Sender<Pending>,
+        requests: mpsc::Sender<PendingPull>,
     ) -> Result<Self, ControlError> {
         let listener = TcpListener::bind(addr).await;
-        let listener = listener.map_err(|e| ControlError::Pulls(addr, e))?;
+        let listener = listener.map_err(|e| ControlError::BindSync(addr, e))?;
         Ok(Self(tokio::spawn(accept(listener, requests))))
     }
 }
 
-impl Pending {
+impl PendingPull {
     /// Sends the sealed answer; a lost connection is the asker's to notice.
     pub(super) fn answer(self, frame: Vec<u8>) {
         // The task that holds the connection ends with it; then nobody needs the answer.
@@ -62,10 +62,10 @@
     }
 }
 
-async fn accept(listener: TcpListener, requests: mpsc::Sender<Pending>) {
-    let places = Arc::new(Semaphore::new(PLACES));
+async fn accept(listener: TcpListener, requests: mpsc::Sender<PendingPull>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_PULLS));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
@@ -75,19 +75,19 @@
         let requests = requests.clone();
         tokio::spawn(async move {
             // A pull that fails or takes too long is the asker's to repeat.
-            drop(timeout(PULL_TIME, serve(stream, requests)).await);
-            drop(place);
+            drop(timeout(PULL_TIMEOUT, serve(stream, requests)).await);
+            drop(permit);
         });
     }
 }
 
-async fn serve(mut stream: TcpStream, requests: mpsc::Sender<Pending>) -> std::io::Result<()> {
+async fn serve(mut stream: TcpStream, requests: mpsc::Sender<PendingPull>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let frame = frames::read(&mut stream, REQUEST_BYTES).await?;
+    let frame = frames::read(&mut stream, MAX_REQUEST_BYTES).await?;
     let (answer, answered) = oneshot::channel();
     // A full queue, or a request that does not hold, drops the sender; the asker's
     // timeout covers it.
-    drop(requests.try_send(Pending { frame, answer }));
+    drop(requests.try_send(PendingPull { frame, answer }));
     match answered.await {
         Ok(frame) => frames::write(&mut stream, &frame).await,
         Err(_) => Ok(()),
--- a/crates/swiftcart-node/src/control/trials.rs
+++ b/crates/swiftcart-node/src/control/trials.rs
@@ -14,30 +14,30 @@
 
 /// The nodes that watch the roll-out of one service: one that decides, and one that does when the
 /// platform has not heard of the end from it.
-const WATCHERS: usize = 2;
+const WATCHER_COUNT: usize = 2;
 
 /// How long the second one waits for the first one to write an end.
-const STAND_IN: Duration = Duration::from_millis(700);
+const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(700);
 
 /// Of so many rounds one tells what an old backend server does, until the service moves: what is
 /// compared are seconds of it, and each watcher hears from all of them.
-const OLD_EVERY: u32 = 2;
+const OLD_EVIDENCE_ROUNDS: u32 = 2;
 
 /// A roll-out that this node watches.
 #[derive(Debug)]
-pub(super) struct Watched {
+pub(super) struct WatchedRollout {
     pub(super) trial: Trial,
     /// The state that was handed to be written last.
     written: Option<RolloutState>,
     /// Whether the platform has answered for this order; a trial may have ended before.
-    pub(super) known: bool,
+    pub(super) recorded: bool,
     /// Since when an end waits to be written.
-    due: Option<Instant>,
+    end_due: Option<Instant>,
 }
 
 impl Control {
     /// Tells those who watch what the own backend server was seen to do.
-    pub(super) fn tell_evidence(&mut self, now: Instant) {
+    pub(super) fn send_evidence(&mut self, now: Instant) {
         if !self.shared.clearing.is_used() {
             return;
         }
@@ -51,13 +51,19 @@
         let Some(evidence) = self.shared.clearing.evidence(activity) else {
             return;
         };
-        let rollout = self.watching.rollouts.get(&evidence.service);
+        let rollout = self.rollout_watch.rollouts.get(&evidence.service);
         let Some(stage) = rollout.map(|rollout| rollout.stage) else {
             return;
         };
-        self.watching.rounds = self.watching.rounds.wrapping_add(1);
+        self.rollout_watch.evidence_rounds = self.rollout_watch.evidence_rounds.wrapping_add(1);
         let skips = evidence.side != Side::New && stage <= RolloutStage::Trial;
-        if stage.is_over() || (skips && !self.watching.rounds.is_multiple_of(OLD_EVERY)) {
+        if stage.is_over()
+            || (skips
+                && !self
+                    .rollout_watch
+                    .evidence_rounds
+                    .is_multiple_of(OLD_EVIDENCE_ROUNDS))
+        {
             return;
         }
         for id in self.watchers(&evidence.service) {
@@ -72,7 +78,7 @@
     }
 
     pub(super) fn on_evidence(&mut self, now: Instant, from: NodeId, evidence: Evidence) {
-        let Some(rollout) = self.watching.rollouts.get(&evidence.service) else {
+        let Some(rollout) = self.rollout_watch.rollouts.get(&evidence.service) else {
             return;
         };
         if rollout.order != evidence.order || rollout.stage.is_over() {
@@ -80,10 +86,10 @@
         }
         let trial = || Trial::new(now, &rollout, self.shared.settings.rollouts.trial());
         let service = evidence.service.clone();
-        let watched = self.watching.watched.entry(service);
-        let watched = watched.or_insert_with(|| Watched::new(trial()));
+        let watched = self.rollout_watch.watched.entry(service);
+        let watched = watched.or_insert_with(|| WatchedRollout::new(trial()));
         if watched.trial.order() != rollout.order {
-            *watched = Watched::new(trial());
+            *watched = WatchedRollout::new(trial());
         }
         watched.trial.observe(now, from, evidence);
     }
@@ -94,47 +100,47 @@
         let live = membership
             .members()
             .filter(|member| member.liveness.is_live());
-        let near = live.filter(|member| membership.routable(member.id));
-        let ids: Vec<NodeId> = near.map(|member| member.id).collect();
+        let reachable = live.filter(|member| membership.routable(member.id));
+        let ids: Vec<NodeId> = reachable.map(|member| member.id).collect();
         let mut ranked = rank(&ids, service.as_str());
-        ranked.truncate(WATCHERS);
+        ranked.truncate(WATCHER_COUNT);
         ranked
     }
 
     pub(super) fn run_trials(&mut self, now: Instant) {
-        let running = self.watching.rollouts.running();
+        let running = self.rollout_watch.rollouts.running();
         let services: Vec<ServiceName> = running.map(|rollout| rollout.service.clone()).collect();
-        self.watching
+        self.rollout_watch
             .watched
             .retain(|service, _| services.contains(service));
         for service in services {
             let ranked = self.watchers(&service);
-            let place = ranked.iter().position(|id| *id == self.shared.id);
-            if let Some(place) = place {
-                self.run_trial(now, &service, place);
+            let watcher_rank = ranked.iter().position(|id| *id == self.shared.id);
+            if let Some(watcher_rank) = watcher_rank {
+                self.run_trial(now, &service, watcher_rank);
             }
         }
     }
 
-    /// Runs one round of a trial that this node watches as the one at `place`.
-    fn run_trial(&mut self, now: Instant, service: &ServiceName, place: usize) {
-        let Some(rollout) = self.watching.rollouts.get(service) else {
+    /// Runs one round of a trial that this node watches as the one at `watcher_rank`.
+    fn run_trial(&mut self, now: Instant, service: &ServiceName, watcher_rank: usize) {
+        let Some(rollout) = self.rollout_watch.rollouts.get(service) else {
             return;
         };
-        let Some(watched) = self.watching.watched.get_mut(service) else {
+        let Some(watched) = self.rollout_watch.watched.get_mut(service) else {
             return;
         };
         let (order, stage) = (rollout.order, rollout.stage);
-        let known = known_of(&self.membership, service);
-        let steps = match watched.known {
-            true => watched.trial.evaluate(now, &rollout, known),
+        let backends = backend_count(&self.membership, service);
+        let steps = match watched.recorded {
+            true => watched.trial.evaluate(now, &rollout, backends),
             false => Vec::new(),
         };
-        if !watched.known {
-            self.write_state(now, service, RolloutState::Running, place);
+        if !watched.recorded {
+            self.write_state(now, service, RolloutState::Running, watcher_rank);
         }
         if stage == RolloutStage::Stopped {
-            self.write_state(now, service, RolloutState::RolledBack, place);
+            self.write_state(now, service, RolloutState::RolledBack, watcher_rank);
         }
         for step in steps {
             match step {
@@ -146,7 +152,7 @@
                     self.net.send(id, &Datagram::Rollouts(message));
                 }
                 TrialAction::Advance(step) if step.stage == RolloutStage::Completed => {
-                    if self.write_state(now, service, RolloutState::Completed, place) {
+                    if self.write_state(now, service, RolloutState::Completed, watcher_rank) {
                         self.log_stage(service, order, step.stage, Some(step.cause));
                     }
                 }
@@ -164,9 +170,9 @@
         now: Instant,
         service: &ServiceName,
         state: RolloutState,
-        place: usize,
+        watcher_rank: usize,
     ) -> bool {
-        let Some(rollout) = self.watching.rollouts.get(service) else {
+        let Some(rollout) = self.rollout_watch.rollouts.get(service) else {
             return false;
         };
         let record = RolloutRecord {
@@ -176,7 +182,7 @@
             state,
             due_ms: unix_ms() + u64::try_from(rollout.remaining(now).as_millis()).unwrap_or(0),
         };
-        let Some(watched) = self.watching.watched.get_mut(service) else {
+        let Some(watched) = self.rollout_watch.watched.get_mut(service) else {
             return false;
         };
         let Some(board) = self
@@ -186,12 +192,12 @@
         else {
             return false;
         };
-        let due = *watched.due.get_or_insert(now);
-        let waits = place > 0 && now.since(due) < STAND_IN;
+        let end_due = *watched.end_due.get_or_insert(now);
+        let waits = watcher_rank > 0 && now.since(end_due) < STANDBY_WRITE_DELAY;
         let written = !waits && board.write(record);
         if written {
             watched.written = Some(state);
-            watched.due = None;
+            watched.end_due = None;
         }
         written
     }
@@ -199,21 +205,23 @@
 
 /// Returns how many nodes are known to have a backend server of a service, also where they cannot be
 /// reached at the moment.
-fn known_of(membership: &Membership, service: &ServiceName) -> usize {
+fn backend_count(membership: &Membership, service: &ServiceName) -> usize {
     let live = membership
         .members()
         .filter(|member| member.liveness.is_live());
-    let beside = live.filter_map(|member| member.backend.as_ref());
-    beside.filter(|backend| backend.service == *service).count()
+    let backends = live.filter_map(|member| member.backend.as_ref());
+    backends
+        .filter(|backend| backend.service == *service)
+        .count()
 }
 
-impl Watched {
+impl WatchedRollout {
     const fn new(trial: Trial) -> Self {
         Self {
             trial,
             written: None,
-            known: false,
-            due: None,
+            recorded: false,
+            end_due: None,
         }
     }
 }
