--- a/crates/swiftcart-node/src/control.rs
+++ b/crates/swiftcart-node/src/control.rs
@@ -1,8 +1,8 @@
-//! Follows configuration and members for the other parts of the node.
+//! Control plane of the node: follows the configuration, the membership and roll-outs.
 //!
-//! One task owns all state and takes one event after the other: datagrams, pulls,
-//! pages of the platform's log, announcements and the passing of time. The
-//! decisions are `swiftcart-core`'s; this module carries them out.
+//! One task owns all control state and handles one event at a time: datagrams, pulls, pages of the
+//! platform's log, announcements and timer ticks. `swiftcart-core` makes the decisions; this module
+//! does the I/O.
 
 mod board;
 mod control_loop;
@@ -44,33 +44,34 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// An event from outside that the control loop takes.
+/// An external event for the control loop.
 #[derive(Debug)]
 enum Input {
     PullOutcome(Box<PullOutcome>),
     Read(Box<Result<Read, PlatformError>>),
-    /// What the directory holds.
+    /// Contents of the directory.
     Discovered(Listed),
     CheckpointAppended(Result<(), PlatformError>),
-    /// How far the platform knows a roll-out to be.
+    /// State of a roll-out as recorded at the platform.
     RecordedRollout(RecordedRollout),
 }
 
-/// Opens the control sockets; [`BoundControl::run`] then keeps the routing view of `shared`.
+/// Binds the control sockets; [`BoundControl::run`] then keeps the routing view of `shared` up to
+/// date.
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound.
+/// Returns an error if an address cannot be bound.
 pub async fn open(shared: Arc<Shared>, edges: Edges) -> Result<BoundControl, ControlError> {
     Control::open(shared, edges).await.map(BoundControl)
 }
 
-/// A control edge whose sockets are open.
+/// Control loop whose sockets are bound.
 #[derive(Debug)]
 pub struct BoundControl(Control);
 
 impl BoundControl {
-    /// Follows configuration and members until the task is ended.
+    /// Runs the control loop until the task is aborted.
     pub async fn run(self) {
         let logger = self.0.shared().logger.clone();
         self.0.run().await;
@@ -78,14 +79,14 @@
     }
 }
 
-/// Counts and logs records of the platform that were passed over.
+/// Counts and logs records of the platform that were skipped because they could not be read.
 fn report_skipped(shared: &Shared, topic: &'static str, unreadable: u64) {
     let name = "swiftcart_platform_records_skipped_total";
     shared.counters.add(name, "topic", topic, unreadable);
     warn!(shared.logger, ""; "event" => Event::Skipped, "topic" => topic, "records" => unreadable);
 }
 
-/// Tells whether the fault switch lets packets to and from `addr` pass.
+/// Returns `true` if fault injection allows packets to and from `addr`.
 fn reachable(shared: &Shared, addr: SocketAddr) -> bool {
     shared.faults.reaches(addr)
 }
--- a/crates/swiftcart-node/src/control/board.rs
+++ b/crates/swiftcart-node/src/control/board.rs
@@ -1,4 +1,4 @@
-//! Writes to operators how far roll-outs are, and reads it.
+//! Records the state of roll-outs at the platform, where operators read it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,26 +17,26 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// Records that wait to be written; one for each roll-out that this node watches.
+/// Maximum number of queued records; each roll-out that this node watches queues one.
 const QUEUE_CAPACITY: usize = 64;
 
-/// The longest pause before another try. A roll-out has some seconds to end.
+/// Maximum pause before a retry. It is short because a roll-out has only a few seconds to end.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What the platform knows of a roll-out.
+/// State of a roll-out as recorded at the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct RecordedRollout {
     pub(super) service: ServiceName,
     pub(super) order: OrderId,
     pub(super) state: RolloutState,
-    /// The deadline, in Unix milliseconds.
+    /// Deadline, in Unix milliseconds.
     pub(super) due_ms: u64,
 }
 
-/// Writes one record after the other, however often that has to be tried.
+/// Background task that writes records one at a time and retries until each write succeeds.
 ///
-/// The platform takes a record only where nobody has written since this node read, so that a
-/// roll-out ends once: whoever comes later finds the end of another one and takes that over.
+/// The platform accepts a record only if no other node has written since this node's last read. A
+/// roll-out therefore ends once: a node that writes later reads the recorded end and adopts it.
 #[derive(Debug)]
 pub(super) struct BoardWriter {
     records: mpsc::Sender<RolloutRecord>,
@@ -58,14 +58,14 @@
         let task = tokio::spawn(async move {
             while let Some(record) = queued.recv().await {
                 let recorded = writer.write_until_recorded(record).await;
-                // The control loop is gone when the node has stopped.
+                // Sending fails only after the control loop has stopped.
                 drop(inputs.send(Input::RecordedRollout(recorded)).await);
             }
         });
         Self { records, task }
     }
 
-    /// Has a record written; returns whether there was room for it.
+    /// Queues a record for writing. Returns `false` if the queue is full.
     pub(super) fn write(&self, record: RolloutRecord) -> bool {
         self.records.try_send(record).is_ok()
     }
@@ -81,12 +81,12 @@
 struct WriterTask {
     shared: Arc<Shared>,
     board: Arc<dyn RolloutBoard>,
-    /// The board as it was read or written last; `None` when that is not certain.
+    /// Last board that was read or written; `None` after an error or a conflicting write.
     cached: Option<Board>,
 }
 
 impl WriterTask {
-    /// Writes `record` unless the platform knows an end of the same order, or a later order.
+    /// Writes `record` unless the platform already has the end of the same order, or a later order.
     async fn write_until_recorded(&mut self, record: RolloutRecord) -> RecordedRollout {
         let mut backoff = Backoff::new();
         let mut rng = SmallRng::from_os_rng();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Makes one try; `None` when another record came in between.
+    /// Attempts one write. Returns `None` if another node wrote a record in the meantime.
     async fn try_write(
         &mut self,
         record: &RolloutRecord,
@@ -145,7 +145,8 @@
     }
 }
 
-/// Tells whether `old` makes `new` needless: it is of a later order, or says as much already.
+/// Returns `true` if `old` makes `new` redundant: `old` belongs to a later order, or already
+/// records the same state or an end of the order.
 fn supersedes(old: &RolloutRecord, new: &RolloutRecord) -> bool {
     let ended = old.state != RolloutState::Running;
     let same = old.order == new.order;
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control loop: one task that owns the node's control state.
+//! Control loop: the task that owns the node's control state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,18 +34,18 @@
 use crate::registration::Identity;
 use crate::shared::Shared;
 
-/// Time between two ticks of the state machines.
+/// Interval between ticks of the state machines.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait of a node that starts for a member that tells it of the others.
+/// Maximum time that a starting node waits for another node to send the member list.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Least time between two views that differ by their members only. Building one takes time in
-/// proportion to the mesh, and when many processes start at once each node hears of all others
-/// within half a second.
+/// Minimum interval between two views that differ only in their members. The cost of building a
+/// view is proportional to the size of the mesh. When many processes start at once, each node
+/// learns of all others within half a second.
 const MIN_VIEW_INTERVAL: Duration = Duration::from_millis(50);
-/// Events that wait for the loop at most.
+/// Maximum number of queued events.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// Owns the control state of one node.
+/// Control state of one node.
 #[derive(Debug)]
 pub(super) struct Control {
     pub(super) shared: Arc<Shared>,
@@ -55,46 +55,47 @@
     pub(super) pulls: Pulls,
     pub(super) reader: Reader,
     pub(super) snapshot_cache: SnapshotCache,
-    /// Whether a node without a version asks others for a whole one with its place.
+    /// Set if a node without a version pulls a snapshot with its log position from other nodes.
     pub(super) pulls_snapshots: bool,
-    /// How many nodes the directory has named.
+    /// Number of nodes that the directory listed.
     pub(super) listed_nodes: usize,
     pub(super) net: Net,
     inputs: mpsc::Receiver<Input>,
     pub(super) sender: mpsc::Sender<Input>,
     pull_requests: mpsc::Receiver<PendingPull>,
-    /// Held open for as long as the node runs.
+    /// Kept so that the server runs as long as the node.
     _server: SyncServer,
     pub(super) backend: watch::Receiver<Option<Backend>>,
-    /// Which process of which backend server was told to the other nodes.
+    /// Identity of the backend server process that was last advertised to other nodes.
     pub(super) identity: Option<Identity>,
-    /// Whether the other nodes were looked up, where there is a place to look.
+    /// Set once the directory was queried, or if there is no directory.
     pub(super) discovered: bool,
-    /// Held open for as long as the node runs.
+    /// Kept so that discovery runs as long as the node.
     _finder: Option<Finder>,
-    /// What other nodes are told of requests that end backend servers.
+    /// Gossip state of findings about requests that crash backend servers.
     pub(super) findings: FindingsGossip,
-    /// Where held requests are remembered, where there is a place for it.
+    /// Persistent store of quarantined requests, if there is a directory.
     pub(super) quarantine_store: Option<QuarantineStore>,
-    /// What client accounts have sent, as far as this node adds it up.
+    /// Usage of the client accounts for which this node keeps the ledger.
     pub(super) accounting: Accounting,
-    /// The failure domains that are drained.
+    /// Drained failure domains and their gossip state.
     pub(super) drain_gossip: DrainGossip,
-    /// Whether the own backend server was shown as cold to other nodes.
+    /// Set if the local backend server is advertised as cold.
     pub(super) advertised_cold: bool,
-    /// The roll-outs that are known and watched.
+    /// Known roll-outs and those that this node watches.
     pub(super) rollout_watch: RolloutWatch,
-    /// Who writes to operators how far they are, where there is a place for it.
+    /// Writer of roll-out records, if the platform has a board for them.
     pub(super) board: Option<BoardWriter>,
-    /// When the pace of the own backend server is told to all nodes.
+    /// Schedule for announcing the pace of the local backend server to all nodes.
     pub(super) pace_announcer: PaceAnnouncer,
     pub(super) left: bool,
-    /// Whether the version or the own backend server changed since the view was built.
+    /// Set if the version or the local backend server changed since the view was built.
     pub(super) stale: bool,
-    /// Whether other members changed since the view was built, and when that was.
+    /// Set if other members changed since the view was built; `view_built` is the time of that
+    /// build.
     pub(super) members_changed: bool,
     view_built: Instant,
-    /// Whether the platform's log was out of reach at the last read.
+    /// Set if the last read of the platform's log failed.
     pub(super) platform_down: bool,
 }
 
@@ -167,7 +168,7 @@
         &self.shared
     }
 
-    /// Takes events until the task is ended.
+    /// Handles events until the task is aborted.
     pub(super) async fn run(mut self) {
         let stopping = self.shared.stopping.clone();
         let mut ticks = interval(TICK_INTERVAL);
@@ -272,7 +273,7 @@
             return;
         };
         let busy = match request {
-            // Bound by what the link carries.
+            // The snapshot cache limits these answers by the bandwidth of the link.
             SyncRequest::Whole => None,
             SyncRequest::Feed { .. } | SyncRequest::Members { .. } => self.pulls.admit(now),
         };
@@ -287,16 +288,17 @@
         self.pulls.answer(pending, &reply);
     }
 
-    /// Tells whether the members are known, or nobody was found to tell them in time.
+    /// Returns `true` if the member list is known, or if no node sent it within [`JOIN_TIMEOUT`].
     ///
-    /// A node that knows no members has no backend servers to offer; but one that is cut
-    /// off has to serve what it can.
+    /// A node that knows no members has no backend servers to route to. A node that is partitioned
+    /// from all others still has to serve what it can.
     pub(super) fn members_known(&self, now: Instant) -> bool {
         let joined = self.discovered || !self.membership.is_alone();
         (joined && self.membership.is_synced()) || now.elapsed() >= JOIN_TIMEOUT
     }
 
-    /// Shows the view first, so that who reads a version or a phase finds it in force.
+    /// Publishes the view before the phase and progress, so that a reader that sees a version or a
+    /// phase finds it already in force.
     fn publish(&mut self) {
         let now = self.now();
         let phase = publish::phase(self, now);
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -1,4 +1,4 @@
-//! Spreads which failure domains are drained, and has the own backend server follow.
+//! Gossips drained failure domains and applies drains to the local backend server.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// The time between two rounds of news, of which there are [`GOSSIP_ROUNDS`].
+/// Interval between gossip rounds, of which each change gets [`GOSSIP_ROUNDS`].
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The rounds in which a node passes on what is new to it.
+/// Number of rounds in which a node forwards a change.
 const GOSSIP_ROUNDS: u32 = 3;
 
-/// The time between two comparisons with another node, while there is anything to compare.
+/// Interval between digest comparisons with another node, while there are drains to compare.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of drained failure domains, and when it is told.
+/// Known drained failure domains and their gossip schedule.
 #[derive(Debug, Default)]
 pub(super) struct DrainGossip {
     drains: Drains,
@@ -30,7 +30,7 @@
 }
 
 impl Control {
-    /// Takes orders that were read from the platform.
+    /// Applies drain orders that were read from the platform.
     pub(super) fn apply_drains(&mut self, now: Instant, updates: &[DrainUpdate]) {
         let drains = &mut self.drain_gossip.drains;
         let mut changed = false;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Passes on what is new, and compares the rest with others now and then.
+    /// Forwards new drains and periodically compares digests with another node.
     pub(super) fn gossip_drains(&mut self, now: Instant) {
         if !self.drain_gossip.requested && self.members_known(now) {
             self.drain_gossip.requested = true;
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Takes what another node tells of drained failure domains, and answers what it asks.
+    /// Merges the drains of another node and answers its request.
     pub(super) fn on_drains(&mut self, now: Instant, from: NodeId, message: &DrainMessage) {
         let drains = &mut self.drain_gossip.drains;
         let changed = drains.merge(message);
         let differs = drains.digest() != message.digest;
         if (message.asks && !drains.is_empty()) || (message.orders.is_empty() && differs) {
             let answer = DrainMessage {
-                // Who asked has told everything already.
+                // The requesting node has already sent everything that it knows.
                 asks: !message.asks,
                 ..drains.message()
             };
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns the members as requests may go to them, where a failure domain is drained: those in it
-    /// take none.
+    /// Returns the members with those in drained failure domains marked as draining, or `None` if
+    /// no failure domain is drained. Draining members take no requests.
     pub(super) fn mark_drained<'a>(
         &self,
         members: impl Iterator<Item = &'a Member>,
--- a/crates/swiftcart-node/src/control/error.rs
+++ b/crates/swiftcart-node/src/control/error.rs
@@ -1,4 +1,4 @@
-//! Why the control edge cannot start, or one of its exchanges failed.
+//! Errors of the control loop's sockets and of state pulls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,26 +7,26 @@
 use swiftcart_core::WireError;
 
 quick_error! {
-    /// Tells why the control edge cannot start, or why a pull failed.
+    /// Error when the control sockets are bound, or when a state pull fails.
     #[derive(Debug)]
     pub enum ControlError {
-        /// The datagram socket cannot be opened.
+        /// The gossip socket cannot be bound.
         BindGossip(addr: SocketAddr, err: io::Error) {
             source(err)
             display("listen.gossip: {addr} cannot be bound: {err}: free the port or choose another")
         }
-        /// The socket for state pulls cannot be opened.
+        /// The socket for state pulls cannot be bound.
         BindSync(addr: SocketAddr, err: io::Error) {
             source(err)
-            display("listen.sync: {addr} cannot be listened on: {err}: free the port or choose another")
+            display("listen.sync: {addr} cannot be bound: {err}: free the port or choose another")
         }
-        /// A pull failed on the way.
+        /// An I/O error interrupted a pull.
         Sync(err: io::Error) {
             from()
             source(err)
             display("state pull failed: {err}")
         }
-        /// A pull took too long.
+        /// A pull exceeded its timeout.
         Timeout {
             display("state pull took too long")
         }
@@ -36,7 +36,7 @@
             source(err)
             display("state pull refused: {err}")
         }
-        /// The peer's address for pulls is not known.
+        /// The peer's address for pulls is unknown.
         UnknownAddress {
             display("the peer's address for state pulls is not known")
         }
@@ -44,7 +44,7 @@
 }
 
 impl ControlError {
-    /// Returns the name used in metrics.
+    /// Returns the error's label in metrics.
     #[must_use]
     pub const fn as_str(&self) -> &'static str {
         match self {
--- a/crates/swiftcart-node/src/control/finder.rs
+++ b/crates/swiftcart-node/src/control/finder.rs
@@ -1,4 +1,4 @@
-//! Finds the other nodes through the directory, and enters this one.
+//! Node discovery: registers this node in the directory and looks up the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,15 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// The longest pause between two tries; others look for lost nodes as well.
+/// Maximum pause between two retries. Other nodes also search for lost nodes.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// When a node that entered after it had looked looks again, unless it has met somebody: those
-/// who were listed are gone, and another one may have entered at the same time.
+/// Delay before a node that registered after its first look-up repeats the look-up. It does so only
+/// if it has met no other node: the listed nodes are gone, and another node may have registered at
+/// the same time.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Looks the other nodes up, however often that has to be tried.
+/// Background task that looks up the other nodes and retries until it succeeds.
 #[derive(Debug)]
 pub(super) struct Finder(JoinHandle<()>);
 
@@ -46,10 +47,10 @@
     }
 }
 
-/// Enters this node where it has to, and tells the control loop whom it found.
+/// Registers this node if necessary and reports the nodes that it found to the control loop.
 ///
-/// A node that starts again is listed still, so that one call is enough. While a whole mesh
-/// starts for the first time nobody is, and each node enters before it looks.
+/// A node that restarts is still listed, so that one call is enough. When a whole mesh starts for
+/// the first time, no node is listed, and each one registers before its look-up.
 async fn discover(shared: &Shared, directory: &dyn Directory, inputs: &mpsc::Sender<Input>) {
     let id = shared.id;
     let first = shared.settings.first_start;
@@ -58,7 +59,7 @@
     }
     let found = query_directory(shared, directory, first).await;
     let listed = first || found.nodes.contains(&id);
-    // The control loop is gone when the node has stopped.
+    // Sending fails only after the control loop has stopped.
     drop(inputs.send(Input::Discovered(found)).await);
     if listed {
         return;
@@ -81,7 +82,7 @@
     found
 }
 
-/// Asks until there is an answer.
+/// Repeats a request with backoff until it succeeds.
 pub(super) async fn retry_until_ok<'a, T>(
     logger: &Logger,
     request: impl Fn() -> Asked<'a, T>,
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -1,4 +1,4 @@
-//! Spreads what nodes know of requests that end backend servers.
+//! Gossips findings about requests that crash backend servers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// The time between two rounds of news. Everyone knows after some five rounds; a caller who was
-/// told that the outcome is unknown comes back after 250 ms.
+/// Interval between gossip rounds. A finding reaches all nodes after about five rounds. A caller
+/// that was told that the outcome is unknown retries after 250 ms.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two comparisons with another node, while there is anything to compare.
+/// Interval between digest comparisons with another node, while there are findings to compare.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When findings are passed on and compared, and which requests are held as far as was logged.
+/// Gossip schedule of findings, and the held requests that were last logged.
 #[derive(Debug, Default)]
 pub(super) struct FindingsGossip {
     next_round: Instant,
@@ -26,7 +26,7 @@
 }
 
 impl Control {
-    /// Passes on what is new, and compares the rest with others now and then.
+    /// Forwards new findings and periodically compares digests with another node.
     pub(super) fn gossip_findings(&mut self, now: Instant) {
         if !self.findings.requested && self.members_known(now) {
             self.findings.requested = true;
@@ -47,7 +47,7 @@
         self.log_held(now);
     }
 
-    /// Takes in what another node has found, and answers what it asks.
+    /// Merges the findings of another node and answers its request.
     pub(super) fn on_findings(&mut self, now: Instant, from: NodeId, findings: &Findings) {
         let suspects = &self.shared.suspects;
         let (question, all) = suspects.with(|quarantine| {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Asks some nodes what they know: a process that has started remembers nothing.
+    /// Requests the findings of some nodes, since a process that has just started has none.
     fn request_findings(&mut self) {
         let question = self.shared.suspects.with(|quarantine| quarantine.ask());
         for id in self.membership.broadcast_targets(true) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Logs which requests are held from now on, and which no longer.
+    /// Logs requests that have become held, and those that are no longer held.
     fn log_held(&mut self, now: Instant) {
         let held = self
             .shared
--- a/crates/swiftcart-node/src/control/following.rs
+++ b/crates/swiftcart-node/src/control/following.rs
@@ -1,4 +1,4 @@
-//! Carries out what following the configuration stream asks for.
+//! Applies the actions of the configuration feed.
 
 use std::time::Duration;
 
@@ -19,18 +19,20 @@
 use crate::edge::SnapshotSource;
 use crate::logging::Event;
 
-/// The longest encoded records that are pushed; longer ones are offered for a pull.
+/// Maximum encoded length of pushed records. Longer records are offered for a pull.
 const MAX_PUSH_BYTES: usize = 1100;
 
-/// The time after its start from which a node knows those of its failure domain, so that it does
-/// not take itself for a reader beside all others: half of them are known after 0.5 s.
+/// Time after its start from which a node trusts its rank in its failure domain. Half of the nodes
+/// of the failure domain are known after 0.5 s. Without this delay every node would act as a
+/// reader.
 const RANK_DELAY: Duration = Duration::from_secs(1);
 
-/// Joiners that follow a log spread their first read over this time for each node that is known.
+/// Time per known node over which joiners that follow a log spread their first reads.
 const JOIN_SPREAD_PER_NODE: Duration = Duration::from_millis(5);
 
-/// How long a node waits for the readers' first configuration while the whole mesh starts for the
-/// first time. Callers come seconds later, and one read for each node is what the platform can spare least.
+/// Time that a node waits for the readers' first configuration when the whole mesh starts for the
+/// first time. Callers arrive seconds later, and one read per node would put the greatest load on
+/// the platform.
 const FIRST_START_WAIT: Duration = Duration::from_secs(4);
 
 impl Control {
@@ -112,7 +114,7 @@
                 self.count_pull("busy");
             }
             Err(e) => {
-                // It may be of the release before, which does not know the question.
+                // The peer may run the previous release, which does not support snapshot pulls.
                 self.pulls_snapshots = false;
                 self.stream.source.on_pull_failed(peer);
                 self.count_pull(e.as_str());
@@ -125,7 +127,7 @@
         counters.count("swiftcart_pulls_failed_total", "reason", reason);
     }
 
-    /// Carries out the feed's actions, which may lead to further ones.
+    /// Applies the feed's actions, which may produce further ones.
     pub(super) fn apply_feed_actions(&mut self, actions: Vec<FeedAction>) {
         let now = self.now();
         let effects = self
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Passes records or a delta on to this node's children in the tree of `origin`.
+    /// Forwards records or a delta to this node's children in the push tree of `origin`.
     fn push<T: Serialize + ?Sized>(&self, origin: NodeId, entries: &T) {
         let head = self.stream.source.head();
         let offer = Datagram::Offer { origin, head };
@@ -201,7 +203,7 @@
         self.send_to_children(origin, &datagram);
     }
 
-    /// Sends a datagram to this node's children in the tree of `origin`.
+    /// Sends a datagram to this node's children in the push tree of `origin`.
     fn send_to_children(&self, origin: NodeId, datagram: &Datagram) {
         let fanout = usize::try_from(self.shared.settings.gossip.fanout).unwrap_or(1);
         for child in push_children(&self.roster.near, origin, self.shared.id, fanout) {
@@ -215,12 +217,13 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let result = platform.append(STREAM, &body.encode()).await.map(drop);
-            // The control loop is gone when the node has stopped.
+            // Sending fails only after the control loop has stopped.
             drop(sender.send(Input::CheckpointAppended(result)).await);
         });
     }
 
-    /// Asks peers how far this node was, while the platform is out of reach.
+    /// Asks peers for the version that this node last reported, while the platform is unreachable
+    /// or peers have to confirm this node's version.
     pub(super) fn request_floors(&mut self, now: Instant, read_role: ReadRole) {
         let uses_peers = self.platform_down || self.stream.needs_peer_confirmation();
         if !read_role.joining || !uses_peers {
--- a/crates/swiftcart-node/src/control/frames.rs
+++ b/crates/swiftcart-node/src/control/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of state pulls on a stream: a length in four bytes, then that many bytes.
+//! Framing of state pulls: a length in four bytes, then that many bytes.
 
 use std::io;
 
@@ -9,8 +9,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the stream ends or breaks, and with [`io::ErrorKind::InvalidData`] when the
-/// frame is longer than the bound.
+/// Returns an error if the stream ends or fails, and [`io::ErrorKind::InvalidData`] if the frame is
+/// longer than `bound`.
 pub(super) async fn read(stream: &mut TcpStream, bound: usize) -> io::Result<Vec<u8>> {
     let len = stream.read_u32().await? as usize;
     if len > bound {
@@ -21,12 +21,12 @@
     Ok(frame)
 }
 
-/// Writes `frame` with its length.
+/// Writes the length of `frame`, then `frame`.
 ///
 /// # Errors
 ///
-/// Fails when the stream breaks, and with [`io::ErrorKind::InvalidInput`] when the frame's
-/// length does not fit four bytes.
+/// Returns an error if the stream fails, and [`io::ErrorKind::InvalidInput`] if the length does not
+/// fit in four bytes.
 pub(super) async fn write(stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
     let len = u32::try_from(frame.len()).map_err(|_| io::ErrorKind::InvalidInput)?;
     stream.write_u32(len).await?;
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Carries out what the membership asks for.
+//! Applies membership actions and advertises the local backend server.
 
 use std::sync::atomic::Ordering;
 
@@ -11,7 +11,7 @@
 use crate::edge::Listed;
 use crate::logging::Event;
 
-/// Of the slots of a cold backend server, whose work takes longer, others are shown one in so many.
+/// Divisor of the slots that a cold backend server advertises, since its requests take longer.
 const COLD_SLOT_DIVISOR: u32 = 2;
 
 impl Control {
@@ -26,14 +26,14 @@
             false => self.membership.replace_backend(now, backend),
         };
         self.identity = identity;
-        // What is known of the pace may be another backend server's.
+        // The known pace may belong to the previous backend server.
         self.pace_announcer = PaceAnnouncer::default();
         self.shared.pace.store(0, Ordering::Relaxed);
         self.apply_member_actions(actions);
         self.stale = true;
     }
 
-    /// Returns the backend server as it is shown to other nodes.
+    /// Returns the backend server as advertised to other nodes.
     pub(super) fn advertised(&self, now: Instant, backend: Option<Backend>) -> Option<Backend> {
         let clearance = self.shared.clearing.shown(now);
         let drained = *self.shared.drained.borrow();
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Shows other nodes when the own backend server has become cold, or warm.
+    /// Advertises the local backend server again when it has become cold or warm.
     pub(super) fn advertise_warmup(&mut self, now: Instant) {
         let cold = self.shared.warmup.is_cold(now);
         if self.advertised_cold != cold {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Shows the backend server anew to other nodes.
+    /// Advertises the local backend server again if its advertised state changed.
     pub(super) fn readvertise_backend(&mut self, now: Instant) {
         let backend = self.backend.borrow().clone();
         let shown = self.advertised(now, backend);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Tells all nodes when the own backend server has become much faster or slower.
+    /// Announces the pace of the local backend server to all nodes after a large change.
     pub(super) fn announce_pace(&mut self) {
         let now = self.now();
         let pace = match self.shared.pace.load(Ordering::Relaxed) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Tells the membership of the nodes to which requests found no connection.
+    /// Reports nodes to which requests could not connect to the membership.
     pub(super) fn apply_unreached(&mut self) {
         let now = self.now();
         for (node, tried) in self.shared.unreached.take() {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes what the directory holds: the other nodes, and which requests to hold.
+    /// Applies the contents of the directory: other nodes and quarantined requests.
     pub(super) fn on_discovered(&mut self, discovered: &Listed) {
         self.discovered = true;
         self.listed_nodes = discovered.nodes.len();
@@ -109,7 +109,7 @@
         self.apply_member_actions(actions);
     }
 
-    /// Carries out what the membership asks for.
+    /// Applies the actions of the membership.
     pub(super) fn apply_member_actions(&mut self, actions: Vec<Action>) {
         let mut changed = false;
         for action in actions {
--- a/crates/swiftcart-node/src/control/net.rs
+++ b/crates/swiftcart-node/src/control/net.rs
@@ -1,4 +1,4 @@
-//! Sends and receives sealed datagrams, and counts what goes over the wire.
+//! Sends and receives sealed datagrams, and counts control traffic.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{ControlError, reachable};
 use crate::shared::Shared;
 
-/// Bytes that IP and UDP put in front of each datagram.
+/// Bytes of the IP and UDP headers of each datagram.
 const UDP_HEADERS: u64 = 28;
 
 /// The node's datagram socket.
@@ -19,7 +19,7 @@
     shared: Arc<Shared>,
 }
 
-/// Directions and kinds of control traffic, as they appear in metrics.
+/// Directions and kinds of control traffic, as labelled in metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Traffic {
     DatagramsSent,
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub(super) async fn bind(shared: Arc<Shared>, key: MeshKey) -> Result<Self, ControlError> {
         let addr = shared.settings.listen.gossip;
         let socket = UdpSocket::bind(addr)
@@ -59,7 +59,8 @@
         })
     }
 
-    /// Sends a datagram; a full socket buffer loses it, as the network may.
+    /// Sends a datagram. A datagram is dropped if the socket buffer is full; senders already have
+    /// to tolerate loss in the network.
     pub(super) fn send(&self, to: NodeId, datagram: &Datagram) {
         if !reachable(&self.shared, to.0) {
             return;
@@ -73,11 +74,11 @@
         }
     }
 
-    /// Waits for the next datagram that holds against its tag.
+    /// Waits for the next datagram whose authentication tag is valid.
     pub(super) async fn receive(&self) -> (NodeId, Datagram) {
         let mut buf = [0; MAX_DATAGRAM_LEN + 1];
         loop {
-            // Errors here are ICMP answers to earlier sends, which probes notice anyway.
+            // Errors here are ICMP replies to earlier sends. Probes detect the same failures.
             let Ok((len, from)) = self.socket.recv_from(&mut buf).await else {
                 continue;
             };
@@ -98,7 +99,7 @@
     }
 }
 
-/// Counts control traffic; datagrams include their IP and UDP headers.
+/// Counts control traffic. The size of a datagram includes its IP and UDP headers.
 pub(super) fn count(shared: &Shared, traffic: Traffic, len: usize) {
     let headers = match traffic {
         Traffic::DatagramsSent | Traffic::DatagramsReceived => UDP_HEADERS,
--- a/crates/swiftcart-node/src/control/publish.rs
+++ b/crates/swiftcart-node/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Shows the other parts of the node what the control loop knows.
+//! Publishes the state of the control loop to the other parts of the node.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::logging::Event;
 use crate::shared::{Phase, Progress};
 
-/// Tells whether the node may serve, and if not, what it waits for.
+/// Returns the phase of the node: ready to serve, or the condition that it waits for.
 pub(super) fn phase(control: &mut Control, now: Instant) -> Phase {
     let members_known = control.members_known(now);
     match control.stream.served(now) {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Publishes the place in the stream and whether the node may serve.
+/// Publishes the position in the stream and the phase of the node.
 pub(super) fn progress(control: &mut Control, now: Instant) {
     let shared = Arc::clone(&control.shared);
     let phase = phase(control, now);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Builds and swaps the routing view.
+/// Builds the routing view and replaces the current one.
 pub(super) fn view(control: &mut Control, now: Instant) {
     let shared = Arc::clone(&control.shared);
     let members: Vec<Member> = control.membership.members().cloned().collect();
@@ -73,7 +73,7 @@
     }
 }
 
-/// What operators see of the stream.
+/// Returns the stream state that operators see.
 fn progress_of(stream: &Stream, version: Version) -> Progress {
     Progress {
         version,
--- a/crates/swiftcart-node/src/control/pulls.rs
+++ b/crates/swiftcart-node/src/control/pulls.rs
@@ -1,4 +1,4 @@
-//! Asks other nodes for state and serves theirs, a bounded number at a time.
+//! Pulls state from other nodes and serves their pulls, with limits on both.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use super::{ControlError, Input, reachable};
 use crate::shared::Shared;
 
-/// Pulls of this node that are open at the same time.
+/// Maximum number of concurrent outgoing pulls.
 const MAX_OPEN_PULLS: usize = 2;
-/// Pulls served at once and in a second.
+/// Maximum number of pulls served concurrently, and per second.
 const SERVE_LIMITS: (u32, u32) = (4, 20);
 
-/// Holds the pulls that this node has open, and the bound on those it serves.
+/// Outgoing pulls of this node, and the limiter of those that it serves.
 #[derive(Debug)]
 pub(super) struct Pulls {
     shared: Arc<Shared>,
@@ -32,7 +32,7 @@
     open: BTreeSet<NodeId>,
 }
 
-/// The end of one pull of this node.
+/// Result of one outgoing pull.
 #[derive(Debug)]
 pub(super) struct PullOutcome {
     pub(super) peer: NodeId,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Starts a pull whose end comes as an [`Input::PullOutcome`]; returns whether it did.
+    /// Starts a pull whose result arrives as an [`Input::PullOutcome`]. Returns `false` if the peer
+    /// already has an open pull or too many pulls are open.
     pub(super) fn start(&mut self, peer: NodeId, addr: SocketAddr, request: &SyncRequest) -> bool {
         if self.open.len() >= MAX_OPEN_PULLS || !self.open.insert(peer) {
             return false;
@@ -64,18 +65,18 @@
                 Err(e) => Err(ControlError::Wire(e)),
             };
             let pulled = Box::new(PullOutcome { peer, result });
-            // The control loop is gone when the node has stopped.
+            // Sending fails only after the control loop has stopped.
             drop(inputs.send(Input::PullOutcome(pulled)).await);
         });
         true
     }
 
-    /// Notes that a pull has ended.
+    /// Removes a finished pull from the open ones.
     pub(super) fn end(&mut self, peer: NodeId) {
         self.open.remove(&peer);
     }
 
-    /// Opens a request; one that does not hold against its tag is counted and dropped.
+    /// Opens a sealed request. A request with an invalid authentication tag is counted and dropped.
     pub(super) fn open(&self, pending: &PendingPull) -> Option<SyncRequest> {
         count(&self.shared, Traffic::PullsReceived, pending.frame.len());
         match open_sync::<SyncRequest>(&pending.frame, &self.key) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Tells whether a request is served now, or the answer that sends the asker away.
+    /// Returns `None` if a request is admitted, or the busy reply if it exceeds the limits.
     pub(super) fn admit(&mut self, now: Instant) -> Option<SyncReply> {
         match self.limiter.admit(now) {
             SyncAdmission::Serve => {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Answers a request.
+    /// Seals and sends the reply to a request.
     pub(super) fn answer(&self, pending: PendingPull, reply: &SyncReply) {
         if let Ok(frame) = seal_sync(reply, self.shared.id, &self.key) {
             count(&self.shared, Traffic::PullsSent, frame.len());
@@ -120,7 +121,7 @@
     frame: Vec<u8>,
 ) -> Result<SyncReply, ControlError> {
     if !reachable(shared, addr) {
-        // A cut swallows packets, so the asker learns of it by its timeout only.
+        // A partition drops packets silently, so the requesting node only sees a timeout.
         tokio::time::sleep(Duration::from_secs(1)).await;
         return Err(ControlError::UnknownAddress);
     }
--- a/crates/swiftcart-node/src/control/quarantine_store.rs
+++ b/crates/swiftcart-node/src/control/quarantine_store.rs
@@ -1,4 +1,5 @@
-//! Remembers held requests outside the mesh, for a time at which all of its processes are gone.
+//! Persistent copy of the quarantined requests outside the mesh, for the case that all of its
+//! processes are gone at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,23 +15,23 @@
 use crate::logging::{Event, unix_ms};
 use crate::shared::Shared;
 
-/// The writes that wait at most; a node writes one a second for each held request while backend
-/// servers go on ending under it.
+/// Maximum number of queued writes. A node writes once per second for each held request while
+/// backend servers keep crashing on it.
 const QUEUE_CAPACITY: usize = 16;
 
-/// What is to be written.
+/// Write to the directory.
 #[derive(Debug)]
 enum StoreUpdate {
     Remember(Memo),
     Forget(Vec<RequestPrint>),
 }
 
-/// Writes what must last, one note after the other, however often that has to be tried.
+/// Background task that applies one update at a time and retries until each one succeeds.
 #[derive(Debug)]
 pub(super) struct QuarantineStore {
     updates: mpsc::Sender<StoreUpdate>,
     writer: JoinHandle<()>,
-    /// At how many ends each request was when it was written.
+    /// Number of crashes of each request when it was last written.
     written: BTreeMap<RequestPrint, usize>,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Hands a note to the writer; returns whether it had room.
+    /// Queues an update. Returns `false` if the queue is full.
     fn write(&self, update: StoreUpdate) -> bool {
         self.updates.try_send(update).is_ok()
     }
@@ -67,7 +68,7 @@
 }
 
 impl Control {
-    /// Writes the held requests whose ends this node has seen, and drops those that are over.
+    /// Writes the held requests whose crashes this node has observed, and removes expired ones.
     pub(super) fn persist_quarantine(&mut self, now: Instant) {
         let Some(quarantine_store) = &mut self.quarantine_store else {
             return;
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Takes over what was remembered. Whoever is listed first drops what is over: those who
-    /// wrote it may be gone.
+    /// Restores the stored quarantine. Any node that reads expired entries removes them, since the
+    /// nodes that wrote them may be gone.
     pub(super) fn restore_quarantine(&mut self, now: Instant, memos: &[Memo]) {
         let unix_ms = unix_ms();
         let mut expired = Vec::new();
--- a/crates/swiftcart-node/src/control/quotas.rs
+++ b/crates/swiftcart-node/src/control/quotas.rs
@@ -1,4 +1,5 @@
-//! Tells what this node has counted for client accounts, and adds up what others have.
+//! Distributed quotas: reports local usage of client accounts and keeps the ledgers that are
+//! assigned to this node.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,25 +13,25 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// The time for which it is remembered which node adds up for an account.
+/// Time for which the assignment of accounts to ledger nodes is cached.
 const LEDGER_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// The time between two rounds of the ledger.
+/// Interval between two rounds of the ledger.
 const LEDGER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two sweeps of counts that nobody needs any more.
+/// Interval between two sweeps of unused counters.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What this node adds up, and who does for the other accounts.
+/// Ledger of this node and the cached ledger nodes of the client accounts.
 #[derive(Debug)]
 pub(super) struct Accounting {
     ledger: QuotaLedger,
-    /// The nodes that add up for accounts, while the members are those of the hash.
+    /// Ledger node of each account, valid for the membership hash in `cached_members`.
     ledger_nodes: HashMap<AccountTag, NodeId>,
     cached_members: (u32, Instant),
     next_round: Instant,
     next_sweep: Instant,
-    /// The accounts that were logged as limited.
+    /// Accounts that were logged as limited.
     limited: BTreeMap<AccountTag, u16>,
 }
 
@@ -48,7 +49,8 @@
 }
 
 impl Control {
-    /// Tells the counts that are due, and reminds all nodes of accounts that are limited.
+    /// Sends the usage reports that are due, and repeats the limits of limited accounts to all
+    /// nodes.
     pub(super) fn exchange_quotas(&mut self, now: Instant) {
         let has_accounts = !self.shared.view.load().accounts().is_empty();
         if !has_accounts {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Takes what another node tells of quotas.
+    /// Handles a quota message of another node.
     pub(super) fn on_quotas(&mut self, now: Instant, from: NodeId, message: &QuotaMessage) {
         match message {
             QuotaMessage::Usage(list) => {
@@ -104,7 +106,7 @@
         let view = self.shared.view.load();
         let ledger = &mut self.accounting.ledger;
         let limited = list.iter().filter_map(|usage| {
-            // An account without a quota is not counted any more.
+            // The account may have lost its quota since the report was sent.
             let quota = view.accounts().quota(usage.account)?;
             Some(ledger.receive(now, from, usage, quota))
         });
@@ -139,7 +141,7 @@
         self.log_limits(&due);
     }
 
-    /// Logs which accounts are limited from now on, and which no longer.
+    /// Logs accounts that have become limited, and those that are no longer limited.
     fn log_limits(&mut self, due: &[AdmissionRatio]) {
         for AdmissionRatio { account, permille } in due {
             let before = self.accounting.limited.get(account).copied();
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Forgets who adds up for which account when the members change, and takes over how many of
-    /// them are reached.
+    /// Clears the cached ledger nodes when the members change or the cache expires, and updates the
+    /// share of nodes that are reachable.
     fn refresh_ledger_nodes(&mut self, now: Instant) {
         let hash = self.membership.hash();
         let (known, since) = self.accounting.cached_members;
@@ -182,7 +184,7 @@
         self.shared.quotas.with(|meter| meter.set_nodes(nodes));
     }
 
-    /// Returns the node that adds up for an account: the first by rank of those that are reached.
+    /// Returns the ledger node of an account: the reachable node with the highest rank.
     fn ledger_node(&mut self, account: AccountTag) -> NodeId {
         if let Some(node) = self.accounting.ledger_nodes.get(&account) {
             return *node;
--- a/crates/swiftcart-node/src/control/reader.rs
+++ b/crates/swiftcart-node/src/control/reader.rs
@@ -1,4 +1,4 @@
-//! Decides when this node reads the platform's log, and reads it.
+//! Schedules and runs this node's reads of the platform's log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,40 +14,40 @@
 use crate::edge::{Behind, SnapshotSource};
 use crate::shared::Shared;
 
-/// The stream that holds publishes and checkpoints.
+/// Stream that holds publishes and checkpoints.
 pub(super) const STREAM: &str = "config";
 
-/// Records asked for in one read, unless a page was too large.
+/// Number of records requested per read, unless a page was too large.
 const PAGE_RECORDS: u32 = 256;
-/// How long the platform holds a read that has nothing to tell.
+/// Time for which the platform holds a read without new records.
 const LONG_POLL: Duration = Duration::from_secs(10);
-/// The first stand-in reads this often, and each further one half as often.
+/// Read interval of the first standby. It doubles for each further standby.
 const STANDBY_INTERVAL: Duration = Duration::from_secs(5);
-/// Nodes behind the readers that read now and then, in case the readers cannot.
+/// Number of nodes ranked after the readers that read occasionally, in case the readers fail.
 const STANDBY_COUNT: usize = 4;
-/// The pause after a version that came as a whole. Versions in quick succession are read
-/// together: each read has its price, and a version has two seconds to be in force, of which
-/// the way from a reader to all nodes takes 0.1.
+/// Pause after a snapshot was read, so that versions in quick succession are read together. Each
+/// read has a cost. A version has two seconds to be in force, of which distribution from a reader
+/// to all nodes takes 0.1 s.
 const BATCH_DELAY: Duration = Duration::from_millis(900);
 
-/// How long the platform holds a read of whole versions that has nothing to tell, below the
-/// 30 s that it allows. The connection's own probes tell when the platform is out of reach.
+/// Time for which the platform holds a read of snapshots without a newer one. It is below the
+/// platform's maximum of 30 s. Keep-alive probes of the connection detect an unreachable platform.
 const SNAPSHOT_LONG_POLL: Duration = Duration::from_secs(25);
 
-/// What a read brought.
+/// Successful result of a read.
 #[derive(Debug)]
 pub(super) enum Read {
     /// Records of the log.
     Page(Page),
-    /// The newest version, when it is newer than the one that was known.
+    /// Newest snapshot, or `None` if it is not newer than the known version.
     Newest(Option<Snapshot>),
-    /// That nothing came behind this version, which another node has told.
+    /// Version from another node that is confirmed to be the newest one.
     Confirmed(Version),
-    /// Nothing: what came behind a version cannot be told.
+    /// The platform cannot tell whether a newer version exists.
     UnknownPosition,
 }
 
-/// Reads the platform for one node, one read at a time.
+/// Reader of the platform's log, with one read at a time.
 #[derive(Debug)]
 pub(super) struct Reader {
     shared: Arc<Shared>,
@@ -59,28 +59,28 @@
     page_limit: PageLimit,
     task: Option<JoinHandle<()>>,
     long_poll: bool,
-    /// Whether the last read found that nothing was published yet, or nothing newer.
+    /// Set if the last read found no published version, or no newer one.
     empty: bool,
-    /// Records that were passed over so far, since they could not be read.
+    /// Number of skipped records that could not be read, as of the last read.
     unreadable: u64,
     next_read: Instant,
-    /// When this node found out how many others there are and drew its turn.
+    /// Randomized time of the first read, drawn when the number of other nodes is known.
     first_read: Option<Instant>,
     backoff: Backoff,
 }
 
-/// What the reader knows of the node's part at the moment.
+/// Inputs that determine whether and when the node reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReadRole {
     /// The node's rank among the live nodes of its failure domain.
     pub(super) rank: usize,
-    /// Whether the node has to see the end of the log before it may serve.
+    /// Set while the node has to reach the end of the log before it may serve.
     pub(super) joining: bool,
-    /// Over which time joiners spread their first reads.
+    /// Time over which joiners spread their first reads.
     pub(super) spread: Duration,
-    /// Whether the rank follows from the members, and not from knowing none or few.
+    /// Set once enough members are known for the rank to be meaningful.
     pub(super) rank_known: bool,
-    /// Whether others read for this node, which waits for them.
+    /// Set while the node waits for other nodes to read the platform.
     pub(super) deferred: bool,
 }
 
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Starts a read when this node's duty asks for one, and ends one that it no longer has.
+    /// Starts a read if the node's role requires one, and aborts a long poll of a node that is no
+    /// longer a reader.
     pub(super) fn tick(&mut self, now: Instant, read_role: ReadRole, from: Offset) {
         let is_reader = read_role.rank < self.readers;
         match self.task.take_if(|_| self.long_poll && !is_reader) {
@@ -123,16 +124,17 @@
             }
             None if self.task.is_some() || now < self.next_read => {}
             None if !self.is_due(now, read_role) => {}
-            // Before the members are known each node takes itself for a reader.
+            // Before the members are known, each node ranks itself as a reader.
             None if read_role.joining && !self.empty => self.start(from, false),
             None if is_reader && !read_role.rank_known => {}
             None => self.start(from, is_reader),
         }
     }
 
-    /// Notes the end of a read; the next one waits when it failed or was a stand-in's.
+    /// Records the end of a read. The next read is delayed after a failure, after a snapshot, or on
+    /// a standby.
     ///
-    /// Returns how many records it passed over, since they could not be read.
+    /// Returns the number of records that the read skipped because they could not be read.
     pub(super) fn finish(
         &mut self,
         now: Instant,
@@ -149,9 +151,10 @@
                 let is_reader = read_role.rank < self.readers;
                 match read {
                     Read::Newest(Some(_)) if is_reader => BATCH_DELAY,
-                    // Whoever writes what nobody can read does not set the pace of reads.
+                    // Unreadable records must not increase the rate of reads.
                     Read::Newest(None) if unreadable > 0 => BATCH_DELAY,
-                    // Nothing was published yet: the readers wait for it, the others for them.
+                    // No newer version exists: the readers poll again, and other nodes wait for the
+                    // readers.
                     Read::Newest(None) if is_reader => Duration::ZERO,
                     Read::Page(_) if is_reader || read_role.joining => Duration::ZERO,
                     Read::Confirmed(_) if is_reader => Duration::ZERO,
@@ -168,7 +171,7 @@
         unreadable
     }
 
-    /// Returns how many more records were passed over since the last call.
+    /// Returns the number of records that were skipped since the last call.
     fn take_unreadable(&mut self) -> u64 {
         let unreadable = self
             .snapshots
@@ -177,12 +180,12 @@
         unreadable - std::mem::replace(&mut self.unreadable, unreadable)
     }
 
-    /// Returns how many nodes of a failure domain read the log all the time.
+    /// Returns the number of nodes per failure domain that read the log continuously.
     pub(super) const fn readers(&self) -> usize {
         self.readers
     }
 
-    /// Returns where whole versions come from, where they do.
+    /// Returns the source of snapshots, if the platform has one.
     pub(super) fn snapshots(&self) -> Option<&dyn SnapshotSource> {
         self.snapshots.as_deref()
     }
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Draws when this joiner reads, so that a herd of them spreads its reads.
+    /// Returns the randomized time of this joiner's first read, which avoids a thundering herd.
     fn first_read(&mut self, now: Instant, spread: Duration) -> Instant {
         let share = self.rng.random_range(0.0..1.0);
         *self
@@ -232,17 +235,17 @@
                     page.map(Read::Page)
                 }
             };
-            // The answer is lost as well when the cut came while the read was held.
+            // The response is also lost if the partition began while the platform held the read.
             let read = match reachable(&shared, platform.addr()) {
                 true => read,
                 false => simulate_outage(&shared).await,
             };
-            // The control loop is gone when the node has stopped.
+            // Sending fails only after the control loop has stopped.
             drop(inputs.send(Input::Read(Box::new(read))).await);
         }));
     }
 
-    /// Looks what came behind a version that another node has told, in place of a read.
+    /// Checks for versions newer than one that another node sent, in place of a read.
     pub(super) fn check_newer(&mut self, version: Version, place: u64) {
         let Some(snapshots) = self.snapshots.clone() else {
             return;
@@ -260,7 +263,7 @@
                 Behind::Newer(snapshot) => Read::Newest(Some(snapshot)),
                 Behind::Unknown => Read::UnknownPosition,
             });
-            // The control loop is gone when the node has stopped.
+            // Sending fails only after the control loop has stopped.
             drop(inputs.send(Input::Read(Box::new(read))).await);
         }));
     }
@@ -280,7 +283,7 @@
     }
 }
 
-/// Behaves as a platform whose packets are lost on the way.
+/// Simulates a platform whose packets are lost.
 async fn simulate_outage(shared: &Shared) -> Result<Read, PlatformError> {
     tokio::time::sleep(shared.settings.platform.timeout()).await;
     Err(PlatformError::Timeout)
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -1,5 +1,5 @@
-//! Carries out roll-outs: what the own backend server is given, what others are told, and what a
-//! node does that watches the roll-out of a service.
+//! Applies roll-outs: the clearance of the local backend server, gossip of roll-out statuses, and
+//! the duties of a node that watches the roll-out of a service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,14 +19,14 @@
 use crate::edge::RolloutState;
 use crate::logging::{Event, unix_ms};
 
-/// The time between two rounds of news. Everyone knows after some five rounds, before backend
-/// servers that are started for an order are ready.
+/// Interval between gossip rounds. A status reaches all nodes after about five rounds, before
+/// backend servers that are started for an order are ready.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two comparisons with another node, while there is anything to compare.
+/// Interval between digest comparisons with another node, while there are roll-outs to compare.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a node knows of roll-outs, and those that it watches.
+/// Known roll-outs, those that this node watches, and their gossip schedule.
 #[derive(Debug, Default)]
 pub(super) struct RolloutWatch {
     pub(super) rollouts: Rollouts,
@@ -34,13 +34,13 @@
     next_round: Instant,
     next_compare: Instant,
     next_trial: Instant,
-    /// Rounds of evidence so far.
+    /// Number of evidence rounds so far.
     pub(super) evidence_rounds: u32,
     requested: bool,
 }
 
 impl Control {
-    /// Takes orders that were read from the platform.
+    /// Applies roll-out orders that were read from the platform.
     pub(super) fn apply_orders(&mut self, now: Instant, orders: &[RolloutOrder]) {
         for order in orders {
             if self.rollout_watch.rollouts.order(now, order) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Moves roll-outs on, and tells others what there is to tell.
+    /// Advances roll-outs, gossips statuses and sends evidence.
     pub(super) fn watch_rollouts(&mut self, now: Instant) {
         if !self.rollout_watch.requested && self.members_known(now) {
             self.rollout_watch.requested = true;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes what another node tells of roll-outs.
+    /// Handles a roll-out message of another node.
     pub(super) fn on_rollouts(&mut self, now: Instant, from: NodeId, message: &RolloutMessage) {
         match message {
             RolloutMessage::Statuses(statuses) => self.on_statuses(now, from, statuses),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes what the platform knows of a roll-out.
+    /// Applies the state of a roll-out as recorded at the platform.
     pub(super) fn on_recorded(&mut self, recorded: &RecordedRollout) {
         let now = self.now();
         let RecordedRollout {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Gives the own backend server the part that it has by what is known now.
+    /// Updates the role and clearance of the local backend server from the known roll-outs.
     pub(super) fn update_clearance(&mut self) {
         let backend = self.backend.borrow().clone();
         let release = self
@@ -165,8 +165,9 @@
         }
     }
 
-    /// Draws the turn of the own backend server: its place among those that are shown as it is,
-    /// which are those of its side before the first one has moved.
+    /// Returns the batch of the local backend server: its rank among the backend servers of its
+    /// service with the same advertised readiness. Before the first one has moved, these are all of
+    /// its side.
     fn batch_of(&self, backend: &Backend) -> RolloutBatch {
         let advertised = self.advertised(self.now(), Some(backend.clone()));
         let has_same_readiness = |other: &Backend| {
@@ -184,14 +185,14 @@
         RolloutBatch::new(place.unwrap_or(0), ranked.len())
     }
 
-    /// Shows the backend server anew to other nodes where that has changed.
+    /// Advertises the backend server again if its clearance is in use and its state changed.
     fn advertise_backend(&mut self, now: Instant) {
         if self.shared.clearing.is_used() {
             self.readvertise_backend(now);
         }
     }
 
-    /// Asks some nodes what they know: a process that has started remembers nothing.
+    /// Requests the statuses of some nodes, since a process that has just started has none.
     fn request_rollouts(&mut self) {
         let sync_request = self.rollout_watch.rollouts.request_all();
         for id in self.membership.broadcast_targets(true) {
@@ -233,7 +234,7 @@
         self.net.send(to, &Datagram::Rollouts(message));
     }
 
-    /// Goes on to `stage` where that is a step forward.
+    /// Advances a roll-out to `stage` if that is a step forward.
     pub(super) fn advance(
         &mut self,
         service: &ServiceName,
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Logs and counts a stage, with what decided.
+    /// Logs and counts a stage, with the cause of the decision.
     pub(super) fn log_stage(
         &self,
         service: &ServiceName,
--- a/crates/swiftcart-node/src/control/roster.rs
+++ b/crates/swiftcart-node/src/control/roster.rs
@@ -1,19 +1,20 @@
-//! What the node derives from the member list: ranks, witnesses, the push tree.
+//! Lists derived from the membership: ranks, witnesses and the push tree.
 
 use swiftcart_core::{Membership, NodeId, rank, witnesses};
 
-/// Holds derived lists until the membership changes.
+/// Derived lists, recomputed when the membership changes.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Roster {
-    /// The live nodes of the own failure domain, sorted, this one included.
+    /// Live nodes of the local failure domain, sorted, including this one.
     pub(super) near: Vec<NodeId>,
-    /// The nodes that hear of a version before it is put in force.
+    /// Nodes that receive a report of a version before it is put in force.
     pub(super) witnesses: Vec<NodeId>,
-    /// The nodes that a joiner asks how far it was: `near` and the witnesses elsewhere.
+    /// Nodes that a joiner asks for its last reported version: `near`, and the witnesses in other
+    /// failure domains.
     pub(super) floor_peers: Vec<NodeId>,
     /// This node's rank among `near` for reading the platform's log.
     pub(super) rank: usize,
-    /// All live nodes that are known.
+    /// Number of known live nodes.
     pub(super) known: usize,
 }
 
--- a/crates/swiftcart-node/src/control/snapshot_cache.rs
+++ b/crates/swiftcart-node/src/control/snapshot_cache.rs
@@ -1,4 +1,5 @@
-//! Whole versions with their place at the platform, which nodes that start get from others.
+//! Cache of the newest snapshot with its position at the platform, from which starting nodes are
+//! served.
 
 use std::time::Duration;
 
@@ -12,34 +13,35 @@
 use crate::logging::Event;
 use crate::settings::LinkSettings;
 
-/// Answers under way at once. Each has some 60 kB where there are 2,500 routes.
+/// Maximum number of concurrent answers. Each one has about 60 kB with 2,500 routes.
 const MAX_CONCURRENT_ANSWERS: u32 = 16;
-/// Answers a second where the link is not known.
+/// Answers per second if the bandwidth of the link is unknown.
 const DEFAULT_ANSWERS_PER_SECOND: u32 = 100;
-/// Kilobits of one answer: that many a second fill the link.
+/// Size of one answer in kilobits. The bandwidth of the link divided by it limits the answers per
+/// second.
 const ANSWER_KBIT: u32 = 480;
 
-/// How long a version is kept in the form in which it is told, 0.2 MB for 2,500 routes: nodes
-/// that start together ask within some seconds.
+/// Retention time of the encoded snapshot, which has 0.2 MB with 2,500 routes. Nodes that start
+/// together send their pulls within a few seconds.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// The nodes of a mesh that starts which read the platform at once.
+/// Number of starting nodes that may read the platform without spreading their reads.
 const UNSPREAD_NODES: usize = 60;
-/// What each further one adds to the time over which they spread their reads: a version of 2,500 routes has
-/// 0.66 MB there, of which the platform gives out 80 MB a second to all.
+/// Time that each further node adds to the spread of reads. A snapshot of 2,500 routes has 0.66 MB
+/// at the platform, which serves 80 MB/s to all nodes together.
 const SPREAD_PER_NODE: Duration = Duration::from_millis(8);
-/// The rate of a link, in kilobits a second, at which such a version takes half a second. Who has a
-/// faster one reads sooner, and tells the others.
+/// Bandwidth of a link, in kbit/s, that transfers such a snapshot in half a second. Nodes with a
+/// faster link read earlier and pass the snapshot on.
 const SLOW_LINK_KBIT_S: f64 = 10_000.0;
-/// The time within which the directory answers, or is not waited for any longer.
+/// Maximum time that a starting node waits for the directory before it reads the platform.
 const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Holds the newest version as it is told, and bounds how often.
+/// Newest snapshot in the form in which it is sent, with a rate limit.
 #[derive(Debug)]
 pub(super) struct SnapshotCache {
     positioned: Option<PositionedSnapshot>,
     version: Version,
-    /// When it was needed last.
+    /// Time of the last use.
     last_used: Instant,
     limiter: SyncLimiter,
 }
@@ -57,14 +59,14 @@
         }
     }
 
-    /// Keeps what is told of a version; `None` when its place is not known here.
+    /// Stores the encoded form of a version; `None` if its position is unknown to this node.
     fn store(&mut self, now: Instant, version: Version, positioned: Option<PositionedSnapshot>) {
         self.version = version;
         self.positioned = positioned;
         self.last_used = now;
     }
 
-    /// Drops what nobody has asked for lately.
+    /// Evicts the snapshot if it has not been requested within [`RETENTION`].
     pub(super) fn tick(&mut self, now: Instant) {
         if self.positioned.is_some() && now.since(self.last_used) >= RETENTION {
             self.store(now, Version::NONE, None);
@@ -73,8 +75,8 @@
 }
 
 impl Control {
-    /// Answers a node that has no version yet: by the newest one with its place, where that is
-    /// known here.
+    /// Answers a node that has no version yet with the newest snapshot, including its position if
+    /// this node knows it.
     pub(super) fn answer_snapshot_pull(&mut self) -> SyncReply {
         let now = self.now();
         let newest = self.stream.source.snapshot();
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Takes the version that another node told, and looks behind it at the platform.
+    /// Applies a snapshot from another node, then checks the platform for newer versions.
     pub(super) fn on_positioned_snapshot(&mut self, peer: NodeId, positioned: PositionedSnapshot) {
         let now = self.now();
         let Ok(snapshot) = positioned.compact.expand() else {
@@ -118,15 +120,15 @@
         let actions = self.stream.source.on_pull_reply(now, peer, answer);
         self.snapshot_cache.store(now, version, Some(positioned));
         self.apply_feed_actions(actions);
-        // While a whole mesh starts for the first time, peers vouch for the version.
+        // When a whole mesh starts for the first time, peers confirm the version instead.
         let first = self.shared.settings.first_start;
         if self.read_role(now).joining && !first {
             self.reader.check_newer(version, next);
         }
     }
 
-    /// Returns how long a node that starts leaves the platform to others, which tell it of the
-    /// version then.
+    /// Returns the time over which starting nodes spread their reads of the platform. Until its
+    /// turn, a node may receive the version from nodes that have already read it.
     pub(super) fn read_spread(&self) -> Duration {
         let link = self.shared.settings.link.rate();
         let slow = link.map_or(1.0, |rate| SLOW_LINK_KBIT_S / f64::from(rate.kbit_s));
@@ -135,7 +137,7 @@
         share.mul_f64(slow.clamp(0.0, 1.0))
     }
 
-    /// Tells whether a node that starts may read the platform already.
+    /// Returns `true` if a starting node may read the platform.
     pub(super) fn may_read(&self, now: Instant) -> bool {
         self.discovered || now.elapsed() >= DIRECTORY_TIMEOUT
     }
--- a/crates/swiftcart-node/src/control/source.rs
+++ b/crates/swiftcart-node/src/control/source.rs
@@ -1,4 +1,4 @@
-//! What a node follows: a log that it folds, or versions that come as a whole.
+//! Source of the configuration: a log that each node folds, or complete snapshots.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 
 use crate::config::Config;
 
-/// Follows the configuration, whatever form it comes in.
+/// Source of the configuration that a node follows.
 #[derive(Debug)]
 pub(super) enum Source {
-    /// The platform's log, folded by every node.
+    /// Log of the platform, folded by every node.
     Log(Box<Feed>),
-    /// Versions that the platform has judged itself.
+    /// Snapshots that the platform has validated.
     SnapshotFeed(SnapshotFeed),
 }
 
 impl Source {
-    /// Follows the platform's log.
+    /// Creates a source that follows the platform's log.
     pub(super) fn log(me: NodeId, settings: FeedSettings) -> Self {
         Self::Log(Box::new(Feed::new(me, settings)))
     }
 
-    /// Follows versions that come as a whole.
+    /// Creates a source that follows snapshots.
     pub(super) fn snapshots(me: NodeId) -> Self {
         Self::SnapshotFeed(SnapshotFeed::new(me))
     }
 
-    /// Returns what probes tell other nodes.
+    /// Returns the head that probes carry to other nodes.
     pub(super) fn head(&self) -> Head {
         match self {
             Self::Log(feed) => feed.head(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the greatest version that is known.
+    /// Returns the greatest known version.
     pub(super) fn version(&self) -> Version {
         match self {
             Self::Log(feed) => feed.fold().version(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the greatest version that is known, ready to be put in force.
+    /// Returns the configuration of the greatest known version.
     pub(super) fn config(&self) -> Config {
         match self {
             Self::Log(feed) => {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the newest version, where versions come as a whole.
+    /// Returns the newest snapshot, or `None` when the node follows the log.
     pub(super) fn snapshot(&self) -> Option<Arc<Snapshot>> {
         match self {
             Self::Log(_) => None,
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Returns the place up to which the configuration is known; whole versions stand for theirs.
+    /// Returns the position up to which the configuration is known. For snapshots, it is the
+    /// version number.
     pub(super) fn position(&self) -> Offset {
         match self {
             Self::Log(feed) => feed.fold().position(),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Returns where to read the platform next.
+    /// Returns the position of the next read of the platform.
     pub(super) fn from(&self) -> Offset {
         match self {
             Self::Log(feed) => feed.from(),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns the later rule that keeps the node from reading on, if there is one.
+    /// Returns the unsupported newer rule at which the node stopped reading, if there is one.
     pub(super) const fn stalled(&self) -> Option<u16> {
         match self {
             Self::Log(feed) => feed.stalled(),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes the place that `peer` told of itself.
+    /// Handles the head that `peer` reported.
     pub(super) fn on_head(&mut self, now: Instant, peer: NodeId, head: Head) -> Vec<FeedAction> {
         match self {
             Self::Log(feed) => feed.on_head(now, peer, head),
@@ -104,11 +105,11 @@
         }
     }
 
-    /// Takes what `peer` pushed down the tree of `origin`: records, or a delta.
+    /// Applies records or a delta that `peer` pushed down the tree of `origin`.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes are neither.
+    /// Returns the decoding error if the bytes are neither.
     pub(super) fn on_push(
         &mut self,
         now: Instant,
@@ -124,7 +125,7 @@
         })
     }
 
-    /// Takes the place that `peer` offers in the tree of `origin`.
+    /// Handles the head that `peer` offers in the tree of `origin`.
     pub(super) fn on_offer(
         &mut self,
         now: Instant,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Answers the pull of another node, which is as far as `from`.
+    /// Answers the pull of another node whose position is `from`.
     pub(super) fn answer(&mut self, from: Offset) -> PullAnswer {
         match self {
             Self::Log(feed) => feed.answer(from),
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Takes the answer to a pull.
+    /// Applies the answer to a pull.
     pub(super) fn on_pull_reply(
         &mut self,
         now: Instant,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Notes that a pull failed or was refused.
+    /// Records that a pull failed or was refused.
     pub(super) fn on_pull_failed(&mut self, peer: NodeId) {
         match self {
             Self::Log(feed) => feed.on_pull_failed(peer),
--- a/crates/swiftcart-node/src/control/stream.rs
+++ b/crates/swiftcart-node/src/control/stream.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration stream: the feed, the floor and the way to being ready.
+//! State of the configuration stream: the feed, the enforcement gate and the readiness gate.
 
 use std::collections::BTreeMap;
 
@@ -12,36 +12,37 @@
 use crate::config::Config;
 use crate::settings::Settings;
 
-/// Holds what a node knows of the stream and what it has put in force.
+/// Known state of the stream, and the version in force.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) source: Source,
     pub(super) witness: Witness,
     pub(super) readiness: ReadinessGate,
     enforcement: EnforcementGate,
-    /// The versions that wait for a witness.
+    /// Versions that wait for the acknowledgement of a witness.
     unacknowledged: BTreeMap<Version, Config>,
-    /// The version that the floor has let through.
+    /// Configuration that passed the enforcement gate.
     enforced: Config,
-    /// The platform's clock at a time of ours.
+    /// Clock of the platform, in milliseconds, and the local time at which it was read.
     platform_clock: Option<(Instant, u64)>,
-    /// Whether a peer that is ready may vouch for the version, as when the platform is away.
+    /// Set if a ready peer may confirm the version, as during an outage of the platform.
     peers_confirm: bool,
 }
 
-/// What the control loop has to do after an event.
+/// Effects for the control loop to apply after an event.
 #[derive(Debug, Default)]
 pub(super) struct StreamEffects {
-    /// Actions of the feed, other than applying.
+    /// Actions of the feed, except [`FeedAction::Applied`].
     pub(super) feed: Vec<FeedAction>,
-    /// A version to report, and to whom.
+    /// Versions to report, with the witnesses that receive each report.
     pub(super) reports: Vec<(Version, Vec<NodeId>)>,
-    /// Whether another version may be put in force now.
+    /// Set if another version may now be put in force.
     pub(super) enforced: bool,
 }
 
 impl Stream {
-    /// Follows the platform's log, or with `from_snapshots` the versions that the platform has judged.
+    /// Creates a stream that follows the platform's log, or validated snapshots if `from_snapshots`
+    /// is set.
     pub(super) fn new(me: NodeId, settings: &Settings, from_snapshots: bool) -> Self {
         let retention = std::time::Duration::from_secs(settings.platform.retention_s);
         let source = match from_snapshots {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Tells whether peers are to vouch for the version that this node has.
+    /// Returns `true` if peers have to confirm the version that this node has.
     pub(super) fn needs_peer_confirmation(&mut self) -> bool {
         let asks = self.peers_confirm && self.source.version() > Version::NONE;
         if asks {
@@ -69,7 +70,7 @@
         asks
     }
 
-    /// Takes what was read from the platform.
+    /// Applies the result of a read of the platform.
     pub(super) fn on_read(
         &mut self,
         now: Instant,
@@ -86,7 +87,7 @@
                 self.readiness.on_log_end(Offset(snapshot.version.0));
                 snapshots.on_read(snapshot)
             }
-            // Nothing was published yet; a node is as far as the platform with the first version.
+            // No version is published yet; a node with the first version is up to date.
             (Source::SnapshotFeed(_), Read::Newest(None)) => {
                 self.readiness.on_log_end(Offset(1));
                 Vec::new()
@@ -101,11 +102,11 @@
         self.process_actions(now, actions, witnesses)
     }
 
-    /// Takes what another node pushed.
+    /// Applies records or a delta that another node pushed.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes mean nothing.
+    /// Returns the decoding error if the bytes are malformed.
     pub(super) fn on_push(
         &mut self,
         now: Instant,
@@ -118,7 +119,7 @@
         Ok(self.process_actions(now, actions, witnesses))
     }
 
-    /// Sorts the feed's actions; a greater version goes to the floor first.
+    /// Splits off the applied versions, which go to the enforcement gate first.
     pub(super) fn process_actions(
         &mut self,
         now: Instant,
@@ -135,7 +136,7 @@
         effects
     }
 
-    /// Takes a witness's acknowledgement.
+    /// Handles the acknowledgement of a witness.
     pub(super) fn on_ack(
         &mut self,
         now: Instant,
@@ -147,13 +148,13 @@
         self.enforce(actions)
     }
 
-    /// Puts versions in force whose witnesses did not answer in time.
+    /// Enforces versions whose witnesses did not acknowledge them in time.
     pub(super) fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> StreamEffects {
         let actions = self.enforcement.on_tick(now, witnesses);
         self.enforce(actions)
     }
 
-    /// Returns the checkpoint to append, when one is due for a reader of this rank.
+    /// Returns the checkpoint to append if one is due for a reader of this rank.
     pub(super) fn checkpoint(&mut self, now: Instant, rank: usize) -> Option<FeedAction> {
         let (at, ms) = self.platform_clock?;
         let passed = u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Returns the offset from which to read the platform's log.
+    /// Returns the offset of the next read of the platform's log.
     pub(super) fn from(&self) -> Offset {
         self.source.from()
     }
@@ -172,19 +173,20 @@
     ///
     /// # Errors
     ///
-    /// What a node that has just started still waits for.
+    /// Returns the condition that a node that has just started still waits for.
     pub(super) fn served(&mut self, now: Instant) -> Result<&Config, NotReady> {
         let version = self.enforced.version();
         let position = match version == self.source.version() {
             true => self.source.position(),
-            // A version still waits for its witness; the node is not yet that far.
+            // A newer version still waits for its witness, so the node is not yet at that position.
             false => Offset(version.0),
         };
         self.readiness.ready(now, position, version)?;
         Ok(&self.enforced)
     }
 
-    /// Returns the version that answers a joiner: none while this node is joining itself.
+    /// Returns the version reported to a joiner, or [`Version::NONE`] while this node is joining
+    /// itself.
     pub(super) fn confirmed_version(&mut self, now: Instant) -> Version {
         self.served(now).map_or(Version::NONE, Config::version)
     }
--- a/crates/swiftcart-node/src/control/sync_client.rs
+++ b/crates/swiftcart-node/src/control/sync_client.rs
@@ -1,4 +1,4 @@
-//! Pulls state from another node: one connection for each pull.
+//! Client of state pulls, with one connection per pull.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use super::{ControlError, frames};
 
-/// Longest answer that is accepted, in bytes; the core bounds sealed messages alike.
+/// Maximum length of an answer, in bytes. The core has the same limit for sealed messages.
 const MAX_ANSWER_BYTES: usize = swiftcart_core::MAX_SYNC_LEN;
-/// Longest time for a pull; the feed starts another one after the same time.
+/// Timeout of a pull. The feed starts another pull after the same time.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends the sealed `request` to `peer` and returns its sealed answer.
 ///
 /// # Errors
 ///
-/// Fails when the peer cannot be reached or does not answer in time.
+/// Returns an error if the peer cannot be reached or does not answer in time.
 pub(super) async fn pull(peer: SocketAddr, request: Vec<u8>) -> Result<Vec<u8>, ControlError> {
     match timeout(PULL_TIMEOUT, exchange(peer, &request)).await {
         Ok(answer) => answer,
--- a/crates/swiftcart-node/src/control/sync_server.rs
+++ b/crates/swiftcart-node/src/control/sync_server.rs
@@ -1,4 +1,4 @@
-//! Serves state pulls of other nodes, a bounded number at a time.
+//! Server of state pulls, with a limit on concurrent connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,33 +11,33 @@
 
 use super::{ControlError, frames};
 
-/// Pulls served at the same time; further ones wait in the listener's queue.
+/// Maximum number of concurrent pulls; further connections wait in the listener's backlog.
 const MAX_CONCURRENT_PULLS: usize = 8;
-/// Longest request that is accepted, in bytes; a member pull with all its buckets has 1.3 kB.
+/// Maximum length of a request, in bytes. A member pull with all its buckets has 1.3 kB.
 const MAX_REQUEST_BYTES: usize = 4096;
-/// Longest time for one pull, as the asker bounds it too.
+/// Timeout of one pull; the client uses the same limit.
 const PULL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted, for want of descriptors perhaps.
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts pulls and hands them to the control loop until it is dropped.
+/// Task that accepts pulls and forwards them to the control loop until it is dropped.
 #[derive(Debug)]
 pub(super) struct SyncServer(JoinHandle<()>);
 
-/// Holds one sealed request and the way back to its sender.
+/// Sealed request and the channel for its answer.
 #[derive(Debug)]
 pub(super) struct PendingPull {
-    /// The sealed request.
+    /// Sealed request.
     pub(super) frame: Vec<u8>,
     answer: oneshot::Sender<Vec<u8>>,
 }
 
 impl SyncServer {
-    /// Listens on `addr` and sends each request into `requests`.
+    /// Listens on `addr` and sends each request to `requests`.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub(super) async fn bind(
         addr: SocketAddr,
         requests: mpsc::Sender<PendingPull>,
@@ -49,9 +49,9 @@
 }
 
 impl PendingPull {
-    /// Sends the sealed answer; a lost connection is the asker's to notice.
+    /// Sends the sealed answer. The client detects a lost connection itself.
     pub(super) fn answer(self, frame: Vec<u8>) {
-        // The task that holds the connection ends with it; then nobody needs the answer.
+        // Sending fails only if the connection's task has ended, and then the answer is not needed.
         drop(self.answer.send(frame));
     }
 }
@@ -74,7 +74,7 @@
         };
         let requests = requests.clone();
         tokio::spawn(async move {
-            // A pull that fails or takes too long is the asker's to repeat.
+            // The client retries a pull that fails or times out.
             drop(timeout(PULL_TIMEOUT, serve(stream, requests)).await);
             drop(permit);
         });
@@ -85,8 +85,8 @@
     stream.set_nodelay(true)?;
     let frame = frames::read(&mut stream, MAX_REQUEST_BYTES).await?;
     let (answer, answered) = oneshot::channel();
-    // A full queue, or a request that does not hold, drops the sender; the asker's
-    // timeout covers it.
+    // If the queue is full or the request is invalid, the answer's sender is dropped. The client
+    // then reaches its timeout.
     drop(requests.try_send(PendingPull { frame, answer }));
     match answered.await {
         Ok(frame) => frames::write(&mut stream, &frame).await,
--- a/crates/swiftcart-node/src/control/trials.rs
+++ b/crates/swiftcart-node/src/control/trials.rs
@@ -1,4 +1,5 @@
-//! What a node does that watches the roll-out of a service, and what others tell it.
+//! Trials of new releases: evidence from guards, and the evaluation by the nodes that watch the
+//! roll-out of a service.
 
 use std::time::Duration;
 
@@ -12,31 +13,33 @@
 use crate::edge::{RolloutRecord, RolloutState};
 use crate::logging::unix_ms;
 
-/// The nodes that watch the roll-out of one service: one that decides, and one that does when the
-/// platform has not heard of the end from it.
+/// Number of nodes that watch the roll-out of one service. The first one decides. The second one
+/// takes over if the first one has not recorded the end at the platform.
 const WATCHER_COUNT: usize = 2;
 
-/// How long the second one waits for the first one to write an end.
+/// Time that the second watcher waits for the first one to record an end.
 const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(700);
 
-/// Of so many rounds one tells what an old backend server does, until the service moves: what is
-/// compared are seconds of it, and each watcher hears from all of them.
+/// Interval, in rounds, at which a backend server of the old release sends evidence until the
+/// service moves. A lower rate suffices: the comparison covers seconds of its work, and each
+/// watcher receives evidence from all of them.
 const OLD_EVIDENCE_ROUNDS: u32 = 2;
 
-/// A roll-out that this node watches.
+/// Roll-out that this node watches.
 #[derive(Debug)]
 pub(super) struct WatchedRollout {
     pub(super) trial: Trial,
-    /// The state that was handed to be written last.
+    /// State that was last queued for writing.
     written: Option<RolloutState>,
-    /// Whether the platform has answered for this order; a trial may have ended before.
+    /// Set once the platform has answered for this order. Only then is the trial evaluated, since
+    /// the platform may already have recorded an end.
     pub(super) recorded: bool,
-    /// Since when an end waits to be written.
+    /// Time since which an end waits to be written.
     end_due: Option<Instant>,
 }
 
 impl Control {
-    /// Tells those who watch what the own backend server was seen to do.
+    /// Sends the observations of the local backend server to the watchers.
     pub(super) fn send_evidence(&mut self, now: Instant) {
         if !self.shared.clearing.is_used() {
             return;
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Runs one round of a trial that this node watches as the one at `watcher_rank`.
+    /// Runs one round of a trial in which this node is the watcher with rank `watcher_rank`.
     fn run_trial(&mut self, now: Instant, service: &ServiceName, watcher_rank: usize) {
         let Some(rollout) = self.rollout_watch.rollouts.get(service) else {
             return;
@@ -163,8 +166,8 @@
         }
     }
 
-    /// Has a state written once; who is not the first one waits for a while. Returns whether it
-    /// was handed on now.
+    /// Queues a state for writing once; watchers other than the first one wait for
+    /// [`STANDBY_WRITE_DELAY`]. Returns `true` if the state was queued by this call.
     fn write_state(
         &mut self,
         now: Instant,
@@ -203,8 +206,8 @@
     }
 }
 
-/// Returns how many nodes are known to have a backend server of a service, also where they cannot be
-/// reached at the moment.
+/// Returns the number of live nodes known to have a backend server of a service, including nodes
+/// that are currently unreachable.
 fn backend_count(membership: &Membership, service: &ServiceName) -> usize {
     let live = membership
         .members()
--- a/crates/swiftcart-node/tests/control.rs
+++ b/crates/swiftcart-node/tests/control.rs
@@ -1,4 +1,5 @@
-//! Configuration and membership between processes, under kills, freezes, cuts and outages.
+//! Configuration and membership of a mesh of processes under crashes, freezes, partitions and platform
+//! outages.
 
 mod mesh;
 
@@ -6,122 +7,123 @@
 use swiftcart_core::{Liveness, Version};
 use swiftcart_standin::{LogFaults, Outage};
 
-const LIMA: [(&str, usize); 3] = [("norte", 3), ("sur", 3), ("callao", 3)];
-const ALL: [usize; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
-const OTHERS: [usize; 6] = [0, 1, 2, 6, 7, 8];
-const SUR: [usize; 3] = [3, 4, 5];
+const FAILURE_DOMAINS: [(&str, usize); 3] = [("norte", 3), ("sur", 3), ("callao", 3)];
+const ALL_NODES: [usize; 9] = [0, 1, 2, 3, 4, 5, 6, 7, 8];
+const OUTSIDE_SUR: [usize; 6] = [0, 1, 2, 6, 7, 8];
+const SUR_NODES: [usize; 3] = [3, 4, 5];
 
 fn outage() -> LogFaults {
     LogFaults::new().with_outage(Outage::Unavailable)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_is_in_force_everywhere_and_few_nodes_read_the_platform() {
-    let mut mesh = Mesh::start(&LIMA).await;
+async fn every_node_enforces_a_version_and_one_node_per_failure_domain_reads_the_platform() {
+    let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     for _ in 0..5 {
         let version = mesh.publish();
-        mesh.until_at(&ALL, version).await;
+        mesh.until_at(&ALL_NODES, version).await;
     }
     let held = mesh.log.stats().held;
     assert_eq!(
         (mesh.reverts(), held),
         (vec![], 3),
-        "one long poll a failure domain"
+        "one long poll per failure domain"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_node_leaves_and_a_restarted_one_never_serves_an_older_version() {
-    let mut mesh = Mesh::start(&LIMA).await;
+async fn a_killed_node_is_marked_dead_and_does_not_serve_an_older_version_after_a_restart() {
+    let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     let version = mesh.publish();
-    mesh.until_at(&ALL, version).await;
+    mesh.until_at(&ALL_NODES, version).await;
     mesh.log.set_faults(outage());
     mesh.nodes[4].kill();
     until(async || mesh.liveness(0).await[&4] == Liveness::Dead).await;
     mesh.spawn(4);
-    mesh.until_at(&ALL, version).await;
-    mesh.until_known(&ALL).await;
+    mesh.until_at(&ALL_NODES, version).await;
+    mesh.until_known(&ALL_NODES).await;
     assert_eq!(mesh.reverts(), []);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_failure_domain_serves_on_and_catches_up_without_a_revert() {
-    let mut mesh = Mesh::start(&LIMA).await;
+async fn a_partitioned_failure_domain_keeps_serving_and_catches_up_without_a_revert() {
+    let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     let before = mesh.publish();
-    mesh.until_at(&ALL, before).await;
-    mesh.cut(&SUR, true).await;
+    mesh.until_at(&ALL_NODES, before).await;
+    mesh.cut(&SUR_NODES, true).await;
     let after = mesh.publish();
-    mesh.until_at(&OTHERS, after).await;
-    mesh.until_at(&SUR, before).await;
-    // A node that restarts inside the cut learns from its failure domain how far it was.
+    mesh.until_at(&OUTSIDE_SUR, after).await;
+    mesh.until_at(&SUR_NODES, before).await;
+    // A node that restarts inside the partition recovers its version from its failure domain.
     mesh.nodes[4].kill();
     mesh.spawn(4);
-    mesh.until_at(&SUR, before).await;
-    for (seer, seen) in [(0, 3), (3, 0), (6, 5)] {
+    mesh.until_at(&SUR_NODES, before).await;
+    for (observer, observed) in [(0, 3), (3, 0), (6, 5)] {
         assert_eq!(
-            mesh.liveness(seer).await[&seen],
+            mesh.liveness(observer).await[&observed],
             Liveness::Alive,
-            "cut off is not dead"
+            "a partitioned node is not marked dead"
         );
     }
     mesh.heal().await;
-    mesh.until_at(&ALL, after).await;
-    mesh.until_known(&ALL).await;
+    mesh.until_at(&ALL_NODES, after).await;
+    mesh.until_known(&ALL_NODES).await;
     assert_eq!(mesh.reverts(), []);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_node_takes_nobody_down_and_brings_no_stale_news() {
-    let mut mesh = Mesh::start(&LIMA).await;
+async fn a_thawed_node_catches_up_and_spreads_no_stale_liveness() {
+    let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     let before = mesh.publish();
-    mesh.until_at(&ALL, before).await;
+    mesh.until_at(&ALL_NODES, before).await;
     mesh.nodes[1].freeze();
     until(async || mesh.liveness(0).await[&1] == Liveness::Dead).await;
     let after = mesh.publish();
-    let awake = [0, 2, 3, 4, 5, 6, 7, 8];
-    mesh.until_at(&awake, after).await;
-    // While it was away a node stopped for good; its old news must not bring it back.
+    let not_frozen = [0, 2, 3, 4, 5, 6, 7, 8];
+    mesh.until_at(&not_frozen, after).await;
+    // Another node stops for good while node 1 is frozen. The stale member list of node 1 must not
+    // mark it alive again.
     mesh.nodes[2].kill();
-    let left = [0, 3, 4, 5, 6, 7, 8];
-    for seer in left {
-        until(async || mesh.liveness(seer).await[&2] == Liveness::Dead).await;
+    let remaining = [0, 3, 4, 5, 6, 7, 8];
+    for observer in remaining {
+        until(async || mesh.liveness(observer).await[&2] == Liveness::Dead).await;
     }
     mesh.nodes[1].thaw();
-    let back = [0, 1, 3, 4, 5, 6, 7, 8];
-    mesh.until_at(&back, after).await;
-    mesh.until_known(&back).await;
-    for seer in left {
+    let after_thaw = [0, 1, 3, 4, 5, 6, 7, 8];
+    mesh.until_at(&after_thaw, after).await;
+    mesh.until_known(&after_thaw).await;
+    for observer in remaining {
         assert_eq!(
-            mesh.liveness(seer).await[&2],
+            mesh.liveness(observer).await[&2],
             Liveness::Dead,
-            "seen by {seer}"
+            "seen by {observer}"
         );
     }
     assert_eq!(mesh.reverts(), []);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_domain_that_dies_as_one_comes_back_while_the_platform_is_down() {
-    let mut mesh = Mesh::start(&LIMA).await;
+async fn a_failure_domain_recovers_its_version_after_a_restart_during_a_platform_outage() {
+    let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     let version = mesh.publish();
-    mesh.until_at(&ALL, version).await;
+    mesh.until_at(&ALL_NODES, version).await;
     mesh.log.set_faults(outage());
-    for i in SUR {
+    for i in SUR_NODES {
         mesh.nodes[i].kill();
     }
-    for i in SUR {
+    for i in SUR_NODES {
         mesh.spawn(i);
     }
-    mesh.until_at(&ALL, version).await;
-    mesh.until_known(&ALL).await;
+    mesh.until_at(&ALL_NODES, version).await;
+    mesh.until_known(&ALL_NODES).await;
     mesh.log.set_faults(LogFaults::new());
     let next = mesh.publish();
-    mesh.until_at(&ALL, next).await;
+    mesh.until_at(&ALL_NODES, next).await;
     assert_eq!(mesh.reverts(), []);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_node_serves_before_it_knows_how_far_it_was() {
+async fn no_node_serves_after_a_full_restart_until_the_platform_is_reachable() {
     let mut mesh = Mesh::start(&[("norte", 2)]).await;
     let version = mesh.publish();
     mesh.until_at(&[0, 1], version).await;
--- a/crates/swiftcart-node/tests/join.rs
+++ b/crates/swiftcart-node/tests/join.rs
@@ -1,4 +1,4 @@
-//! When a node that joins takes callers' requests.
+//! Readiness and routing of a joining node.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -10,15 +10,15 @@
 use swiftcart_standin::BackendSettings;
 
 #[rstest]
-#[case::a_peer_that_answers(true)]
-#[case::a_peer_that_is_gone(false)]
+#[case::reachable_peer(true)]
+#[case::stopped_peer(false)]
 #[tokio::test]
-async fn a_ready_node_routes_to_the_members_that_answer(#[case] answers: bool) {
+async fn a_ready_joiner_routes_only_to_reachable_members(#[case] peer_runs: bool) {
     let log = log_with(Limits::default()).await;
     let peer = node(&log).await;
     let _backend = backend_at(&peer, BackendSettings::new(common::SERVICE)).await;
     let id = peer.shared().id;
-    let _peer = match answers {
+    let _peer = match peer_runs {
         true => Some(peer),
         false => {
             peer.stop().await;
@@ -27,5 +27,5 @@
     };
     let node = joiner(id.0, &log).await;
     assert_eq!(*node.shared().phase.borrow(), Phase::Ready);
-    assert_eq!(node.shared().view.load().has_candidate(id), answers);
+    assert_eq!(node.shared().view.load().has_candidate(id), peer_runs);
 }
