--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -55,7 +55,7 @@
     pub(super) pulls: Pulls,
     pub(super) reader: Reader,
     pub(super) snapshot_cache: SnapshotCache,
-    /// Set if a node without a version pulls a snapshot with its log position from other nodes.
+    /// Set if this node, while it has no version, pulls positioned snapshots from other nodes.
     pub(super) pulls_snapshots: bool,
     /// Number of nodes that the directory listed.
     pub(super) listed_nodes: usize,
@@ -83,19 +83,19 @@
     /// Set if the local backend server is advertised as cold.
     pub(super) advertised_cold: bool,
     /// Known roll-outs and those that this node watches.
-    pub(super) rollout_watch: RolloutWatch,
+    pub(super) watch: RolloutWatch,
     /// Writer of roll-out records, if the platform has a board for them.
     pub(super) board: Option<BoardWriter>,
     /// Schedule for announcing the pace of the local backend server to all nodes.
     pub(super) pace_announcer: PaceAnnouncer,
-    pub(super) left: bool,
+    pub(super) has_left: bool,
     /// Set if the version or the local backend server changed since the view was built.
     pub(super) stale: bool,
     /// Set if other members changed since the view was built; `view_built` is the time of that
     /// build.
     pub(super) members_changed: bool,
     view_built: Instant,
-    /// Set if the last read of the platform's log failed.
+    /// Set if the platform's log was unreachable at the last read.
     pub(super) platform_down: bool,
 }
 
@@ -141,9 +141,9 @@
             accounting: Accounting::new(settings.quotas.bounds()),
             drain_gossip: DrainGossip::default(),
             advertised_cold: false,
-            rollout_watch: RolloutWatch::default(),
+            watch: RolloutWatch::default(),
             board,
-            left: false,
+            has_left: false,
             stale: true,
             members_changed: false,
             view_built: Instant::default(),
@@ -180,7 +180,7 @@
                 Some(input) = self.inputs.recv() => self.on_input(input),
                 Some(pending) = self.pull_requests.recv() => self.on_pull_request(pending),
                 Ok(()) = self.backend.changed() => self.on_backend(),
-                () = stopping.cancelled(), if !self.left => self.on_stopping(),
+                () = stopping.cancelled(), if !self.has_left => self.on_stopping(),
             }
             self.publish();
         }
@@ -206,7 +206,7 @@
         self.apply_effects(effects);
         let read_role = self.read_role(now);
         self.reader.tick(now, read_role, self.stream.from());
-        if read_role.rank < self.reader.readers() && !self.left {
+        if read_role.rank < self.reader.readers() && !self.has_left {
             let due = self.stream.checkpoint(now, read_role.rank);
             self.apply_feed_actions(due.into_iter().collect());
         }
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Merges the drains of another node and answers its request.
+    /// Merges the drains of another node. Replies if it requests them or its digest differs.
     pub(super) fn on_drains(&mut self, now: Instant, from: NodeId, message: &DrainMessage) {
         let drains = &mut self.drain_gossip.drains;
         let changed = drains.merge(message);
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -64,7 +64,7 @@
     pub(super) fn readvertise_backend(&mut self, now: Instant) {
         let backend = self.backend.borrow().clone();
         let shown = self.advertised(now, backend);
-        if !self.left && self.membership.me().backend != shown {
+        if !self.has_left && self.membership.me().backend != shown {
             let actions = self.membership.update_backend(now, shown);
             self.apply_member_actions(actions);
             self.stale = true;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reports nodes to which requests could not connect to the membership.
+    /// Reports to the membership the nodes to which requests could not connect.
     pub(super) fn apply_unreached(&mut self) {
         let now = self.now();
         for (node, tried) in self.shared.unreached.take() {
@@ -103,7 +103,7 @@
     }
 
     pub(super) fn on_stopping(&mut self) {
-        self.left = true;
+        self.has_left = true;
         let now = self.now();
         let actions = self.membership.leave(now);
         self.apply_member_actions(actions);
--- a/crates/swiftcart-node/src/control/quotas.rs
+++ b/crates/swiftcart-node/src/control/quotas.rs
@@ -106,7 +106,7 @@
         let view = self.shared.view.load();
         let ledger = &mut self.accounting.ledger;
         let limited = list.iter().filter_map(|usage| {
-            // The account may have lost its quota since the report was sent.
+            // Usage of an account that no longer has a quota is not recorded.
             let quota = view.accounts().quota(usage.account)?;
             Some(ledger.receive(now, from, usage, quota))
         });
@@ -184,7 +184,7 @@
         self.shared.quotas.with(|meter| meter.set_nodes(nodes));
     }
 
-    /// Returns the ledger node of an account: the reachable node with the highest rank.
+    /// Returns the ledger node of an account: the first reachable node by rank.
     fn ledger_node(&mut self, account: AccountTag) -> NodeId {
         if let Some(node) = self.accounting.ledger_nodes.get(&account) {
             return *node;
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -43,7 +43,7 @@
     /// Applies roll-out orders that were read from the platform.
     pub(super) fn apply_orders(&mut self, now: Instant, orders: &[RolloutOrder]) {
         for order in orders {
-            if self.rollout_watch.rollouts.order(now, order) {
+            if self.watch.rollouts.order(now, order) {
                 let ms = u64::try_from(order.duration.as_millis()).unwrap_or(u64::MAX);
                 info!(self.shared.logger, ""; "event" => Event::Rollout,
                     "service" => %order.service, "order" => order.id.0,
@@ -55,26 +55,26 @@
 
     /// Advances roll-outs, gossips statuses and sends evidence.
     pub(super) fn watch_rollouts(&mut self, now: Instant) {
-        if !self.rollout_watch.requested && self.members_known(now) {
-            self.rollout_watch.requested = true;
+        if !self.watch.requested && self.members_known(now) {
+            self.watch.requested = true;
             self.request_rollouts();
         }
-        if self.rollout_watch.rollouts.is_empty() {
+        if self.watch.rollouts.is_empty() {
             return;
         }
-        if now >= self.rollout_watch.next_round {
-            self.rollout_watch.next_round = now + GOSSIP_INTERVAL;
+        if now >= self.watch.next_round {
+            self.watch.next_round = now + GOSSIP_INTERVAL;
             self.gossip_new_statuses(now);
         }
-        if now >= self.rollout_watch.next_compare {
-            self.rollout_watch.next_compare = now + COMPARE_INTERVAL;
-            let digest_message = self.rollout_watch.rollouts.digest_message();
+        if now >= self.watch.next_compare {
+            self.watch.next_compare = now + COMPARE_INTERVAL;
+            let digest_message = self.watch.rollouts.digest_message();
             for id in self.membership.broadcast_targets(false).into_iter().take(1) {
                 self.send_statuses(id, digest_message.clone());
             }
         }
-        if now >= self.rollout_watch.next_trial {
-            self.rollout_watch.next_trial = now + TRIAL_INTERVAL;
+        if now >= self.watch.next_trial {
+            self.watch.next_trial = now + TRIAL_INTERVAL;
             self.send_evidence(now);
             self.run_trials(now);
             self.advertise_backend(now);
@@ -104,17 +104,13 @@
             due_ms,
         } = recorded;
         let left = Duration::from_millis(due_ms.saturating_sub(unix_ms()));
-        if let Some(watched) = self.rollout_watch.watched.get_mut(service)
+        if let Some(watched) = self.watch.watched.get_mut(service)
             && watched.trial.order() == *order
         {
             watched.recorded = true;
         }
         match state {
-            RolloutState::Running => {
-                self.rollout_watch
-                    .rollouts
-                    .set_due(service, *order, now + left)
-            }
+            RolloutState::Running => self.watch.rollouts.set_due(service, *order, now + left),
             RolloutState::Completed => self.advance(service, *order, RolloutStage::Completed, None),
             RolloutState::RolledBack => {
                 self.advance(service, *order, RolloutStage::RolledBack, None);
@@ -146,7 +142,7 @@
     }
 
     fn clearance_of(&self, backend: &Backend, release: Option<&Release>) -> Cleared {
-        let rollouts = &self.rollout_watch.rollouts;
+        let rollouts = &self.watch.rollouts;
         let Some((rollout, side)) = rollouts.side(&backend.service, release) else {
             return Cleared::default();
         };
@@ -194,33 +190,33 @@
 
     /// Requests the statuses of some nodes, since a process that has just started has none.
     fn request_rollouts(&mut self) {
-        let sync_request = self.rollout_watch.rollouts.request_all();
+        let sync_request = self.watch.rollouts.request_all();
         for id in self.membership.broadcast_targets(true) {
             self.send_statuses(id, sync_request.clone());
         }
     }
 
     fn on_statuses(&mut self, now: Instant, from: NodeId, statuses: &RolloutStatuses) {
-        if self.rollout_watch.rollouts.merge(now, &statuses.list) {
+        if self.watch.rollouts.merge(now, &statuses.list) {
             self.update_clearance();
         }
         if statuses.asks {
-            let rollouts = &self.rollout_watch.rollouts;
+            let rollouts = &self.watch.rollouts;
             for statuses in RolloutStatuses::pack(rollouts.digest(), rollouts.all(now)) {
                 self.send_statuses(from, statuses);
             }
         }
-        if let Some(sync_request) = self.rollout_watch.rollouts.sync_request(statuses) {
+        if let Some(sync_request) = self.watch.rollouts.sync_request(statuses) {
             self.send_statuses(from, sync_request);
         }
     }
 
     fn gossip_new_statuses(&mut self, now: Instant) {
-        let due = self.rollout_watch.rollouts.gossip_round(now);
+        let due = self.watch.rollouts.gossip_round(now);
         if due.is_empty() {
             return;
         }
-        let digest = self.rollout_watch.rollouts.digest();
+        let digest = self.watch.rollouts.digest();
         let peers = self.membership.broadcast_targets(true);
         for statuses in RolloutStatuses::pack(digest, due) {
             for id in &peers {
@@ -242,7 +238,7 @@
         stage: RolloutStage,
         cause: Option<Cause>,
     ) {
-        if self.rollout_watch.rollouts.advance(service, order, stage) {
+        if self.watch.rollouts.advance(service, order, stage) {
             self.log_stage(service, order, stage, cause);
             self.update_clearance();
         }
@@ -258,7 +254,7 @@
     ) {
         let counters = &self.shared.counters;
         counters.count("swiftcart_rollout_stages_total", "stage", stage.as_str());
-        let watched = self.rollout_watch.watched.get(service);
+        let watched = self.watch.watched.get(service);
         let exposure = watched.map_or_else(Exposure::default, |watched| watched.trial.exposure());
         let logger = &self.shared.logger;
         let cause_name = cause.map_or("told", Cause::as_str);
--- a/crates/swiftcart-node/src/control/snapshot_cache.rs
+++ b/crates/swiftcart-node/src/control/snapshot_cache.rs
@@ -21,7 +21,7 @@
 /// second.
 const ANSWER_KBIT: u32 = 480;
 
-/// Retention time of the encoded snapshot, which has 0.2 MB with 2,500 routes. Nodes that start
+/// Retention time of the compact snapshot, which has 0.2 MB with 2,500 routes. Nodes that start
 /// together send their pulls within a few seconds.
 const RETENTION: Duration = Duration::from_secs(10);
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Stores the encoded form of a version; `None` if its position is unknown to this node.
+    /// Stores the compact form of a version; `None` if its position is unknown to this node.
     fn store(&mut self, now: Instant, version: Version, positioned: Option<PositionedSnapshot>) {
         self.version = version;
         self.positioned = positioned;
--- a/crates/swiftcart-node/src/control/trials.rs
+++ b/crates/swiftcart-node/src/control/trials.rs
@@ -17,7 +17,7 @@
 /// takes over if the first one has not recorded the end at the platform.
 const WATCHER_COUNT: usize = 2;
 
-/// Time that the second watcher waits for the first one to record an end.
+/// Time that the second watcher waits for the first one to record a state.
 const STANDBY_WRITE_DELAY: Duration = Duration::from_millis(700);
 
 /// Interval, in rounds, at which a backend server of the old release sends evidence until the
@@ -34,8 +34,8 @@
     /// Set once the platform has answered for this order. Only then is the trial evaluated, since
     /// the platform may already have recorded an end.
     pub(super) recorded: bool,
-    /// Time since which an end waits to be written.
-    end_due: Option<Instant>,
+    /// Time since which a state waits to be written.
+    write_due: Option<Instant>,
 }
 
 impl Control {
@@ -54,16 +54,16 @@
         let Some(evidence) = self.shared.clearing.evidence(activity) else {
             return;
         };
-        let rollout = self.rollout_watch.rollouts.get(&evidence.service);
+        let rollout = self.watch.rollouts.get(&evidence.service);
         let Some(stage) = rollout.map(|rollout| rollout.stage) else {
             return;
         };
-        self.rollout_watch.evidence_rounds = self.rollout_watch.evidence_rounds.wrapping_add(1);
+        self.watch.evidence_rounds = self.watch.evidence_rounds.wrapping_add(1);
         let skips = evidence.side != Side::New && stage <= RolloutStage::Trial;
         if stage.is_over()
             || (skips
                 && !self
-                    .rollout_watch
+                    .watch
                     .evidence_rounds
                     .is_multiple_of(OLD_EVIDENCE_ROUNDS))
         {
@@ -81,7 +81,7 @@
     }
 
     pub(super) fn on_evidence(&mut self, now: Instant, from: NodeId, evidence: Evidence) {
-        let Some(rollout) = self.rollout_watch.rollouts.get(&evidence.service) else {
+        let Some(rollout) = self.watch.rollouts.get(&evidence.service) else {
             return;
         };
         if rollout.order != evidence.order || rollout.stage.is_over() {
@@ -89,7 +89,7 @@
         }
         let trial = || Trial::new(now, &rollout, self.shared.settings.rollouts.trial());
         let service = evidence.service.clone();
-        let watched = self.rollout_watch.watched.entry(service);
+        let watched = self.watch.watched.entry(service);
         let watched = watched.or_insert_with(|| WatchedRollout::new(trial()));
         if watched.trial.order() != rollout.order {
             *watched = WatchedRollout::new(trial());
@@ -111,9 +111,9 @@
     }
 
     pub(super) fn run_trials(&mut self, now: Instant) {
-        let running = self.rollout_watch.rollouts.running();
+        let running = self.watch.rollouts.running();
         let services: Vec<ServiceName> = running.map(|rollout| rollout.service.clone()).collect();
-        self.rollout_watch
+        self.watch
             .watched
             .retain(|service, _| services.contains(service));
         for service in services {
@@ -127,10 +127,10 @@
 
     /// Runs one round of a trial in which this node is the watcher with rank `watcher_rank`.
     fn run_trial(&mut self, now: Instant, service: &ServiceName, watcher_rank: usize) {
-        let Some(rollout) = self.rollout_watch.rollouts.get(service) else {
+        let Some(rollout) = self.watch.rollouts.get(service) else {
             return;
         };
-        let Some(watched) = self.rollout_watch.watched.get_mut(service) else {
+        let Some(watched) = self.watch.watched.get_mut(service) else {
             return;
         };
         let (order, stage) = (rollout.order, rollout.stage);
@@ -175,7 +175,7 @@
         state: RolloutState,
         watcher_rank: usize,
     ) -> bool {
-        let Some(rollout) = self.rollout_watch.rollouts.get(service) else {
+        let Some(rollout) = self.watch.rollouts.get(service) else {
             return false;
         };
         let record = RolloutRecord {
@@ -185,7 +185,7 @@
             state,
             due_ms: unix_ms() + u64::try_from(rollout.remaining(now).as_millis()).unwrap_or(0),
         };
-        let Some(watched) = self.rollout_watch.watched.get_mut(service) else {
+        let Some(watched) = self.watch.watched.get_mut(service) else {
             return false;
         };
         let Some(board) = self
@@ -195,12 +195,12 @@
         else {
             return false;
         };
-        let end_due = *watched.end_due.get_or_insert(now);
-        let waits = watcher_rank > 0 && now.since(end_due) < STANDBY_WRITE_DELAY;
+        let write_due = *watched.write_due.get_or_insert(now);
+        let waits = watcher_rank > 0 && now.since(write_due) < STANDBY_WRITE_DELAY;
         let written = !waits && board.write(record);
         if written {
             watched.written = Some(state);
-            watched.end_due = None;
+            watched.write_due = None;
         }
         written
     }
@@ -224,7 +224,7 @@
             trial,
             written: None,
             recorded: false,
-            end_due: None,
+            write_due: None,
         }
     }
 }
--- a/crates/swiftcart-node/tests/control.rs
+++ b/crates/swiftcart-node/tests/control.rs
@@ -1,5 +1,5 @@
-//! Configuration and membership of a mesh of processes under crashes, freezes, partitions and platform
-//! outages.
+//! Configuration and membership of a mesh of processes under crashes, freezes, partitions and
+//! platform outages.
 
 mod mesh;
 
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_thawed_node_catches_up_and_spreads_no_stale_liveness() {
+async fn a_frozen_node_blocks_no_other_and_spreads_no_stale_liveness_after_a_thaw() {
     let mut mesh = Mesh::start(&FAILURE_DOMAINS).await;
     let before = mesh.publish();
     mesh.until_at(&ALL_NODES, before).await;
