--- a/crates/swiftcart-node/src/control/finder.rs
+++ b/crates/swiftcart-node/src/control/finder.rs
@@ -1,4 +1,4 @@
-//! Finds the other nodes through the directory, and enters this one.
+//! Node discovery: registers this node in the directory and looks up the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,19 +11,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use super::{Input, note_unreadable};
+use super::{Input, report_skipped};
 use crate::edge::{Asked, Directory, Listed};
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// The longest pause between two tries; others look for lost nodes as well.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Maximum pause between two retries. Other nodes also search for lost nodes.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// When a node that entered after it had looked looks again, unless it has met somebody: those
-/// who were listed are gone, and another one may have entered at the same time.
-const AGAIN: Duration = Duration::from_secs(2);
+/// Delay before a node that registered after its first look-up repeats the look-up. It does so only
+/// if it has met no other node: the listed nodes are gone, and another node may have registered at
+/// the same time.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Looks the other nodes up, however often that has to be tried.
+/// Background task that looks up the other nodes and retries until it succeeds.
 #[derive(Debug)]
 pub(super) struct Finder(JoinHandle<()>);
 
@@ -35,7 +36,7 @@
     ) -> Self {
         let shared = Arc::clone(shared);
         Self(tokio::spawn(async move {
-            look(&shared, &*directory, &inputs).await;
+            discover(&shared, &*directory, &inputs).await;
         }))
     }
 }
@@ -46,51 +47,54 @@
     }
 }
 
-/// Enters this node where it has to, and tells the control loop whom it found.
+/// Registers this node if necessary and reports the nodes that it found to the control loop.
 ///
-/// A node that starts again is listed still, so that one call is enough. While a whole mesh
-/// starts for the first time nobody is, and each node enters before it looks.
-async fn look(shared: &Shared, directory: &dyn Directory, inputs: &mpsc::Sender<Input>) {
+/// A node that restarts is still listed, so that one call is enough. When a whole mesh starts for
+/// the first time, no node is listed, and each one registers before its look-up.
+async fn discover(shared: &Shared, directory: &dyn Directory, inputs: &mpsc::Sender<Input>) {
     let id = shared.id;
     let first = shared.settings.first_start;
     if first {
-        persist(&shared.logger, || directory.enter(id)).await;
+        retry_until_ok(&shared.logger, || directory.enter(id)).await;
     }
-    let found = find(shared, directory, first).await;
+    let found = query_directory(shared, directory, first).await;
     let listed = first || found.nodes.contains(&id);
-    // The control loop is gone when the node has stopped.
-    drop(inputs.send(Input::Found(found)).await);
+    // Sending fails only after the control loop has stopped.
+    drop(inputs.send(Input::Discovered(found)).await);
     if listed {
         return;
     }
-    persist(&shared.logger, || directory.enter(id)).await;
-    sleep(AGAIN).await;
+    retry_until_ok(&shared.logger, || directory.enter(id)).await;
+    sleep(RETRY_DELAY).await;
     if shared.members.load().len() <= 1 {
-        let found = find(shared, directory, true).await;
-        drop(inputs.send(Input::Found(found)).await);
+        let found = query_directory(shared, directory, true).await;
+        drop(inputs.send(Input::Discovered(found)).await);
     }
 }
 
-async fn find(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
-    let found = persist(&shared.logger, || directory.find(shared.id, entered)).await;
+async fn query_directory(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
+    let found = retry_until_ok(&shared.logger, || directory.find(shared.id, entered)).await;
     info!(shared.logger, ""; "event" => Event::Found, "nodes" => found.nodes.len(),
         "held" => found.memos.len());
     if directory.unreadable() > 0 {
-        note_unreadable(shared, "directory", directory.unreadable());
+        report_skipped(shared, "directory", directory.unreadable());
     }
     found
 }
 
-/// Asks until there is an answer.
-pub(super) async fn persist<'a, T>(logger: &Logger, ask: impl Fn() -> Asked<'a, T>) -> T {
+/// Repeats a request with backoff until it succeeds.
+pub(super) async fn retry_until_ok<'a, T>(
+    logger: &Logger,
+    request: impl Fn() -> Asked<'a, T>,
+) -> T {
     let mut backoff = Backoff::new();
     let mut rng = SmallRng::from_os_rng();
     loop {
-        match ask().await {
+        match request().await {
             Ok(answer) => return answer,
             Err(err) => {
                 warn!(logger, ""; "event" => Event::Found, "error" => %err);
-                sleep(backoff.failed(&err, &mut rng).min(LONGEST)).await;
+                sleep(backoff.failed(&err, &mut rng).min(MAX_BACKOFF)).await;
             }
         }
     }
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -1,4 +1,4 @@
-//! Spreads what nodes know of requests that end backend servers.
+//! Gossips findings about requests that crash backend servers.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,45 +9,45 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// The time between two rounds of news. Everyone knows after some five rounds; a caller who was
-/// told that the outcome is unknown comes back after 250 ms.
-const ROUND: Duration = Duration::from_millis(100);
+/// Interval between gossip rounds. A finding reaches all nodes after about five rounds. A caller
+/// that was told that the outcome is unknown retries after 250 ms.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two comparisons with another node, while there is anything to compare.
-const COMPARE: Duration = Duration::from_secs(1);
+/// Interval between digest comparisons with another node, while there are findings to compare.
+const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When findings are passed on and compared, and which requests are held as far as was logged.
+/// Gossip schedule of findings, and the held requests that were last logged.
 #[derive(Debug, Default)]
-pub(super) struct Telling {
+pub(super) struct FindingsGossip {
     next_round: Instant,
     next_compare: Instant,
-    asked: bool,
+    requested: bool,
     held: BTreeSet<RequestDigest>,
 }
 
 impl Control {
-    /// Passes on what is new, and compares the rest with others now and then.
-    pub(super) fn tell_findings(&mut self, now: Instant) {
-        if !self.findings.asked && self.met(now) {
-            self.findings.asked = true;
-            self.ask_findings();
+    /// Forwards new findings and periodically compares digests with another node.
+    pub(super) fn gossip_findings(&mut self, now: Instant) {
+        if !self.findings.requested && self.members_known(now) {
+            self.findings.requested = true;
+            self.request_findings();
         }
         if !self.shared.suspects.is_used() {
             return;
         }
         if now >= self.findings.next_round {
-            self.findings.next_round = now + ROUND;
-            self.pass_findings(now);
+            self.findings.next_round = now + GOSSIP_INTERVAL;
+            self.gossip_new_findings(now);
         }
         if now >= self.findings.next_compare {
-            self.findings.next_compare = now + COMPARE;
-            self.compare_findings(now);
-            self.remember(now);
+            self.findings.next_compare = now + COMPARE_INTERVAL;
+            self.send_findings_digest(now);
+            self.persist_quarantine(now);
         }
         self.log_held(now);
     }
 
-    /// Takes in what another node has found, and answers what it asks.
+    /// Merges the findings of another node and answers its request.
     pub(super) fn on_findings(&mut self, now: Instant, from: NodeId, findings: &Findings) {
         let suspects = &self.shared.suspects;
         let (sync_request, all) = suspects.with(|quarantine| {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Asks some nodes what they know: a process that has started remembers nothing.
-    fn ask_findings(&mut self) {
+    /// Requests the findings of some nodes, since a process that has just started has none.
+    fn request_findings(&mut self) {
         let sync_request = self
             .shared
             .suspects
@@ -75,7 +75,7 @@
         }
     }
 
-    fn pass_findings(&mut self, now: Instant) {
+    fn gossip_new_findings(&mut self, now: Instant) {
         let suspects = &self.shared.suspects;
         let (digest, due) = suspects.with(|quarantine| {
             let due = quarantine.due_findings(now);
@@ -84,25 +84,26 @@
         if due.list.is_empty() {
             return;
         }
-        let told = self.membership.broadcast_targets(due.own);
+        let peers = self.membership.broadcast_targets(due.own);
         for findings in Findings::pack(digest, due.list) {
-            for id in &told {
+            for id in &peers {
                 self.net.send(*id, &Datagram::Findings(findings.clone()));
             }
         }
     }
 
-    fn compare_findings(&mut self, now: Instant) {
-        let summary = self.shared.suspects.with(|quarantine| {
+    fn send_findings_digest(&mut self, now: Instant) {
+        let digest_message = self.shared.suspects.with(|quarantine| {
             quarantine.sweep(now);
             quarantine.summary()
         });
         for id in self.membership.broadcast_targets(false).into_iter().take(1) {
-            self.net.send(id, &Datagram::Findings(summary.clone()));
+            self.net
+                .send(id, &Datagram::Findings(digest_message.clone()));
         }
     }
 
-    /// Logs which requests are held from now on, and which no longer.
+    /// Logs requests that have become held, and those that are no longer held.
     fn log_held(&mut self, now: Instant) {
         let held = self
             .shared
--- a/crates/swiftcart-node/src/control/pulls.rs
+++ b/crates/swiftcart-node/src/control/pulls.rs
@@ -1,4 +1,4 @@
-//! Asks other nodes for state and serves theirs, a bounded number at a time.
+//! Pulls state from other nodes and serves their pulls, with limits on both.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,28 +13,28 @@
 
 use super::net::{Traffic, count};
 use super::sync_client::pull;
-use super::sync_server::Pending;
+use super::sync_server::PendingPull;
 use super::{ControlError, Input, reachable};
 use crate::shared::Shared;
 
-/// Pulls of this node that are open at the same time.
-const OPEN_PULLS: usize = 2;
-/// Pulls served at once and in a second.
-const GATE: (u32, u32) = (4, 20);
+/// Maximum number of concurrent outgoing pulls.
+const MAX_OPEN_PULLS: usize = 2;
+/// Maximum number of pulls served concurrently, and per second.
+const SERVE_LIMITS: (u32, u32) = (4, 20);
 
-/// Holds the pulls that this node has open, and the bound on those it serves.
+/// Outgoing pulls of this node, and the limiter of those that it serves.
 #[derive(Debug)]
 pub(super) struct Pulls {
     shared: Arc<Shared>,
     key: MeshKey,
     inputs: mpsc::Sender<Input>,
-    gate: SyncLimiter,
+    limiter: SyncLimiter,
     open: BTreeSet<NodeId>,
 }
 
-/// The end of one pull of this node.
+/// Result of one outgoing pull.
 #[derive(Debug)]
-pub(super) struct Pulled {
+pub(super) struct PullOutcome {
     pub(super) peer: NodeId,
     pub(super) result: Result<SyncReply, ControlError>,
 }
@@ -45,14 +45,15 @@
             shared,
             key,
             inputs,
-            gate: SyncLimiter::new(GATE.0, GATE.1),
+            limiter: SyncLimiter::new(SERVE_LIMITS.0, SERVE_LIMITS.1),
             open: BTreeSet::new(),
         }
     }
 
-    /// Starts a pull whose end comes as an [`Input::Pulled`]; returns whether it did.
+    /// Starts a pull whose result arrives as an [`Input::PullOutcome`]. Returns `false` if the peer
+    /// already has an open pull or too many pulls are open.
     pub(super) fn start(&mut self, peer: NodeId, addr: SocketAddr, request: &SyncRequest) -> bool {
-        if self.open.len() >= OPEN_PULLS || !self.open.insert(peer) {
+        if self.open.len() >= MAX_OPEN_PULLS || !self.open.insert(peer) {
             return false;
         }
         let frame = seal_sync(request, self.shared.id, &self.key);
@@ -63,20 +64,20 @@
                 Ok(frame) => exchange(&shared, &key, addr, frame).await,
                 Err(e) => Err(ControlError::Wire(e)),
             };
-            let pulled = Box::new(Pulled { peer, result });
-            // The control loop is gone when the node has stopped.
-            drop(inputs.send(Input::Pulled(pulled)).await);
+            let pulled = Box::new(PullOutcome { peer, result });
+            // Sending fails only after the control loop has stopped.
+            drop(inputs.send(Input::PullOutcome(pulled)).await);
         });
         true
     }
 
-    /// Notes that a pull has ended.
+    /// Removes a finished pull from the open ones.
     pub(super) fn end(&mut self, peer: NodeId) {
         self.open.remove(&peer);
     }
 
-    /// Opens a request; one that does not hold against its tag is counted and dropped.
-    pub(super) fn open(&self, pending: &Pending) -> Option<SyncRequest> {
+    /// Opens a sealed request. A request with an invalid authentication tag is counted and dropped.
+    pub(super) fn open(&self, pending: &PendingPull) -> Option<SyncRequest> {
         count(&self.shared, Traffic::PullsReceived, pending.frame.len());
         match open_sync::<SyncRequest>(&pending.frame, &self.key) {
             Ok((from, request)) => reachable(&self.shared, from.0).then_some(request),
@@ -88,11 +89,11 @@
         }
     }
 
-    /// Tells whether a request is served now, or the answer that sends the asker away.
+    /// Returns `None` if a request is admitted, or the busy reply if it exceeds the limits.
     pub(super) fn admit(&mut self, now: Instant) -> Option<SyncReply> {
-        match self.gate.admit(now) {
+        match self.limiter.admit(now) {
             SyncAdmission::Serve => {
-                self.gate.done();
+                self.limiter.done();
                 None
             }
             SyncAdmission::Busy { retry_after } => {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Answers a request.
-    pub(super) fn answer(&self, pending: Pending, reply: &SyncReply) {
+    /// Seals and sends the reply to a request.
+    pub(super) fn answer(&self, pending: PendingPull, reply: &SyncReply) {
         if let Ok(frame) = seal_sync(reply, self.shared.id, &self.key) {
             count(&self.shared, Traffic::PullsSent, frame.len());
             pending.answer(frame);
@@ -120,9 +121,9 @@
     frame: Vec<u8>,
 ) -> Result<SyncReply, ControlError> {
     if !reachable(shared, addr) {
-        // A cut swallows packets, so the asker learns of it by its timeout only.
+        // A partition drops packets silently, so the requesting node only sees a timeout.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        return Err(ControlError::Unknown);
+        return Err(ControlError::UnknownAddress);
     }
     count(shared, Traffic::PullsSent, frame.len());
     let answer = pull(addr, frame).await?;
--- a/crates/swiftcart-node/src/control/stream.rs
+++ b/crates/swiftcart-node/src/control/stream.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration stream: the feed, the floor and the way to being ready.
+//! State of the configuration stream: the feed, the enforcement gate and the readiness gate.
 
 use std::collections::BTreeMap;
 
@@ -12,39 +12,40 @@
 use crate::config::Config;
 use crate::settings::Settings;
 
-/// Holds what a node knows of the stream and what it has put in force.
+/// Known state of the stream, and the version in force.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) source: Source,
     pub(super) witness: Witness,
-    pub(super) join: ReadinessGate,
-    floor: EnforcementGate,
-    /// The versions that wait for a witness.
-    waiting: BTreeMap<Version, Config>,
-    /// The version that the floor has let through.
+    pub(super) readiness: ReadinessGate,
+    enforcement: EnforcementGate,
+    /// Versions that wait for the acknowledgement of a witness.
+    unacknowledged: BTreeMap<Version, Config>,
+    /// Configuration that passed the enforcement gate.
     enforced: Config,
-    /// The platform's clock at a time of ours.
-    clock: Option<(Instant, u64)>,
-    /// Whether a peer that is ready may vouch for the version, as when the platform is away.
-    peers: bool,
+    /// Clock of the platform, in milliseconds, and the local time at which it was read.
+    platform_clock: Option<(Instant, u64)>,
+    /// Set if a ready peer may confirm the version, as during an outage of the platform.
+    peers_confirm: bool,
 }
 
-/// What the control loop has to do after an event.
+/// Effects for the control loop to apply after an event.
 #[derive(Debug, Default)]
-pub(super) struct Todo {
-    /// Actions of the feed, other than applying.
+pub(super) struct StreamEffects {
+    /// Actions of the feed, except [`FeedAction::Applied`].
     pub(super) feed: Vec<FeedAction>,
-    /// A version to report, and to whom.
+    /// Versions to report, with the witnesses that receive each report.
     pub(super) reports: Vec<(Version, Vec<NodeId>)>,
-    /// Whether another version may be put in force now.
+    /// Set if another version may now be put in force.
     pub(super) enforced: bool,
 }
 
 impl Stream {
-    /// Follows the platform's log, or with `whole` the versions that the platform has judged.
-    pub(super) fn new(me: NodeId, settings: &Settings, whole: bool) -> Self {
+    /// Creates a stream that follows the platform's log, or validated snapshots if `from_snapshots`
+    /// is set.
+    pub(super) fn new(me: NodeId, settings: &Settings, from_snapshots: bool) -> Self {
         let retention = std::time::Duration::from_secs(settings.platform.retention_s);
-        let source = match whole {
+        let source = match from_snapshots {
             true => Source::snapshots(me),
             false => Source::log(me, FeedSettings::new(retention)),
         };
@@ -52,55 +53,60 @@
             enforced: source.config(),
             source,
             witness: Witness::new(),
-            join: ReadinessGate::new(),
-            floor: EnforcementGate::new(),
-            waiting: BTreeMap::new(),
-            clock: None,
-            peers: whole && settings.first_start,
+            readiness: ReadinessGate::new(),
+            enforcement: EnforcementGate::new(),
+            unacknowledged: BTreeMap::new(),
+            platform_clock: None,
+            peers_confirm: from_snapshots && settings.first_start,
         }
     }
 
-    /// Tells whether peers are to vouch for the version that this node has.
-    pub(super) fn asks_peers(&mut self) -> bool {
-        let asks = self.peers && self.source.version() > Version::NONE;
+    /// Returns `true` if peers have to confirm the version that this node has.
+    pub(super) fn needs_peer_confirmation(&mut self) -> bool {
+        let asks = self.peers_confirm && self.source.version() > Version::NONE;
         if asks {
-            self.join.on_outage();
+            self.readiness.on_outage();
         }
         asks
     }
 
-    /// Takes what was read from the platform.
-    pub(super) fn on_read(&mut self, now: Instant, read: Read, witnesses: &[NodeId]) -> Todo {
+    /// Applies the result of a read of the platform.
+    pub(super) fn on_read(
+        &mut self,
+        now: Instant,
+        read: Read,
+        witnesses: &[NodeId],
+    ) -> StreamEffects {
         let actions = match (&mut self.source, read) {
             (Source::Log(feed), Read::Page(page)) => {
-                self.clock = Some((now, page.now_ms));
-                self.join.on_log_end(page.next);
+                self.platform_clock = Some((now, page.now_ms));
+                self.readiness.on_log_end(page.next);
                 feed.on_page(page.first, page.next, page.entries)
             }
             (Source::SnapshotFeed(snapshots), Read::Newest(Some(snapshot))) => {
-                self.join.on_log_end(Offset(snapshot.version.0));
+                self.readiness.on_log_end(Offset(snapshot.version.0));
                 snapshots.on_read(snapshot)
             }
-            // Nothing was published yet; a node is as far as the platform with the first version.
+            // No version is published yet; a node with the first version is up to date.
             (Source::SnapshotFeed(_), Read::Newest(None)) => {
-                self.join.on_log_end(Offset(1));
+                self.readiness.on_log_end(Offset(1));
                 Vec::new()
             }
             (Source::SnapshotFeed(_), Read::Confirmed(version)) => {
-                self.join.on_log_end(Offset(version.0));
+                self.readiness.on_log_end(Offset(version.0));
                 Vec::new()
             }
-            (Source::Log(_), Read::Newest(_) | Read::Confirmed(_) | Read::Unplaced)
-            | (Source::SnapshotFeed(_), Read::Page(_) | Read::Unplaced) => Vec::new(),
+            (Source::Log(_), Read::Newest(_) | Read::Confirmed(_) | Read::UnknownPosition)
+            | (Source::SnapshotFeed(_), Read::Page(_) | Read::UnknownPosition) => Vec::new(),
         };
-        self.after(now, actions, witnesses)
+        self.process_actions(now, actions, witnesses)
     }
 
-    /// Takes what another node pushed.
+    /// Applies records or a delta that another node pushed.
     ///
     /// # Errors
     ///
-    /// Returns why the bytes mean nothing.
+    /// Returns the decoding error if the bytes are malformed.
     pub(super) fn on_push(
         &mut self,
         now: Instant,
@@ -108,49 +114,49 @@
         origin: NodeId,
         bytes: &[u8],
         witnesses: &[NodeId],
-    ) -> Result<Todo, postcard::Error> {
+    ) -> Result<StreamEffects, postcard::Error> {
         let actions = self.source.on_push(now, peer, origin, bytes)?;
-        Ok(self.after(now, actions, witnesses))
+        Ok(self.process_actions(now, actions, witnesses))
     }
 
-    /// Sorts the feed's actions; a greater version goes to the floor first.
-    pub(super) fn after(
+    /// Splits off the applied versions, which go to the enforcement gate first.
+    pub(super) fn process_actions(
         &mut self,
         now: Instant,
         actions: Vec<FeedAction>,
         witnesses: &[NodeId],
-    ) -> Todo {
+    ) -> StreamEffects {
         let is_applied = |action: &FeedAction| matches!(action, FeedAction::Applied(_));
         let (applied, feed): (Vec<_>, Vec<_>) = actions.into_iter().partition(is_applied);
-        let mut todo = match applied.is_empty() {
-            true => Todo::default(),
+        let mut effects = match applied.is_empty() {
+            true => StreamEffects::default(),
             false => self.advance(now, witnesses),
         };
-        todo.feed = feed;
-        todo
+        effects.feed = feed;
+        effects
     }
 
-    /// Takes a witness's acknowledgement.
+    /// Handles the acknowledgement of a witness.
     pub(super) fn on_ack(
         &mut self,
         now: Instant,
         peer: NodeId,
         version: Version,
         witnesses: &[NodeId],
-    ) -> Todo {
-        let actions = self.floor.on_ack(now, peer, version, witnesses);
+    ) -> StreamEffects {
+        let actions = self.enforcement.on_ack(now, peer, version, witnesses);
         self.enforce(actions)
     }
 
-    /// Puts versions in force whose witnesses did not answer in time.
-    pub(super) fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> Todo {
-        let actions = self.floor.on_tick(now, witnesses);
+    /// Enforces versions whose witnesses did not acknowledge them in time.
+    pub(super) fn on_tick(&mut self, now: Instant, witnesses: &[NodeId]) -> StreamEffects {
+        let actions = self.enforcement.on_tick(now, witnesses);
         self.enforce(actions)
     }
 
-    /// Returns the checkpoint to append, when one is due for a reader of this rank.
+    /// Returns the checkpoint to append if one is due for a reader of this rank.
     pub(super) fn checkpoint(&mut self, now: Instant, rank: usize) -> Option<FeedAction> {
-        let (at, ms) = self.clock?;
+        let (at, ms) = self.platform_clock?;
         let passed = u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
         match &mut self.source {
             Source::Log(feed) => feed.on_tick(ms.saturating_add(passed), rank),
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Returns the offset from which to read the platform's log.
+    /// Returns the offset of the next read of the platform's log.
     pub(super) fn from(&self) -> Offset {
         self.source.from()
     }
@@ -167,45 +173,46 @@
     ///
     /// # Errors
     ///
-    /// What a node that has just started still waits for.
+    /// Returns the condition that a node that has just started still waits for.
     pub(super) fn served(&mut self, now: Instant) -> Result<&Config, NotReady> {
         let version = self.enforced.version();
         let position = match version == self.source.version() {
             true => self.source.position(),
-            // A version still waits for its witness; the node is not yet that far.
+            // A newer version still waits for its witness, so the node is not yet at that position.
             false => Offset(version.0),
         };
-        self.join.ready(now, position, version)?;
+        self.readiness.ready(now, position, version)?;
         Ok(&self.enforced)
     }
 
-    /// Returns the version that answers a joiner: none while this node is joining itself.
-    pub(super) fn vouched(&mut self, now: Instant) -> Version {
+    /// Returns the version reported to a joiner, or [`Version::NONE`] while this node is joining
+    /// itself.
+    pub(super) fn confirmed_version(&mut self, now: Instant) -> Version {
         self.served(now).map_or(Version::NONE, Config::version)
     }
 
-    fn advance(&mut self, now: Instant, witnesses: &[NodeId]) -> Todo {
+    fn advance(&mut self, now: Instant, witnesses: &[NodeId]) -> StreamEffects {
         let version = self.source.version();
-        self.waiting.insert(version, self.source.config());
-        let actions = self.floor.on_version(now, version, witnesses);
+        self.unacknowledged.insert(version, self.source.config());
+        let actions = self.enforcement.on_version(now, version, witnesses);
         self.enforce(actions)
     }
 
-    fn enforce(&mut self, actions: Vec<EnforcementAction>) -> Todo {
-        let mut todo = Todo::default();
+    fn enforce(&mut self, actions: Vec<EnforcementAction>) -> StreamEffects {
+        let mut effects = StreamEffects::default();
         for action in actions {
             match action {
-                EnforcementAction::Report { version, to } => todo.reports.push((version, to)),
+                EnforcementAction::Report { version, to } => effects.reports.push((version, to)),
                 EnforcementAction::Enforce(version) => {
-                    let later = self.waiting.split_off(&Version(version.0 + 1));
-                    let ready = std::mem::replace(&mut self.waiting, later);
+                    let later = self.unacknowledged.split_off(&Version(version.0 + 1));
+                    let ready = std::mem::replace(&mut self.unacknowledged, later);
                     if let Some((_, latest)) = ready.into_iter().next_back() {
                         self.enforced = latest;
-                        todo.enforced = true;
+                        effects.enforced = true;
                     }
                 }
             }
         }
-        todo
+        effects
     }
 }
--- a/crates/swiftcart-node/src/control/sync_server.rs
+++ b/crates/swiftcart-node/src/control/sync_server.rs
@@ -1,4 +1,4 @@
-//! Serves state pulls of other nodes, a bounded number at a time.
+//! Server of state pulls, with a limit on concurrent connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,47 +11,47 @@
 
 use super::{ControlError, frames};
 
-/// Pulls served at the same time; further ones wait in the listener's queue.
-const PLACES: usize = 8;
-/// Longest request that is accepted, in bytes; a member pull with all its buckets has 1.3 kB.
-const REQUEST_BYTES: usize = 4096;
-/// Longest time for one pull, as the asker bounds it too.
-const PULL_TIME: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted, for want of descriptors perhaps.
+/// Maximum number of concurrent pulls; further connections wait in the listener's backlog.
+const MAX_CONCURRENT_PULLS: usize = 8;
+/// Maximum length of a request, in bytes. A member pull with all its buckets has 1.3 kB.
+const MAX_REQUEST_BYTES: usize = 4096;
+/// Timeout of one pull; the client uses the same limit.
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts pulls and hands them to the control loop until it is dropped.
+/// Task that accepts pulls and forwards them to the control loop until it is dropped.
 #[derive(Debug)]
 pub(super) struct SyncServer(JoinHandle<()>);
 
-/// Holds one sealed request and the way back to its sender.
+/// Sealed request and the channel for its answer.
 #[derive(Debug)]
-pub(super) struct Pending {
-    /// The sealed request.
+pub(super) struct PendingPull {
+    /// Sealed request.
     pub(super) frame: Vec<u8>,
     answer: oneshot::Sender<Vec<u8>>,
 }
 
 impl SyncServer {
-    /// Listens on `addr` and sends each request into `requests`.
+    /// Listens on `addr` and sends each request to `requests`.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub(super) async fn bind(
         addr: SocketAddr,
-        requests: mpsc::Sender<Pending>,
+        requests: mpsc::Sender<PendingPull>,
     ) -> Result<Self, ControlError> {
         let listener = TcpListener::bind(addr).await;
-        let listener = listener.map_err(|e| ControlError::Pulls(addr, e))?;
+        let listener = listener.map_err(|e| ControlError::BindSync(addr, e))?;
         Ok(Self(tokio::spawn(accept(listener, requests))))
     }
 }
 
-impl Pending {
-    /// Sends the sealed answer; a lost connection is the asker's to notice.
+impl PendingPull {
+    /// Sends the sealed answer. The client detects a lost connection itself.
     pub(super) fn answer(self, frame: Vec<u8>) {
-        // The task that holds the connection ends with it; then nobody needs the answer.
+        // Sending fails only if the connection's task has ended, and then the answer is not needed.
         drop(self.answer.send(frame));
     }
 }
@@ -62,10 +62,10 @@
     }
 }
 
-async fn accept(listener: TcpListener, requests: mpsc::Sender<Pending>) {
-    let places = Arc::new(Semaphore::new(PLACES));
+async fn accept(listener: TcpListener, requests: mpsc::Sender<PendingPull>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_PULLS));
     loop {
-        let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
@@ -74,20 +74,20 @@
         };
         let requests = requests.clone();
         tokio::spawn(async move {
-            // A pull that fails or takes too long is the asker's to repeat.
-            drop(timeout(PULL_TIME, serve(stream, requests)).await);
-            drop(place);
+            // The client retries a pull that fails or times out.
+            drop(timeout(PULL_TIMEOUT, serve(stream, requests)).await);
+            drop(permit);
         });
     }
 }
 
-async fn serve(mut stream: TcpStream, requests: mpsc::Sender<Pending>) -> std::io::Result<()> {
+async fn serve(mut stream: TcpStream, requests: mpsc::Sender<PendingPull>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    let frame = frames::read(&mut stream, REQUEST_BYTES).await?;
+    let frame = frames::read(&mut stream, MAX_REQUEST_BYTES).await?;
     let (answer, answered) = oneshot::channel();
-    // A full queue, or a request that does not hold, drops the sender; the asker's
-    // timeout covers it.
-    drop(requests.try_send(Pending { frame, answer }));
+    // If the queue is full or the request is invalid, the answer's sender is dropped. The client
+    // then reaches its timeout.
+    drop(requests.try_send(PendingPull { frame, answer }));
     match answered.await {
         Ok(frame) => frames::write(&mut stream, &frame).await,
         Err(_) => Ok(()),
