--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -280,7 +280,7 @@
     /// [`Reason::Quarantined`] with the time for which it is held.
     fn pass(&self, call: &Call, request: &Request<Outgoing>) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return Ok(());
         }
         let print = Handed::new(call.print, request.body()).print();
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -17,7 +17,7 @@
     /// [`Reason::Quarantined`] with the time for which it is held.
     pub(super) async fn pass(&self, call: &Call, original: &Original) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return Ok(());
         }
         let bytes = self.shared.settings.limits.replay_bytes as usize;
@@ -42,7 +42,7 @@
     /// tried again.
     pub(super) fn is_dangerous(&self, call: &Call, original: &Original, reason: Reason) -> bool {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return false;
         }
         let Some(print) = original.print(call.print) else {
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -134,7 +134,7 @@
     fn answered(&self, run: RunId, sound: bool) {
         let handed = self.lock().answered(run);
         let suspects = &self.shared.suspects;
-        let handed = handed.filter(|handed| sound && suspects.may_hold(handed.call.head));
+        let handed = handed.filter(|handed| sound && suspects.may_be_quarantined(handed.call.head));
         if let Some(print) = handed.and_then(|handed| handed.print()) {
             suspects.finished(self.shared.clock.now(), print);
         }
--- a/crates/swiftcart-node/src/clearing.rs
+++ b/crates/swiftcart-node/src/clearing.rs
@@ -30,7 +30,7 @@
 
 /// The part of a backend server, where its service is rolled out, and what it may be given.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Cleared {
+pub struct RoleClearance {
     /// The part.
     pub part: Option<RolloutRole>,
     /// What it may be given.
@@ -49,7 +49,7 @@
 /// Holds what the backend server may be given, between the calls that ask and the control loop
 /// that decides. While its service is not rolled out, which is nearly always, a look costs one load.
 #[derive(Debug)]
-pub struct Clearing {
+pub struct RolloutGate {
     used: AtomicBool,
     state: Mutex<State>,
     /// What it may be given, for those who act on changes.
@@ -73,7 +73,7 @@
     given: Instant,
 }
 
-impl Default for Clearing {
+impl Default for RolloutGate {
     fn default() -> Self {
         Self {
             used: AtomicBool::new(false),
@@ -83,11 +83,11 @@
     }
 }
 
-impl Clearing {
+impl RolloutGate {
     /// Takes over the backend server's part, and what it may be given. Counts begin anew, as
     /// `epoch`, when the part is another one. Returns whether anything has changed.
-    pub fn adopt(&self, cleared: Cleared, epoch: u32) -> bool {
-        let Cleared { part, clearance } = cleared;
+    pub fn adopt(&self, cleared: RoleClearance, epoch: u32) -> bool {
+        let RoleClearance { part, clearance } = cleared;
         let mut state = self.lock();
         let changed = state.part != part || state.clearance != clearance;
         if state.part != part {
--- a/crates/swiftcart-node/src/control.rs
+++ b/crates/swiftcart-node/src/control.rs
@@ -40,7 +40,7 @@
 use self::control_loop::Control;
 use self::pulls::Pulled;
 use self::reader::Read;
-use crate::edge::{Edges, Listed};
+use crate::edge::{DirectoryListing, PlatformAdapters};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -50,7 +50,7 @@
     Pulled(Box<Pulled>),
     Read(Box<Result<Read, PlatformError>>),
     /// What the directory holds.
-    Found(Listed),
+    Found(DirectoryListing),
     Appended(Result<(), PlatformError>),
     /// How far the platform knows a roll-out to be.
     Settled(Settled),
@@ -61,7 +61,7 @@
 /// # Errors
 ///
 /// Fails when an address cannot be bound.
-pub async fn open(shared: Arc<Shared>, edges: Edges) -> Result<Opened, ControlError> {
+pub async fn open(shared: Arc<Shared>, edges: PlatformAdapters) -> Result<Opened, ControlError> {
     Control::open(shared, edges).await.map(Opened)
 }
 
--- a/crates/swiftcart-node/src/control/board.rs
+++ b/crates/swiftcart-node/src/control/board.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use super::Input;
-use crate::edge::{Board, RolloutBoard, RolloutRecord, RolloutState};
+use crate::edge::{RolloutBoard, RolloutRecord, RolloutRecords, RolloutState};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -82,7 +82,7 @@
     shared: Arc<Shared>,
     board: Arc<dyn RolloutBoard>,
     /// The board as it was read or written last; `None` when that is not certain.
-    known: Option<Board>,
+    known: Option<RolloutRecords>,
 }
 
 impl Writing {
@@ -152,7 +152,7 @@
     old.order > new.order || (same && (ended || new.state == RolloutState::Running))
 }
 
-fn with(mut board: Board, record: &RolloutRecord, place: u64) -> Board {
+fn with(mut board: RolloutRecords, record: &RolloutRecord, place: u64) -> RolloutRecords {
     board.records.retain(|old| old.service != record.service);
     board.records.push(record.clone());
     board.place = place;
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -29,7 +29,7 @@
 use super::stream::Stream;
 use super::sync_server::{Pending, SyncServer};
 use super::{ControlError, Input};
-use crate::edge::Edges;
+use crate::edge::PlatformAdapters;
 use crate::logging::{Event, unix_ms};
 use crate::registration::Identity;
 use crate::shared::Shared;
@@ -99,7 +99,10 @@
 }
 
 impl Control {
-    pub(super) async fn open(shared: Arc<Shared>, edges: Edges) -> Result<Self, ControlError> {
+    pub(super) async fn open(
+        shared: Arc<Shared>,
+        edges: PlatformAdapters,
+    ) -> Result<Self, ControlError> {
         let settings = &shared.settings;
         let key = MeshKey::from_secret(settings.mesh_key.as_str());
         let net = Net::bind(Arc::clone(&shared), key.clone()).await?;
--- a/crates/swiftcart-node/src/control/finder.rs
+++ b/crates/swiftcart-node/src/control/finder.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::{Input, note_unreadable};
-use crate::edge::{Asked, Directory, Listed};
+use crate::edge::{Directory, DirectoryListing, PlatformFuture};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -71,7 +71,7 @@
     }
 }
 
-async fn find(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
+async fn find(shared: &Shared, directory: &dyn Directory, entered: bool) -> DirectoryListing {
     let found = persist(&shared.logger, || directory.find(shared.id, entered)).await;
     info!(shared.logger, ""; "event" => Event::Found, "nodes" => found.nodes.len(),
         "held" => found.memos.len());
@@ -82,7 +82,7 @@
 }
 
 /// Asks until there is an answer.
-pub(super) async fn persist<'a, T>(logger: &Logger, ask: impl Fn() -> Asked<'a, T>) -> T {
+pub(super) async fn persist<'a, T>(logger: &Logger, ask: impl Fn() -> PlatformFuture<'a, T>) -> T {
     let mut backoff = Backoff::new();
     let mut rng = SmallRng::from_os_rng();
     loop {
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -8,7 +8,7 @@
 };
 
 use super::control_loop::Control;
-use crate::edge::Listed;
+use crate::edge::DirectoryListing;
 use crate::logging::Event;
 
 /// Of the slots of a cold backend server, whose work takes longer, others are shown one in so many.
@@ -93,7 +93,7 @@
     }
 
     /// Takes what the directory holds: the other nodes, and which requests to hold.
-    pub(super) fn on_found(&mut self, found: &Listed) {
+    pub(super) fn on_found(&mut self, found: &DirectoryListing) {
         self.found = true;
         self.listed = found.nodes.len();
         let now = self.now();
--- a/crates/swiftcart-node/src/control/reader.rs
+++ b/crates/swiftcart-node/src/control/reader.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 
 use super::{Input, reachable};
-use crate::edge::{Behind, SnapshotSource};
+use crate::edge::{NextVersion, SnapshotSource};
 use crate::shared::Shared;
 
 /// The stream that holds publishes and checkpoints.
@@ -249,9 +249,9 @@
         let inputs = self.inputs.clone();
         self.task = Some(tokio::spawn(async move {
             let read = whole.behind(place).await.map(|behind| match behind {
-                Behind::Nothing => Read::Confirmed(version),
-                Behind::Newer(snapshot) => Read::Newest(Some(snapshot)),
-                Behind::Unknown => Read::Unplaced,
+                NextVersion::Nothing => Read::Confirmed(version),
+                NextVersion::Newer(snapshot) => Read::Newest(Some(snapshot)),
+                NextVersion::Unknown => Read::Unplaced,
             });
             // The control loop is gone when the node has stopped.
             drop(inputs.send(Input::Read(Box::new(read))).await);
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -15,7 +15,7 @@
 use super::board::Settled;
 use super::control_loop::Control;
 use super::trials::Watched;
-use crate::clearing::{Cleared, RolloutRole};
+use crate::clearing::{RoleClearance, RolloutRole};
 use crate::edge::RolloutState;
 use crate::logging::{Event, unix_ms};
 
@@ -128,7 +128,7 @@
             .map(|own| own.release.clone());
         let cleared = match &backend {
             Some(backend) => self.cleared(backend, release.as_ref()),
-            None => Cleared::default(),
+            None => RoleClearance::default(),
         };
         let epoch = rand::rng().random();
         if self.shared.clearing.adopt(cleared.clone(), epoch)
@@ -141,10 +141,10 @@
         self.show_backend(self.now());
     }
 
-    fn cleared(&self, backend: &Backend, release: Option<&Release>) -> Cleared {
+    fn cleared(&self, backend: &Backend, release: Option<&Release>) -> RoleClearance {
         let rollouts = &self.watching.rollouts;
         let Some((rollout, side)) = rollouts.side(&backend.service, release) else {
-            return Cleared::default();
+            return RoleClearance::default();
         };
         let part = RolloutRole {
             service: backend.service.clone(),
@@ -155,7 +155,7 @@
             RolloutStage::Moving(_) => self.shared.clearing.turn(self.draw_turn(backend)),
             _ => RolloutBatch::FIRST,
         };
-        Cleared {
+        RoleClearance {
             part: Some(part),
             clearance: rollout.stage.clearance(side, turn),
         }
--- a/crates/swiftcart-node/src/edge.rs
+++ b/crates/swiftcart-node/src/edge.rs
@@ -14,11 +14,12 @@
 use swiftcart_platform::PlatformError;
 
 /// The answer of the platform, some time.
-pub type Asked<'a, T> = Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
+pub type PlatformFuture<'a, T> =
+    Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
 /// What came behind a place among the versions.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Behind {
+pub enum NextVersion {
     /// Nothing: the version before it is the newest one.
     Nothing,
     /// This newer version.
@@ -35,7 +36,7 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; nothing is known then.
-    fn newest(&self, known: Version, wait: Duration) -> Asked<'_, Option<Snapshot>>;
+    fn newest(&self, known: Version, wait: Duration) -> PlatformFuture<'_, Option<Snapshot>>;
 
     /// Returns where versions go on behind `version`, when that was read here; some number that
     /// other nodes of the mesh understand.
@@ -48,8 +49,8 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; nothing is known then.
-    fn behind(&self, _place: u64) -> Asked<'_, Behind> {
-        Box::pin(async { Ok(Behind::Unknown) })
+    fn behind(&self, _place: u64) -> PlatformFuture<'_, NextVersion> {
+        Box::pin(async { Ok(NextVersion::Unknown) })
     }
 
     /// Returns how many records were passed over so far, since they could not be read.
@@ -108,7 +109,7 @@
 
 /// All records of roll-outs, and the place behind them.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Board {
+pub struct RolloutRecords {
     /// The newest record of each service.
     pub records: Vec<RolloutRecord>,
     /// Where the next record goes.
@@ -123,7 +124,7 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; nothing is known then.
-    fn read(&self) -> Asked<'_, Board>;
+    fn read(&self) -> PlatformFuture<'_, RolloutRecords>;
 
     /// Writes a record if it comes to stand at `place`. Returns the place behind it, or `None` when
     /// another one stands there.
@@ -131,12 +132,12 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether it was written, or will be, is then not known.
-    fn write(&self, record: RolloutRecord, place: u64) -> Asked<'_, Option<u64>>;
+    fn write(&self, record: RolloutRecord, place: u64) -> PlatformFuture<'_, Option<u64>>;
 }
 
 /// What a directory holds.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct DirectoryListing {
     /// Those who are entered.
     pub nodes: Vec<NodeId>,
     /// The requests that were held when they were remembered, some of them long ago perhaps.
@@ -150,7 +151,7 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether `id` was entered is then not known.
-    fn enter(&self, id: NodeId) -> Asked<'_, ()>;
+    fn enter(&self, id: NodeId) -> PlatformFuture<'_, ()>;
 
     /// Returns who is entered, `id` among them if it is, and what is remembered.
     ///
@@ -161,28 +162,28 @@
     /// # Errors
     ///
     /// Any [`PlatformError`].
-    fn find(&self, id: NodeId, entered: bool) -> Asked<'_, Listed>;
+    fn find(&self, id: NodeId, entered: bool) -> PlatformFuture<'_, DirectoryListing>;
 
     /// Remembers `memo` in place of what was remembered of the same request.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether it is remembered is then not known.
-    fn remember(&self, memo: Memo) -> Asked<'_, ()>;
+    fn remember(&self, memo: Memo) -> PlatformFuture<'_, ()>;
 
     /// Forgets what is remembered of `requests`.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether it is forgotten is then not known.
-    fn forget(&self, requests: Vec<RequestPrint>) -> Asked<'_, ()>;
+    fn forget(&self, requests: Vec<RequestPrint>) -> PlatformFuture<'_, ()>;
 
     /// Removes `ids`, which are gone for good.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`]; whether they were removed is then not known.
-    fn remove(&self, ids: Vec<NodeId>) -> Asked<'_, ()>;
+    fn remove(&self, ids: Vec<NodeId>) -> PlatformFuture<'_, ()>;
 
     /// Returns how many entries were passed over so far, since they are no node's.
     fn unreadable(&self) -> u64 {
@@ -192,7 +193,7 @@
 
 /// What a node has of the platform besides the log; without any it follows the log.
 #[derive(Debug, Default, Clone)]
-pub struct Edges {
+pub struct PlatformAdapters {
     /// Where accepted versions come from, in place of the log.
     pub snapshots: Option<Arc<dyn SnapshotSource>>,
     /// Where nodes find each other, beside the seeds of the settings.
@@ -201,7 +202,7 @@
     pub board: Option<Arc<dyn RolloutBoard>>,
 }
 
-impl Edges {
+impl PlatformAdapters {
     /// Creates the edges of a node that follows the platform's log.
     #[must_use]
     pub fn new() -> Self {
--- a/crates/swiftcart-node/src/lib.rs
+++ b/crates/swiftcart-node/src/lib.rs
@@ -32,8 +32,8 @@
 pub use control::ControlError;
 pub use counters::{Counters, Stage};
 pub use edge::{
-    Asked, Behind, Board, Directory, Edges, Listed, RolloutBoard, RolloutRecord, RolloutState,
-    SnapshotSource,
+    Directory, DirectoryListing, NextVersion, PlatformAdapters, PlatformFuture, RolloutBoard,
+    RolloutRecord, RolloutRecords, RolloutState, SnapshotSource,
 };
 pub use faults::Faults;
 pub use logging::{Event, open as open_log, silent as silent_log};
--- a/crates/swiftcart-node/src/main.rs
+++ b/crates/swiftcart-node/src/main.rs
@@ -2,8 +2,8 @@
 
 use std::process::ExitCode;
 
-use swiftcart_node::{Edges, run_program};
+use swiftcart_node::{PlatformAdapters, run_program};
 
 fn main() -> ExitCode {
-    run_program("swiftcartd", |_| Edges::new())
+    run_program("swiftcartd", |_| PlatformAdapters::new())
 }
--- a/crates/swiftcart-node/src/node.rs
+++ b/crates/swiftcart-node/src/node.rs
@@ -14,7 +14,7 @@
 
 use crate::calls::Calls;
 use crate::control::ControlError;
-use crate::edge::Edges;
+use crate::edge::PlatformAdapters;
 use crate::logging::Event;
 use crate::settings::Settings;
 use crate::shared::{Phase, Shared};
@@ -61,7 +61,7 @@
     ///
     /// Returns the first listener that cannot be opened.
     pub async fn start(settings: Settings, logger: Logger) -> Result<Self, NodeError> {
-        Self::start_with(settings, Edges::new(), logger).await
+        Self::start_with(settings, PlatformAdapters::new(), logger).await
     }
 
     /// Opens the listeners and starts the parts, with `edges` in place of the platform's log.
@@ -71,7 +71,7 @@
     /// Returns the first listener that cannot be opened.
     pub async fn start_with(
         settings: Settings,
-        edges: Edges,
+        edges: PlatformAdapters,
         logger: Logger,
     ) -> Result<Self, NodeError> {
         let listen = settings.listen.clone();
--- a/crates/swiftcart-node/src/program.rs
+++ b/crates/swiftcart-node/src/program.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::args::Args;
-use crate::edge::Edges;
+use crate::edge::PlatformAdapters;
 use crate::logging::{Event, close as close_log, open as open_log};
 use crate::node::Node;
 use crate::settings::Settings;
@@ -29,7 +29,10 @@
 /// Runs the program `name` by the command line of this process until it is asked to stop.
 ///
 /// `edges` says what the node has of the platform besides the log.
-pub fn run_program(name: &'static str, edges: impl FnOnce(&Settings) -> Edges) -> ExitCode {
+pub fn run_program(
+    name: &'static str,
+    edges: impl FnOnce(&Settings) -> PlatformAdapters,
+) -> ExitCode {
     match Args::parse(std::env::args_os().skip(1)) {
         Ok(Args::Help(text)) => say(&text),
         Ok(Args::Version) => say(&format!("{name} {}\n", env!("CARGO_PKG_VERSION"))),
@@ -59,7 +62,7 @@
     }
 }
 
-fn run(file: &Path, settings: Settings, edges: Edges) -> ExitCode {
+fn run(file: &Path, settings: Settings, edges: PlatformAdapters) -> ExitCode {
     let (logger, guard) = open_log(settings.log.level);
     let code = match runtime(settings.threads) {
         Ok(runtime) => runtime.block_on(serve(file, settings, edges, logger)),
@@ -81,7 +84,12 @@
     }
 }
 
-async fn serve(file: &Path, settings: Settings, edges: Edges, logger: Logger) -> ExitCode {
+async fn serve(
+    file: &Path,
+    settings: Settings,
+    edges: PlatformAdapters,
+    logger: Logger,
+) -> ExitCode {
     let mut signals = match Signals::new() {
         Ok(signals) => signals,
         Err(err) => return fail(&logger, &err),
--- a/crates/swiftcart-node/src/shared.rs
+++ b/crates/swiftcart-node/src/shared.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::clearing::Clearing;
+use crate::clearing::RolloutGate;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::counters::Counters;
@@ -21,9 +21,9 @@
 use crate::quotas::Quotas;
 use crate::registration::{Identity, Registration};
 use crate::settings::{Headers, Settings};
-use crate::suspects::Suspects;
+use crate::suspects::SharedQuarantine;
 use crate::unreached::UnreachedNodes;
-use crate::warmup::Warming;
+use crate::warmup::SharedWarmup;
 
 /// Tells whether a node takes callers' requests, and if not, why.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
@@ -123,13 +123,13 @@
     /// The nodes to which no connection opened lately.
     pub unreached: UnreachedNodes,
     /// The requests that end backend servers.
-    pub suspects: Suspects,
+    pub suspects: SharedQuarantine,
     /// What client accounts have sent through this node.
     pub quotas: Quotas,
     /// What the backend server may be given while its service is rolled out.
-    pub clearing: Clearing,
+    pub clearing: RolloutGate,
     /// Whether the backend server is cold, and what it may be handed then.
-    pub warmup: Warming,
+    pub warmup: SharedWarmup,
     /// Whether the failure domain is drained, so that the backend server gets nothing.
     pub drained: watch::Sender<bool>,
     /// What this node is cut off from, in builds for failure tests.
@@ -165,7 +165,7 @@
         let view = View::new(Version::NONE, &table, [].into_iter(), id, &settings.domain);
         let clock = Clock::new();
         let link = Egress::new(clock, settings.link.rate());
-        let warmup = Warming::new(clock.now(), settings.cold.bounds());
+        let warmup = SharedWarmup::new(clock.now(), settings.cold.bounds());
         Arc::new(Self {
             headers: Arc::new(settings.headers.clone()),
             settings,
@@ -187,9 +187,9 @@
             running: Arc::default(),
             expiry: watch::Sender::new(None),
             unreached: UnreachedNodes::default(),
-            suspects: Suspects::default(),
+            suspects: SharedQuarantine::default(),
             quotas: Quotas::default(),
-            clearing: Clearing::default(),
+            clearing: RolloutGate::default(),
             warmup,
             drained: watch::Sender::new(false),
             faults: Faults::from_env(),
--- a/crates/swiftcart-node/src/suspects.rs
+++ b/crates/swiftcart-node/src/suspects.rs
@@ -8,15 +8,15 @@
 
 /// Holds the quarantine. While nothing is in it, which is nearly always, a look costs one load.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct SharedQuarantine {
     any: AtomicBool,
     quarantine: Mutex<Quarantine>,
 }
 
-impl Suspects {
+impl SharedQuarantine {
     /// Tells whether a request with this head may be a suspect.
     #[must_use]
-    pub fn may_hold(&self, head: HeadPrint) -> bool {
+    pub fn may_be_quarantined(&self, head: HeadPrint) -> bool {
         self.is_used() && self.with(|quarantine| quarantine.suspects(head))
     }
 
--- a/crates/swiftcart-node/src/warmup.rs
+++ b/crates/swiftcart-node/src/warmup.rs
@@ -6,9 +6,9 @@
 
 /// Holds what the backend server is handed while it is cold.
 #[derive(Debug)]
-pub struct Warming(Mutex<Warmup>);
+pub struct SharedWarmup(Mutex<Warmup>);
 
-impl Warming {
+impl SharedWarmup {
     /// Creates the state of a process that starts now.
     #[must_use]
     pub const fn new(now: Instant, bounds: ColdBounds) -> Self {
