--- a/crates/swiftcart-node/src/clearing.rs
+++ b/crates/swiftcart-node/src/clearing.rs
@@ -1,4 +1,4 @@
-//! What the backend server beside this node may be given while its service is rolled out.
+//! Admission of requests to the local backend server during a roll-out of its service.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,60 +10,65 @@
 };
 use tokio::sync::watch;
 
-/// How long credit lasts that is not renewed: who gives it may be cut off, or know better by then.
-const CREDIT_FOR: Duration = TRIAL_INTERVAL.saturating_mul(2);
+/// Time after which credit expires if it is not renewed.
+///
+/// The node that grants credit may become unreachable, or may decide otherwise by then.
+const CREDIT_TTL: Duration = TRIAL_INTERVAL.saturating_mul(2);
 
-/// How long a backend server on trial is shown to others after its last credit. In between it is
-/// given some again within two seconds.
-const SHOWN_FOR: Duration = Duration::from_secs(3);
+/// Time for which a backend server on trial is advertised to other nodes after its last credit.
+///
+/// New credit arrives within two seconds while the trial goes on.
+const ADVERTISED_TTL: Duration = Duration::from_secs(3);
 
-/// Names the part that a backend server has in a roll-out.
+/// Role of a backend server in a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutRole {
-    /// Its service.
+    /// Service of the backend server.
     pub service: ServiceName,
-    /// The order.
+    /// Order that started the roll-out.
     pub order: OrderId,
-    /// Its side.
+    /// Side of the roll-out to which its release belongs.
     pub side: Side,
 }
 
-/// The part of a backend server, where its service is rolled out, and what it may be given.
+/// Role of a backend server in a roll-out, if there is one, and its clearance.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct RoleClearance {
-    /// The part.
-    pub part: Option<RolloutRole>,
-    /// What it may be given.
+    /// Role in the roll-out, or `None` while the service is not rolled out.
+    pub rollout_role: Option<RolloutRole>,
+    /// Requests that it may get.
     pub clearance: Clearance,
 }
 
-/// What the backend server is doing, as far as the roll-out has to know.
+/// State of the backend server that the roll-out takes into account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Activity {
-    /// Whether it is ready and has warmed up.
+    /// Set if the backend server is ready and has warmed up.
     pub ready: bool,
-    /// Requests that it runs.
+    /// Number of requests that the backend server is processing.
     pub running: u32,
 }
 
-/// Holds what the backend server may be given, between the calls that ask and the control loop
-/// that decides. While its service is not rolled out, which is nearly always, a look costs one load.
+/// Admission state of the backend server during a roll-out.
+///
+/// The control loop writes the state, and calls read it. Rollouts are rare; while there is none, a
+/// check costs one atomic load.
 #[derive(Debug)]
 pub struct RolloutGate {
     used: AtomicBool,
     state: Mutex<State>,
-    /// What it may be given, for those who act on changes.
+    /// Current clearance, for tasks that react to changes.
     pub clearance: watch::Sender<Clearance>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    part: Option<RolloutRole>,
-    /// Its turn in the move, once that has begun.
-    turn: Option<RolloutBatch>,
+    rollout_role: Option<RolloutRole>,
+    /// Batch in which the backend server opens or closes, once the move has begun.
+    rollout_batch: Option<RolloutBatch>,
     clearance: Clearance,
     epoch: u32,
-    tally: TrialStats,
+    stats: TrialStats,
     credit: Option<Credit>,
 }
 
@@ -84,42 +89,55 @@
 }
 
 impl RolloutGate {
-    /// Takes over the backend server's part, and what it may be given. Counts begin anew, as
-    /// `epoch`, when the part is another one. Returns whether anything has changed.
+    /// Sets the role and the clearance of the backend server.
+    ///
+    /// If the role changes, the statistics restart under `epoch`. Returns `true` if the role or the
+    /// clearance has changed.
     pub fn adopt(&self, cleared: RoleClearance, epoch: u32) -> bool {
-        let RoleClearance { part, clearance } = cleared;
+        let RoleClearance {
+            rollout_role,
+            clearance,
+        } = cleared;
         let mut state = self.lock();
-        let changed = state.part != part || state.clearance != clearance;
-        if state.part != part {
+        let changed = state.rollout_role != rollout_role || state.clearance != clearance;
+        if state.rollout_role != rollout_role {
             state.epoch = epoch;
-            state.tally = TrialStats::default();
-            state.turn = None;
+            state.stats = TrialStats::default();
+            state.rollout_batch = None;
             state.credit = None;
         }
-        state.part = part;
+        state.rollout_role = rollout_role;
         state.clearance = clearance;
-        self.used.store(state.part.is_some(), Ordering::Relaxed);
+        self.used
+            .store(state.rollout_role.is_some(), Ordering::Relaxed);
         drop(state);
         self.clearance
             .send_if_modified(|now| std::mem::replace(now, clearance) != clearance);
         changed
     }
 
-    /// Returns the turn in the move that the backend server has had so far, or takes `drawn` for it;
-    /// one that is being tried is first.
-    pub fn turn(&self, drawn: RolloutBatch) -> RolloutBatch {
+    /// Returns the roll-out batch of the backend server.
+    ///
+    /// A backend server without a batch is assigned to `drawn`, or to the first batch if it has
+    /// credit from a trial.
+    pub fn rollout_batch(&self, drawn: RolloutBatch) -> RolloutBatch {
         let mut state = self.lock();
-        let tried = state.credit.is_some();
-        *state
-            .turn
-            .get_or_insert(if tried { RolloutBatch::FIRST } else { drawn })
+        let has_credit = state.credit.is_some();
+        *state.rollout_batch.get_or_insert(if has_credit {
+            RolloutBatch::FIRST
+        } else {
+            drawn
+        })
     }
 
-    /// Takes credit; returns whether it is for this backend server.
+    /// Stores a credit grant. Returns `true` if the grant is for this backend server.
     pub fn grant(&self, now: Instant, grant: &Grant) -> bool {
         let mut state = self.lock();
-        let fits = |part: &RolloutRole| part.order == grant.order && part.service == grant.service;
-        let is_own = state.part.as_ref().is_some_and(fits) && state.epoch == grant.epoch;
+        let is_same_rollout = |rollout_role: &RolloutRole| {
+            rollout_role.order == grant.order && rollout_role.service == grant.service
+        };
+        let is_own =
+            state.rollout_role.as_ref().is_some_and(is_same_rollout) && state.epoch == grant.epoch;
         if is_own {
             state.credit = Some(Credit {
                 upto: grant.upto,
@@ -129,11 +147,11 @@
         is_own
     }
 
-    /// Tells whether the backend server may be given a request.
+    /// Checks that the backend server may get a request.
     ///
     /// # Errors
     ///
-    /// The reason why it may not.
+    /// Returns the reason why it may not.
     pub fn may_enter(&self, now: Instant) -> Result<(), Reason> {
         match self.is_used() {
             true => self.lock().may_enter(now),
@@ -141,59 +159,62 @@
         }
     }
 
-    /// Counts a request that the backend server is handed now.
+    /// Counts a request that is sent to the backend server now.
     ///
     /// # Errors
     ///
-    /// The reason why it may not be handed over after all.
+    /// Returns the reason why the request may not be sent. The state may have changed since
+    /// [`may_enter`](Self::may_enter).
     pub fn take(&self, now: Instant) -> Result<(), Reason> {
         if !self.is_used() {
             return Ok(());
         }
         let mut state = self.lock();
         state.may_enter(now)?;
-        state.tally.arrived();
+        state.stats.arrived();
         Ok(())
     }
 
-    /// Counts a request that ended.
+    /// Counts a finished request.
     pub fn ended(&self, route: RouteTag, failed: bool, time: Duration) {
         if self.is_used() {
-            self.lock().tally.ended(route, failed, time);
+            self.lock().stats.ended(route, failed, time);
         }
     }
 
-    /// Returns what the backend server was seen to do.
+    /// Returns the statistics of the backend server in the roll-out, if its service is rolled out.
     #[must_use]
     pub fn evidence(&self, activity: Activity) -> Option<Evidence> {
         let state = self.lock();
-        let part = state.part.clone()?;
+        let rollout_role = state.rollout_role.clone()?;
         Some(Evidence {
-            service: part.service,
-            order: part.order,
-            side: part.side,
+            service: rollout_role.service,
+            order: rollout_role.order,
+            side: rollout_role.side,
             epoch: state.epoch,
             ready: activity.ready,
             open: matches!(state.clearance, Clearance::Open | Clearance::OnCredit),
-            arrived: state.tally.arrivals(),
+            arrived: state.stats.arrivals(),
             running: activity.running,
-            routes: state.tally.routes(),
+            routes: state.stats.routes(),
         })
     }
 
-    /// Returns as what the backend server is shown to other nodes: on trial only while it is
-    /// given credit, so that they do not ask in vain.
+    /// Returns the clearance that is advertised to other nodes.
+    ///
+    /// A backend server on trial without recent credit is advertised as closed, so that other nodes
+    /// do not send it requests that it would refuse.
     #[must_use]
     pub fn shown(&self, now: Instant) -> Clearance {
         let state = self.lock();
-        let fresh = |credit: &Credit| now.since(credit.given) < SHOWN_FOR;
+        let fresh = |credit: &Credit| now.since(credit.given) < ADVERTISED_TTL;
         match state.clearance {
             Clearance::OnCredit if !state.credit.as_ref().is_some_and(fresh) => Clearance::Closed,
             clearance => clearance,
         }
     }
 
-    /// Tells whether the backend server's service is rolled out.
+    /// Returns `true` if the service of the backend server is being rolled out.
     #[must_use]
     pub fn is_used(&self) -> bool {
         self.used.load(Ordering::Relaxed)
@@ -206,12 +227,12 @@
 
 impl State {
     fn may_enter(&self, now: Instant) -> Result<(), Reason> {
-        let arrivals = self.tally.arrivals();
-        let lasts =
-            |credit: &Credit| now.since(credit.given) < CREDIT_FOR && arrivals < credit.upto;
+        let arrivals = self.stats.arrivals();
+        let is_valid =
+            |credit: &Credit| now.since(credit.given) < CREDIT_TTL && arrivals < credit.upto;
         match self.clearance {
             Clearance::Open => Ok(()),
-            Clearance::OnCredit if self.credit.as_ref().is_some_and(lasts) => Ok(()),
+            Clearance::OnCredit if self.credit.as_ref().is_some_and(is_valid) => Ok(()),
             Clearance::OnCredit => Err(Reason::OnTrial),
             Clearance::Closed => Err(Reason::Warming),
             Clearance::Draining => Err(Reason::Draining),
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -132,10 +132,10 @@
         };
         let epoch = rand::rng().random();
         if self.shared.clearing.adopt(cleared.clone(), epoch)
-            && let Some(part) = cleared.part
+            && let Some(rollout_role) = cleared.rollout_role
         {
-            info!(self.shared.logger, ""; "event" => Event::Rollout, "service" => %part.service,
-                "order" => part.order.0, "side" => ?part.side, "clearance" => ?cleared.clearance,
+            info!(self.shared.logger, ""; "event" => Event::Rollout, "service" => %rollout_role.service,
+                "order" => rollout_role.order.0, "side" => ?rollout_role.side, "clearance" => ?cleared.clearance,
                 "release" => release.as_ref().map(Release::as_str));
         }
         self.show_backend(self.now());
@@ -146,18 +146,18 @@
         let Some((rollout, side)) = rollouts.side(&backend.service, release) else {
             return RoleClearance::default();
         };
-        let part = RolloutRole {
+        let rollout_role = RolloutRole {
             service: backend.service.clone(),
             order: rollout.order,
             side,
         };
-        let turn = match rollout.stage {
-            RolloutStage::Moving(_) => self.shared.clearing.turn(self.draw_turn(backend)),
+        let rollout_batch = match rollout.stage {
+            RolloutStage::Moving(_) => self.shared.clearing.rollout_batch(self.draw_turn(backend)),
             _ => RolloutBatch::FIRST,
         };
         RoleClearance {
-            part: Some(part),
-            clearance: rollout.stage.clearance(side, turn),
+            rollout_role: Some(rollout_role),
+            clearance: rollout.stage.clearance(side, rollout_batch),
         }
     }
 
