--- a/crates/swiftcart-node/src/settings.rs
+++ b/crates/swiftcart-node/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings of a node: one JSON file, checked as a whole before anything starts.
+//! Settings of a node: one JSON file, which is validated completely before the node starts.
 //!
-//! Unknown keys and values out of range are refused with the file, the path of
-//! the key, the value and the cure. Every default is stated at its field.
+//! Errors for unknown keys and values out of range name the file, the path of the key, the value and
+//! the fix. Each field documents its default.
 
 mod announcements;
 mod check;
@@ -35,72 +35,72 @@
 pub use rollouts::Rollouts;
 pub use stop::Stop;
 
-/// Holds the checked settings of one node.
+/// Validated settings of one node.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The failure domain of the instance.
+    /// Failure domain of the instance.
     pub domain: FailureDomain,
-    /// The region of each failure domain; default none: all are in one.
+    /// Region of each failure domain; default none: all failure domains are in one region.
     #[serde(default)]
     pub regions: Regions,
-    /// The addresses to listen on.
+    /// Addresses to listen on.
     pub listen: Listen,
-    /// Datagram addresses of nodes to join through; default none.
+    /// Gossip addresses of nodes through which to join the mesh; default none.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The platform's log.
+    /// Log of the platform.
     pub platform: Platform,
-    /// The key of the datagrams' tags, the same on every node.
+    /// Key that authenticates datagrams, the same on every node.
     pub mesh_key: MeshKey,
-    /// Bounds of the call path.
+    /// Limits of the call path.
     #[serde(default)]
     pub limits: Limits,
     /// Timing of the membership protocol.
     #[serde(default)]
     pub gossip: Gossip,
-    /// The log of events.
+    /// Event log.
     #[serde(default)]
     pub log: Log,
-    /// The service of the backend server beside the node, told to others as the caller's.
+    /// Service of the local backend server, sent with its calls as the service of the caller.
     #[serde(default)]
     pub service: Option<ServiceName>,
-    /// The headers of callers and backend servers.
+    /// Header names of callers and backend servers.
     #[serde(default)]
     pub headers: Headers,
-    /// How backend servers that name themselves announce themselves.
+    /// Format of announcements of backend servers that have ids of their own.
     #[serde(default)]
     pub announcements: Announcements,
-    /// The statuses of the answers that the node makes itself.
+    /// Status codes of responses that the node generates itself.
     #[serde(default)]
     pub answers: Answers,
-    /// The instance's link.
+    /// Egress link of the instance.
     #[serde(default)]
     pub link: LinkSettings,
-    /// The budget of retries that all nodes share; without one each node has its own.
+    /// Retry budget that all nodes share; default none: each node has a budget of its own.
     #[serde(default)]
     pub retries: Option<Retries>,
-    /// What a new release gets before it is known to be good.
+    /// Limits for requests to a new release during its trial.
     #[serde(default)]
     pub rollouts: Rollouts,
-    /// How far client accounts may lie beyond their quotas.
+    /// Tolerance by which client accounts may exceed their quotas.
     #[serde(default)]
     pub quotas: Quotas,
-    /// How far cold backend servers may be loaded.
+    /// Limits for the load of cold backend servers.
     #[serde(default)]
     pub cold: Cold,
-    /// How the node leaves.
+    /// Graceful shutdown of the node.
     #[serde(default)]
     pub stop: Stop,
-    /// Whether requests with an `Idempotency-Key` are claimed in the platform's log;
-    /// default true. Without, the key is a header like any other.
+    /// Enables claims in the platform's log for requests with an `Idempotency-Key`; default true.
+    /// Without claims, the key is an ordinary header.
     #[serde(default = "Settings::default_claims")]
     pub claims: bool,
-    /// Whether the whole mesh starts for the first time, when no node knows any other and no
-    /// configuration may be there yet; default false.
+    /// Set if the whole mesh starts for the first time; default false. No node knows another one
+    /// then, and there may be no configuration yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Threads that the node runs on; default 0: one for each processor.
+    /// Number of worker threads; default 0: one for each processor.
     #[serde(default)]
     pub threads: u32,
 }
@@ -111,73 +111,74 @@
     }
 }
 
-/// Chooses the statuses of the answers that a node makes itself.
+/// Scheme of the status codes of responses that a node generates itself.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answers {
-    /// Each reason has its own status.
+    /// Each reason has its own status code.
     #[default]
     ByReason,
-    /// 429, 503, 408 and 421 promise that the request has not run: what may be sent again
-    /// is answered 503, what may have run 502 or 504. `Retry-After` has fractions.
+    /// The status codes 429, 503, 408 and 421 guarantee that the request has not run. Requests that
+    /// can be sent again get 503, and requests that may have run get 502 or 504. `Retry-After` has
+    /// fractions of seconds.
     Promise,
 }
 
-/// Addresses that a node listens on; other nodes reach it at the same ones.
+/// Addresses on which a node listens. Other nodes reach it at the same addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// Callers' requests (HTTP).
+    /// Address for requests of callers (HTTP).
     pub calls: SocketAddr,
-    /// Requests handed on by other nodes (HTTP).
+    /// Address for requests forwarded by other nodes (HTTP).
     pub peer: SocketAddr,
-    /// Operators, metrics and the backend server's announcement (HTTP).
+    /// Address for operators, metrics and announcements of the backend server (HTTP).
     pub admin: SocketAddr,
-    /// Membership datagrams (UDP); also the node's name.
+    /// Address for membership datagrams (UDP), which is also the id of the node.
     pub gossip: SocketAddr,
-    /// State pulls of other nodes (length-prefixed frames over TCP).
+    /// Address for state pulls of other nodes (length-prefixed frames over TCP).
     pub sync: SocketAddr,
-    /// Further addresses that answer as `admin` does; default none.
+    /// Further addresses for the same service as on `admin`; default none.
     #[serde(default)]
     pub also: Vec<SocketAddr>,
 }
 
-/// Where and how the platform's log is reached.
+/// Connection to the log of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The log's address.
+    /// Address of the log.
     pub addr: SocketAddr,
-    /// Longest time for one request to the log, in milliseconds; default 2000.
+    /// Timeout of one request to the log, in milliseconds; default 2000.
     #[serde(default = "Platform::default_timeout")]
     pub timeout_ms: u64,
-    /// How long the log keeps a record, in seconds; default 86400.
+    /// Retention time of records in the log, in seconds; default 86400.
     #[serde(default = "Platform::default_retention")]
     pub retention_s: u64,
 }
 
-/// The key of the datagrams' tags; its text is never shown.
+/// Key that authenticates datagrams. Its text is never printed.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct MeshKey(String);
 
-/// What is logged.
+/// Settings of the event log.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least severe level that is written; default `info`.
+    /// Least severe level that is logged; default `info`.
     pub level: LogLevel,
 }
 
-/// Names the levels of the log, most severe first.
+/// Log levels, most severe first.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only failures that need an operator.
+    /// Failures that need an operator.
     Error,
-    /// Also what is degraded.
+    /// Also degraded operation.
     Warning,
-    /// Also changes of state.
+    /// Also state changes.
     #[default]
     Info,
     /// Also single requests.
@@ -185,7 +186,7 @@
 }
 
 impl Platform {
-    /// Returns the longest time for one request to the log.
+    /// Returns the timeout of one request to the log.
     #[must_use]
     pub const fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
@@ -201,16 +202,16 @@
 }
 
 impl MeshKey {
-    /// The least number of characters of a key.
+    /// Minimum length of a key, in bytes.
     pub const MIN_LEN: usize = 32;
 
-    /// Creates a key; its length is checked with the other settings.
+    /// Creates a key. Its length is checked with the other settings.
     #[must_use]
     pub fn new(key: impl Into<String>) -> Self {
         Self(key.into())
     }
 
-    /// Returns the key's text.
+    /// Returns the text of the key.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/swiftcart-node/src/settings/announcements.rs
+++ b/crates/swiftcart-node/src/settings/announcements.rs
@@ -1,12 +1,12 @@
-//! How backend servers that name themselves announce themselves.
+//! Format of announcements of backend servers that have ids of their own.
 
 use serde::Deserialize;
 
-/// Names what the announcements of backend servers hold; the defaults are swiftcart's own.
+/// Field names in announcements of backend servers. The defaults are the names of swiftcart.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Announcements {
-    /// A further name of `start_ms`, under which some backend servers tell when they started;
-    /// default none. An announcement that has both is refused.
+    /// Alternative name of the field `start_ms`, which some backend servers use for their start time;
+    /// default none. An announcement with both fields is refused.
     pub start: Option<String>,
 }
--- a/crates/swiftcart-node/src/settings/check.rs
+++ b/crates/swiftcart-node/src/settings/check.rs
@@ -1,18 +1,18 @@
-//! Checks values that their types do not.
+//! Checks of values beyond the constraints of their types.
 
 use std::net::SocketAddr;
 
 use super::{LinkSettings, MeshKey, Retries, Settings, SettingsError};
 
-/// The most characters of a failure domain's name.
+/// Maximum length of the name of a failure domain, in bytes.
 const MAX_DOMAIN: usize = 63;
 
-/// A number, its path and the least and greatest value allowed.
-type Bound = (&'static str, u64, u64, u64);
+/// Path of a number, its value, and the least and greatest allowed values.
+type CheckedRange = (&'static str, u64, u64, u64);
 
-/// Checks every value of `settings` against its range.
+/// Checks all values of `settings`.
 pub(super) fn check(file: &str, settings: &Settings) -> Result<(), SettingsError> {
-    bounds(settings)
+    ranges(settings)
         .into_iter()
         .find(|(_, value, min, max)| !(min..=max).contains(&value))
         .map_or(Ok(()), |(path, value, min, max)| {
@@ -21,12 +21,12 @@
     domain(file, &settings.domain.0)?;
     retries(file, settings.retries)?;
     link(file, settings.link)?;
-    kill(file, settings.stop.kill_s)?;
+    check_kill_time(file, settings.stop.kill_s)?;
     mesh_key(file, &settings.mesh_key)?;
     addresses(file, settings)
 }
 
-fn bounds(settings: &Settings) -> Vec<Bound> {
+fn ranges(settings: &Settings) -> Vec<CheckedRange> {
     let limits = &settings.limits;
     let gossip = &settings.gossip;
     let platform = &settings.platform;
@@ -138,26 +138,26 @@
     ]
 }
 
-fn kill(file: &str, secs: f64) -> Result<(), SettingsError> {
+fn check_kill_time(file: &str, secs: f64) -> Result<(), SettingsError> {
     match secs {
         0.0 | 1.0..=3600.0 => Ok(()),
         _ => {
             let value = secs.to_string();
-            let cure = "use 0 or a number from 1 to 3600";
+            let fix = "use 0 or a number from 1 to 3600";
             Err(SettingsError::Rule(
                 file.into(),
                 "stop.kill_s".into(),
                 value,
-                cure,
+                fix,
             ))
         }
     }
 }
 
 fn retries(file: &str, retries: Option<Retries>) -> Result<(), SettingsError> {
-    let refuse = |path: &str, value: String, cure| {
+    let refuse = |path: &str, value: String, fix| {
         let path = format!("retries.{path}");
-        Err(SettingsError::Rule(file.into(), path, value, cure))
+        Err(SettingsError::Rule(file.into(), path, value, fix))
     };
     match retries {
         Some(r) if !(0.0..=10.0).contains(&r.share) => {
@@ -188,9 +188,9 @@
 }
 
 fn domain(file: &str, name: &str) -> Result<(), SettingsError> {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+    let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     match name.len() {
-        1..=MAX_DOMAIN if name.bytes().all(plain) => Ok(()),
+        1..=MAX_DOMAIN if name.bytes().all(is_allowed) => Ok(()),
         _ => Err(SettingsError::Rule(
             file.into(),
             "domain".into(),
@@ -206,7 +206,7 @@
         len => Err(SettingsError::Rule(
             file.into(),
             "mesh_key".into(),
-            format!("a text of {len} characters"),
+            format!("a key of {len} characters"),
             "use at least 32 characters, the same on every node",
         )),
     }
@@ -214,28 +214,33 @@
 
 fn addresses(file: &str, settings: &Settings) -> Result<(), SettingsError> {
     let listen = &settings.listen;
-    let own = [
+    let own_listeners = [
         ("listen.calls", listen.calls),
         ("listen.peer", listen.peer),
         ("listen.admin", listen.admin),
         ("listen.gossip", listen.gossip),
         ("listen.sync", listen.sync),
     ];
-    let reached = own
+    let peer_addrs = own_listeners
         .iter()
         .skip(1)
         .map(|(path, addr)| ((*path).into(), *addr));
     let seeds = settings.seeds.iter().enumerate();
     let seeds = seeds.map(|(i, addr)| (format!("seeds[{i}]"), *addr));
-    reached
+    peer_addrs
         .chain(seeds)
         .chain([("platform.addr".into(), settings.platform.addr)])
         .try_for_each(|(path, addr)| reachable(file, path, addr))?;
     let also = listen.also.iter().map(|addr| ("listen.also", *addr));
-    let tcp: Vec<_> = [own[0], own[1], own[2], own[4]]
-        .into_iter()
-        .chain(also)
-        .collect();
+    let tcp: Vec<_> = [
+        own_listeners[0],
+        own_listeners[1],
+        own_listeners[2],
+        own_listeners[4],
+    ]
+    .into_iter()
+    .chain(also)
+    .collect();
     tcp.iter()
         .enumerate()
         .find(|(i, (_, addr))| tcp[..*i].iter().any(|(_, other)| other == addr))
--- a/crates/swiftcart-node/src/settings/cold.rs
+++ b/crates/swiftcart-node/src/settings/cold.rs
@@ -1,15 +1,15 @@
-//! How far cold backend servers may be loaded beyond what they say that they bear.
+//! Limits for the load of cold backend servers beyond the rate that they announce.
 
 use serde::Deserialize;
 use swiftcart_core::ColdBounds;
 
-/// Bounds the requests that a cold backend server gets in a second.
+/// Limits on the requests per second to a cold backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Cold {
-    /// Times the rate that it bears; default 1.5.
+    /// Factor on the rate that the backend server announces while it is cold; default 1.5.
     pub overage: f64,
-    /// Requests on top of that; default 8.
+    /// Additional requests beyond that rate; default 8.
     pub slack: f64,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Cold {
-    /// Returns the core's settings.
+    /// Converts the settings to the type of the core.
     #[must_use]
     pub const fn bounds(&self) -> ColdBounds {
         ColdBounds {
--- a/crates/swiftcart-node/src/settings/error.rs
+++ b/crates/swiftcart-node/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Why settings are refused.
+//! Errors of settings.
 
 use std::io;
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// Tells why a settings file is refused and what cures it.
+    /// Error in a settings file, with a hint how to fix it.
     #[derive(Debug)]
     pub enum SettingsError {
         /// The file cannot be read.
@@ -13,27 +13,27 @@
             source(err)
             display("{file}: cannot be read: {err}: name a readable file with --settings")
         }
-        /// The file is larger than any settings file needs.
+        /// The file exceeds the maximum size of a settings file.
         TooLong(file: String, len: usize, max: usize) {
             display("{file}: {len} bytes: a settings file has at most {max} bytes")
         }
-        /// The file is no JSON.
+        /// The file is not valid JSON.
         Syntax(file: String, err: serde_json::Error) {
             source(err)
-            display("{file}: no valid JSON: {err}: mend the text at this line and column")
+            display("{file}: invalid JSON: {err}: fix the text at this line and column")
         }
         /// A key is unknown, missing or has a value of another type.
         Shape(file: String, path: String, value: String, err: serde_json::Error) {
             source(err)
-            display("{file}: {path}: {value} is refused: {err}: add, mend or remove this key")
+            display("{file}: {path}: {value} is refused: {err}: add, fix or remove this key")
         }
         /// A number is out of range.
         Range(file: String, path: &'static str, value: u64, min: u64, max: u64) {
             display("{file}: {path}: {value} is refused: use a whole number from {min} to {max}")
         }
-        /// A value breaks a rule that is no range.
-        Rule(file: String, path: String, value: String, cure: &'static str) {
-            display("{file}: {path}: {value} is refused: {cure}")
+        /// A value breaks a rule other than a range of whole numbers.
+        Rule(file: String, path: String, value: String, fix: &'static str) {
+            display("{file}: {path}: {value} is refused: {fix}")
         }
     }
 }
--- a/crates/swiftcart-node/src/settings/gossip.rs
+++ b/crates/swiftcart-node/src/settings/gossip.rs
@@ -1,27 +1,27 @@
-//! Timing of the membership protocol.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use swiftcart_core::Gossip as Timing;
 
-/// Timing and sizes of membership; the same values belong on every node.
+/// Timing and sizes of the membership protocol. All nodes should use the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Gossip {
-    /// Time between probes, in milliseconds; default 500.
+    /// Interval between probes, in milliseconds; default 500.
     pub probe_ms: u32,
-    /// Longest wait for a probe's answer, in milliseconds; default 200.
+    /// Timeout for the acknowledgement of a probe, in milliseconds; default 200.
     pub ack_ms: u32,
-    /// Nodes asked to probe in this node's place; default 3.
+    /// Number of nodes that are asked for an indirect probe; default 3.
     pub indirect: u32,
-    /// Time to refute a suspicion, in milliseconds; default 1500.
+    /// Time in which a suspected node can refute the suspicion, in milliseconds; default 1500.
     pub suspicion_ms: u32,
-    /// Nodes that one node sends new configuration records on to; default 8.
+    /// Number of nodes to which a node forwards new configuration records; default 8.
     pub fanout: u32,
-    /// Nodes of a failure domain that read the platform's log; default 1.
+    /// Number of nodes per failure domain that read the platform's log; default 1.
     pub readers: u32,
-    /// Time that a dead node is remembered, in seconds; default 86400.
+    /// Lifetime of the tombstone of a dead node, in seconds; default 86400.
     pub remember_s: u32,
 }
 
@@ -40,7 +40,9 @@
 }
 
 impl Gossip {
-    /// Returns the membership's settings; what operators cannot set keeps its default.
+    /// Converts the settings to the type of the core.
+    ///
+    /// Values without a settings key keep their defaults.
     #[must_use]
     pub fn timing(&self) -> Timing {
         let ms = |ms: u32| Duration::from_millis(ms.into());
--- a/crates/swiftcart-node/src/settings/headers.rs
+++ b/crates/swiftcart-node/src/settings/headers.rs
@@ -1,47 +1,46 @@
-//! The names of the headers that callers and backend servers use.
+//! Names of the headers that callers and backend servers use.
 
 use http::HeaderName;
 use serde::Deserialize;
 
-/// Names the headers of callers and backend servers; the defaults are swiftcart's own.
+/// Header names of callers and backend servers. The defaults are the names of swiftcart.
 ///
-/// A mesh whose backend servers follow another convention names its headers here.
+/// These settings adapt a mesh to backend servers that follow another convention.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Headers {
-    /// The time that is left, in milliseconds; default `swiftcart-deadline-ms`.
+    /// Header with the remaining time, in milliseconds; default `swiftcart-deadline-ms`.
     pub deadline_ms: Name,
-    /// The request's id; default `swiftcart-request-id`.
+    /// Header with the id of the request; default `swiftcart-request-id`.
     pub request_id: Name,
-    /// Whether callers choose the ids of requests and backend servers repeat them in
-    /// their answers; default false: the first node draws one.
+    /// Set if callers choose request ids and backend servers repeat them in their responses; default
+    /// false: the first node generates the id.
     pub own_ids: bool,
-    /// Whether backend servers get the time that is left under `deadline_ms`; default
-    /// false: they get `swiftcart-deadline` in Unix milliseconds.
+    /// Set if backend servers get the remaining time in the header `deadline_ms`; default false: they
+    /// get `swiftcart-deadline` in Unix milliseconds.
     pub time_left: bool,
-    /// Where a backend server finds the id of the instance that a request is meant for;
-    /// default none.
+    /// Header with the id of the instance for which a request is meant, for backend servers; default
+    /// none.
     pub target: Option<Name>,
-    /// Where a backend server finds the service that a request comes from; default none.
+    /// Header with the service that sent a request, for backend servers; default none.
     pub caller: Option<Name>,
-    /// Where a backend server finds the client account that a request comes from; default none.
+    /// Header with the client account that sent a request, for backend servers; default none.
     pub account: Option<Name>,
-    /// The scheme of the `Authorization` header that carries the key of a client account;
-    /// default `Bearer`.
+    /// Scheme of the `Authorization` header that carries the key of a client account; default
+    /// `Bearer`.
     pub scheme: String,
-    /// The header by which a backend server tells that it did not run a request;
-    /// default none.
+    /// Header in which a backend server reports that it did not run a request; default none.
     pub not_run: Option<Name>,
-    /// The header that every success of a backend server bears; default none.
+    /// Header that every successful response of a backend server has; default none.
     pub signature: Option<Name>,
-    /// The headers in which a backend server names the requests a second that it takes from all
-    /// nodes together, a decimal number; default `swiftcart-rate`.
+    /// Headers in which a backend server reports the requests per second that it accepts from all
+    /// nodes together, as a decimal number; default `swiftcart-rate`.
     pub rate: Vec<Name>,
-    /// The headers in which a backend server that leaves says `1`; default `swiftcart-leaving`.
+    /// Headers in which a leaving backend server sends `1`; default `swiftcart-leaving`.
     pub leaving: Vec<Name>,
 }
 
-/// A header's name.
+/// Header name in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(try_from = "String")]
 pub struct Name(pub HeaderName);
--- a/crates/swiftcart-node/src/settings/limits.rs
+++ b/crates/swiftcart-node/src/settings/limits.rs
@@ -1,125 +1,130 @@
-//! Bounds of the call path.
+//! Limits of the call path.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// The halves of the time between two announcements that a backend server may be silent: three
-/// lost or late ones and a half, as is usual for heartbeats.
-const HEARTBEATS: u32 = 7;
+/// Maximum time without an announcement of a backend server, in halves of the announcement interval.
+///
+/// Three and a half intervals tolerate three lost or late announcements, as is usual for heartbeats.
+const SILENCE_HALF_INTERVALS: u32 = 7;
 
-/// Bounds every buffer, queue and connection count of the call path.
+/// Limits on buffers, queues, connections and times of the call path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Bytes of one request head; default 16384.
+    /// Maximum bytes of one request head; default 16384.
     pub header_bytes: u32,
-    /// Header fields of one request; default 100.
+    /// Maximum header fields of one request; default 100.
     pub headers: u32,
-    /// Connections of callers, and again of peers, at once; default 4096.
+    /// Maximum concurrent connections of callers, and separately of peers; default 4096.
     pub connections: u32,
-    /// Requests that wait for a slot of the backend server; default 64.
+    /// Maximum requests that wait for a slot of the backend server; default 64.
     pub queue: u32,
-    /// Longest wait for a slot, in milliseconds, for a request without a deadline; default 1000.
+    /// Maximum wait of a request without a deadline for a slot, in milliseconds; default 1000.
     pub queue_ms: u32,
-    /// Longest time for a request head to arrive, in milliseconds; default 10000.
+    /// Timeout for the arrival of a request head, in milliseconds; default 10000.
     pub header_timeout_ms: u32,
-    /// Longest silence of a caller within its request's body, in milliseconds; default 30000.
+    /// Maximum time without data from a caller within a request body, in milliseconds; default
+    /// 30000.
     pub body_timeout_ms: u32,
-    /// Longest time that an unused connection to the backend server is kept, in
-    /// milliseconds; default 4000. Keep it below the backend server's own.
+    /// Time after which an idle connection to the backend server is closed, in milliseconds; default
+    /// 4000. Set it below the idle timeout of the backend server.
     pub idle_timeout_ms: u32,
-    /// Longest time to open a connection, in milliseconds; default 500.
+    /// Timeout for opening a connection, in milliseconds; default 500.
     pub connect_timeout_ms: u32,
-    /// The same for a connection to a peer, in milliseconds; default 30000. Peers keep
-    /// their end open for twice that time, so that it is never closed under a request.
+    /// Time after which an idle connection to a peer is closed, in milliseconds; default 30000. The
+    /// peer keeps its end open for twice this time, so that it never closes the connection while a
+    /// request is sent.
     pub peer_idle_ms: u32,
-    /// Longest time for a request without a deadline, in milliseconds; default 86400000.
+    /// Maximum duration of a request without a deadline, in milliseconds; default 86400000.
     pub longest_ms: u32,
-    /// Unused connections kept to one peer; default 32.
+    /// Maximum idle connections to one peer; default 32.
     pub idle_connections: u32,
-    /// Bytes of a request body kept so that the request can be sent to another peer;
-    /// default 65536. A request that has sent more is not retried.
+    /// Maximum bytes of a request body that are buffered for a retry at another peer; default 65536. A
+    /// request with more bytes sent is not retried.
     pub replay_bytes: u32,
-    /// Bytes of the body of a request with an `Idempotency-Key`; default 1048576.
+    /// Maximum bytes of the body of a request with an `Idempotency-Key`; default 1048576.
     pub keyed_bytes: u32,
-    /// Bytes of answers kept for requests with an `Idempotency-Key`; default 67108864.
+    /// Maximum bytes of stored responses to requests with an `Idempotency-Key`; default 67108864.
     pub answer_store_bytes: u32,
-    /// Bytes of an answer that are read before its head is passed on, so that an answer that
-    /// breaks off can still become another try; default 0.
+    /// Bytes of a response that are read before its head is forwarded, so that a request whose
+    /// response breaks off can still be retried; default 0.
     pub held_bytes: u32,
-    /// Bodies of uploads that are taken from peers at once; default 1024. Few where links are
-    /// slow: short requests wait behind them.
+    /// Maximum upload bodies that are received from peers concurrently; default 1024. Use a low value
+    /// on slow links, since short requests wait behind uploads.
     pub bodies: u32,
-    /// Whether the requests that run at once follow the backend server's latency below its
-    /// announced slots; default true. False where announcements are to be trusted.
+    /// Enables an adaptive concurrency limit, which follows the latency of the backend server below its
+    /// announced slots; default true. Set it to false to rely on the announced slots.
     pub adaptive: bool,
-    /// Time that a caller's unused connection is kept, which its callers are told, in whole
-    /// seconds; default 0: until `header_timeout_ms`, and they are not told. With it, a
-    /// connection ends after an answer that the node makes itself.
+    /// Keep-alive time of an idle connection of a caller, which is sent to the caller, in whole
+    /// seconds; default 0: `header_timeout_ms` applies and no time is sent. With a keep-alive time, a
+    /// connection is closed after a response that the node generates itself.
     pub keep_alive_s: u32,
-    /// Whether an answer may end with its connection, without a length; default false.
+    /// Allows responses without a length that end when the connection is closed; default false.
     pub unframed: bool,
-    /// Longest time between two announcements of a backend server that names itself, in
-    /// milliseconds; default 5000. It is taken out of routing when none came for so long.
+    /// Maximum time between two announcements of a backend server that has an id of its own, in
+    /// milliseconds; default 5000. Without an announcement for this time, the backend server is
+    /// removed from routing.
     pub announce_ms: u32,
-    /// Time between two announcements of such a backend server, in milliseconds; default 0:
-    /// not known. Where three and a half of them take longer than `announce_ms`, it may be
-    /// silent for so long.
+    /// Announcement interval of a backend server that has an id of its own, in milliseconds; default 0:
+    /// not known. If three and a half intervals are longer than `announce_ms`, they replace that
+    /// limit.
     pub heartbeat_ms: u32,
 }
 
 impl Limits {
-    /// Returns the longest time for a request head to arrive.
+    /// Returns the timeout for the arrival of a request head.
     #[must_use]
     pub const fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms as u64)
     }
 
-    /// Returns how long a caller's unused connection is kept, when callers are told.
+    /// Returns the keep-alive time that is sent to callers, if there is one.
     #[must_use]
     pub fn keep_alive(&self) -> Option<Duration> {
         (self.keep_alive_s > 0).then(|| Duration::from_secs(self.keep_alive_s.into()))
     }
 
-    /// Returns the longest silence of a caller within its request's body.
+    /// Returns the maximum time without data from a caller within a request body.
     #[must_use]
     pub const fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms as u64)
     }
 
-    /// Returns the longest time that an unused connection is kept.
+    /// Returns the time after which an idle connection to the backend server is closed.
     #[must_use]
     pub const fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_timeout_ms as u64)
     }
 
-    /// Returns the longest time that an unused connection to a peer is kept.
+    /// Returns the time after which an idle connection to a peer is closed.
     #[must_use]
     pub const fn peer_idle(&self) -> Duration {
         Duration::from_millis(self.peer_idle_ms as u64)
     }
 
-    /// Returns the longest time for a request without a deadline.
+    /// Returns the maximum duration of a request without a deadline.
     #[must_use]
     pub const fn longest(&self) -> Duration {
         Duration::from_millis(self.longest_ms as u64)
     }
 
-    /// Returns how long a backend server that names itself may be silent, in milliseconds.
+    /// Returns the maximum time between two announcements of a backend server that has an id of its
+    /// own, in milliseconds.
     #[must_use]
     pub fn silence_ms(&self) -> u32 {
-        let beats = self.heartbeat_ms.saturating_mul(HEARTBEATS) / 2;
-        self.announce_ms.max(beats)
+        let heartbeat_limit = self.heartbeat_ms.saturating_mul(SILENCE_HALF_INTERVALS) / 2;
+        self.announce_ms.max(heartbeat_limit)
     }
 
-    /// Returns the longest time to open a connection.
+    /// Returns the timeout for opening a connection.
     #[must_use]
     pub const fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_timeout_ms as u64)
     }
 
-    /// Returns the longest wait for a slot of a request without a deadline.
+    /// Returns the maximum wait of a request without a deadline for a slot.
     #[must_use]
     pub const fn queue_timeout(&self) -> Duration {
         Duration::from_millis(self.queue_ms as u64)
--- a/crates/swiftcart-node/src/settings/load.rs
+++ b/crates/swiftcart-node/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reads settings from a file or text.
+//! Parsing of settings from a file or text.
 
 use std::fs;
 use std::path::Path;
@@ -10,18 +10,18 @@
 use super::check::check;
 use super::{Settings, SettingsError};
 
-/// The most bytes that a settings file may have.
-const MAX_LEN: usize = 1 << 20;
+/// Maximum size of a settings file, in bytes.
+const MAX_FILE_BYTES: usize = 1 << 20;
 
-/// The key whose value is never shown.
-const SECRET: &str = "mesh_key";
+/// Key whose value is never printed.
+const SECRET_KEY: &str = "mesh_key";
 
 impl Settings {
     /// Reads and checks the settings in `file`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong, where, and the cure.
+    /// Returns an error that names the invalid value, its path and how to fix it.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let name = file.display().to_string();
         match fs::read(file) {
@@ -30,14 +30,18 @@
         }
     }
 
-    /// Checks the settings in `text`, naming them `file` in errors.
+    /// Parses and checks the settings in `text`. Errors name them `file`.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong, where, and the cure.
+    /// Returns an error that names the invalid value, its path and how to fix it.
     pub fn parse(file: &str, text: &[u8]) -> Result<Self, SettingsError> {
-        if text.len() > MAX_LEN {
-            return Err(SettingsError::TooLong(file.into(), text.len(), MAX_LEN));
+        if text.len() > MAX_FILE_BYTES {
+            return Err(SettingsError::TooLong(
+                file.into(),
+                text.len(),
+                MAX_FILE_BYTES,
+            ));
         }
         let mut de = serde_json::Deserializer::from_slice(text);
         let settings: Self =
@@ -59,7 +63,7 @@
     match inner.classify() {
         Category::Data => {
             let root = serde_json::from_slice(text).unwrap_or(Value::Null);
-            let value = shown(&path, &root);
+            let value = redacted_value(&path, &root);
             SettingsError::Shape(file.into(), path.to_string(), value, inner)
         }
         Category::Syntax | Category::Eof | Category::Io => {
@@ -68,11 +72,11 @@
     }
 }
 
-/// Returns the value at `path` as it may be shown to an operator.
-fn shown(path: &serde_path_to_error::Path, root: &Value) -> String {
+/// Returns the value at `path` as printed in an error, without secrets.
+fn redacted_value(path: &serde_path_to_error::Path, root: &Value) -> String {
     let secret = path
         .iter()
-        .any(|segment| matches!(segment, Segment::Map { key } if key == SECRET));
+        .any(|segment| matches!(segment, Segment::Map { key } if key == SECRET_KEY));
     match path.iter().try_fold(root, step) {
         _ if secret => "the value".into(),
         Some(Value::Object(_)) => "the object".into(),
--- a/crates/swiftcart-node/src/settings/quotas.rs
+++ b/crates/swiftcart-node/src/settings/quotas.rs
@@ -1,19 +1,19 @@
-//! How far the requests of a client account may lie beyond its quota.
+//! Tolerance by which client accounts may exceed their quotas.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use swiftcart_core::QuotaBounds;
 
-/// Bounds the sum over all nodes of what an account sends.
+/// Limits on the total requests of an account over all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Quotas {
-    /// The time over which requests are counted, in seconds; default 5.
+    /// Window over which requests are counted, in seconds; default 5.
     pub window_s: f64,
-    /// The part beyond what the quota allows in that time; default 0.1.
+    /// Allowed excess as a fraction of the quota in the window; default 0.1.
     pub overage: f64,
-    /// Requests on top of that, over all nodes; default 20.
+    /// Additional requests beyond that, over all nodes; default 20.
     pub slack: f64,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Quotas {
-    /// Returns the core's settings.
+    /// Converts the settings to the type of the core.
     #[must_use]
     pub fn bounds(&self) -> QuotaBounds {
         QuotaBounds {
--- a/crates/swiftcart-node/src/settings/retries.rs
+++ b/crates/swiftcart-node/src/settings/retries.rs
@@ -1,25 +1,25 @@
-//! The budget of retries that all nodes share.
+//! Retry budget that all nodes share.
 
 use serde::Deserialize;
 use swiftcart_core::MeshRetryBudgetSettings;
 
-/// Bounds the retries of the whole mesh at each service.
+/// Limits on the retries of the whole mesh to each service.
 ///
-/// Each node keeps to its part without a message: the share of what it took itself, and
-/// the floor divided by the number of live nodes.
+/// Each node enforces its part without messages to other nodes: the share of the requests that it
+/// received itself, and the floor divided by the number of live nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Retries for each request, over `window_s`.
+    /// Allowed retries per request, over the window.
     pub share: f64,
-    /// Retries in `window_s` that are there whatever the load, over all nodes.
+    /// Retries per window that are allowed at any load, over all nodes.
     pub floor: f64,
-    /// The span over which both count, in seconds.
+    /// Window over which requests and retries are counted, in seconds.
     pub window_s: u32,
 }
 
 impl Retries {
-    /// Returns the core's settings.
+    /// Converts the settings to the type of the core.
     #[must_use]
     pub const fn budget(&self) -> MeshRetryBudgetSettings {
         MeshRetryBudgetSettings {
--- a/crates/swiftcart-node/src/settings/rollouts.rs
+++ b/crates/swiftcart-node/src/settings/rollouts.rs
@@ -1,16 +1,16 @@
-//! Bounds of what a new release gets before it is known to be good.
+//! Limits for requests to a new release during its trial.
 
 use serde::Deserialize;
 use swiftcart_core::TrialSettings;
 
-/// Bounds the requests that a bad release may get between the order to roll it out and the
-/// order's deadline.
+/// Limits on the requests that a faulty release may get between its roll-out order and the deadline
+/// of the order.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rollouts {
-    /// The part of its service's requests; default 0.1.
+    /// Allowed fraction of the requests of the service; default 0.1.
     pub share: f64,
-    /// Requests on top of that, over all nodes; default 50.
+    /// Additional requests beyond that, over all nodes; default 50.
     pub extra: f64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Rollouts {
-    /// Returns the core's settings.
+    /// Converts the settings to the type of the core.
     #[must_use]
     pub const fn trial(&self) -> TrialSettings {
         TrialSettings {
