--- a/crates/swiftcart-node/src/admin.rs
+++ b/crates/swiftcart-node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The listener for operators, metrics and the backend server's announcement.
+//! HTTP listener for operators, metrics and announcements of the backend server.
 
 mod announce;
 mod report;
@@ -14,10 +14,10 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// The most bytes of a request to this listener.
-const MAX_BODY: usize = 64 << 10;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Serves `listeners` until the node has stopped.
+/// Serves admin requests on `listeners` until the node has stopped.
 pub async fn run(shared: Arc<Shared>, listeners: Vec<TcpListener>) {
     let app = router(Arc::clone(&shared));
     let mut tasks = JoinSet::new();
@@ -35,7 +35,7 @@
 }
 
 fn router(shared: Arc<Shared>) -> Router {
-    switches(Router::new())
+    add_fault_route(Router::new())
         .route("/metrics", get(report::metrics))
         .route("/healthz", get(report::healthz))
         .route("/readyz", get(report::readyz))
@@ -47,13 +47,13 @@
             "/v1/backend/{id}",
             put(announce::put_named).delete(announce::delete_named),
         )
-        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY))
+        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(shared)
 }
 
-/// Adds the fault switch, which release builds do not have.
+/// Adds the route for fault injection, which release builds do not have.
 #[cfg(feature = "faults")]
-fn switches(router: Router<Arc<Shared>>) -> Router<Arc<Shared>> {
+fn add_fault_route(router: Router<Arc<Shared>>) -> Router<Arc<Shared>> {
     use axum::Json;
     use axum::extract::State;
     let cut = async |State(shared): State<Arc<Shared>>, Json(addrs): Json<Vec<_>>| {
@@ -63,6 +63,6 @@
 }
 
 #[cfg(not(feature = "faults"))]
-const fn switches(router: Router<Arc<Shared>>) -> Router<Arc<Shared>> {
+const fn add_fault_route(router: Router<Arc<Shared>>) -> Router<Arc<Shared>> {
     router
 }
--- a/crates/swiftcart-node/src/admin/announce.rs
+++ b/crates/swiftcart-node/src/admin/announce.rs
@@ -1,7 +1,8 @@
-//! The announcement of the backend server beside this node.
+//! Announcements of the backend server beside this node.
 //!
-//! Anybody who reaches the port may write here. What is no sound announcement is refused and
-//! counted, and leaves what is known of the backend server as it was.
+//! The endpoints are not authenticated: any client that reaches the port can write here. An invalid
+//! announcement is refused and counted, and does not change the recorded state of the backend
+//! server.
 
 mod body;
 mod error;
@@ -21,7 +22,7 @@
 use crate::logging::Event;
 use crate::registration::Process;
 use crate::shared::Shared;
-use body::{Announcement, Departure, Named, Taken};
+use body::{Acknowledgement, Announcement, Departure, NamedAnnouncement};
 use error::AnnounceError;
 
 pub(super) async fn put(
@@ -29,7 +30,7 @@
     body: Result<Bytes, BytesRejection>,
 ) -> Result<StatusCode, AnnounceError> {
     let found = read(body).and_then(|body| Announcement::parse(&body));
-    let found = found.inspect_err(|err| refused(&shared, "-", err))?;
+    let found = found.inspect_err(|err| record_refusal(&shared, "-", err))?;
     let until = Instant::now() + Duration::from_millis(found.ttl_ms);
     shared.expiry.send_replace(Some(until));
     announce(&shared, Some(&found.into()));
@@ -42,28 +43,29 @@
     StatusCode::NO_CONTENT
 }
 
-/// Takes the announcement of a backend server that names itself.
+/// Handles the announcement of a backend server that announces itself under its own id.
 ///
-/// One that is late, or whose backend server has left, is acknowledged and changes nothing.
+/// An announcement that arrives out of order, or whose backend server has left, is acknowledged
+/// and changes nothing.
 pub(super) async fn put_named(
     State(shared): State<Arc<Shared>>,
     Path(id): Path<String>,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Json<Taken>, AnnounceError> {
-    let taken = read(body).and_then(|body| on_announcement(&shared, &id, &body));
-    taken.inspect_err(|err| refused(&shared, &id, err))?;
-    Ok(Json(Taken {}))
+) -> Result<Json<Acknowledgement>, AnnounceError> {
+    let handled = read(body).and_then(|body| on_announcement(&shared, &id, &body));
+    handled.inspect_err(|err| record_refusal(&shared, &id, err))?;
+    Ok(Json(Acknowledgement {}))
 }
 
-/// Takes the departure of a backend server that names itself.
+/// Handles the departure of a backend server that announces itself under its own id.
 pub(super) async fn delete_named(
     State(shared): State<Arc<Shared>>,
     Path(id): Path<String>,
     body: Result<Bytes, BytesRejection>,
-) -> Result<Json<Taken>, AnnounceError> {
+) -> Result<Json<Acknowledgement>, AnnounceError> {
     let left = read(body).and_then(|body| leave(&shared, &id, &body));
-    left.inspect_err(|err| refused(&shared, &id, err))?;
-    Ok(Json(Taken {}))
+    left.inspect_err(|err| record_refusal(&shared, &id, err))?;
+    Ok(Json(Acknowledgement {}))
 }
 
 fn read(body: Result<Bytes, BytesRejection>) -> Result<Bytes, AnnounceError> {
@@ -71,23 +73,26 @@
 }
 
 fn on_announcement(shared: &Shared, id: &str, body: &[u8]) -> Result<(), AnnounceError> {
-    let (found, plain) = Named::parse(body, shared.settings.limits.silence_ms())?;
+    let (found, announcement) =
+        NamedAnnouncement::parse(body, shared.settings.limits.silence_ms())?;
     let start = found.start(&shared.settings.announcements)?;
     let seq = found.seq;
-    known(shared, &found)?;
-    let said = Announced { id, start, seq };
+    check_known(shared, &found)?;
+    let announced = Announced { id, start, seq };
     let now = shared.clock.now();
     let process = Process {
         release: Release::new(found.release.as_str()),
         warm: now + Duration::from_millis(found.warmup_ms.into()),
     };
-    let heard = shared.registration().on_announcement(now, said, process);
-    let heard = heard.ok_or_else(|| AnnounceError::Id(id.into()))?;
-    let outcome = heard.as_str();
+    let outcome = shared
+        .registration()
+        .on_announcement(now, announced, process);
+    let outcome = outcome.ok_or_else(|| AnnounceError::Id(id.into()))?;
+    let outcome_name = outcome.as_str();
     shared
         .counters
-        .count("swiftcart_announcements_total", "outcome", outcome);
-    match heard {
+        .count("swiftcart_announcements_total", "outcome", outcome_name);
+    match outcome {
         AnnouncementOutcome::Newer => {}
         AnnouncementOutcome::MissingStart => return Err(AnnounceError::NoStart),
         AnnouncementOutcome::Replaced
@@ -95,28 +100,34 @@
         | AnnouncementOutcome::Late
         | AnnouncementOutcome::Retired => {
             info!(shared.logger, ""; "event" => Event::Announced, "instance" => id,
-                "start" => start.map(|start| start.0), "seq" => seq, "outcome" => outcome,
+                "start" => start.map(|start| start.0), "seq" => seq, "outcome" => outcome_name,
                 "service" => %found.service, "warmup_ms" => found.warmup_ms,
                 "domain" => &found.domain, "release" => &found.release);
         }
     }
-    if heard.is_accepted() {
+    if outcome.is_accepted() {
         let warmup = Duration::from_millis(found.warmup_ms.into());
         shared
             .warmup
             .with(|state| state.set_cold_until(now + warmup));
-        let until = Instant::now() + Duration::from_millis(plain.ttl_ms);
+        let until = Instant::now() + Duration::from_millis(announcement.ttl_ms);
         shared.expiry.send_replace(Some(until));
-        show(shared, Some(&plain.into()), heard.is_new_process());
+        publish_backend(shared, Some(&announcement.into()), outcome.is_new_process());
     }
     Ok(())
 }
 
-/// Refuses an announcement of what the mesh does not know.
+/// Checks that the mesh knows the service and the failure domain of an announcement.
 ///
-/// A service may come with a later configuration. Until then its backend server gets no
-/// request, and must not take the place of one that does.
-fn known(shared: &Shared, found: &Named) -> Result<(), AnnounceError> {
+/// An unknown service is accepted, since a later configuration may add it. Until then the backend
+/// server gets no requests. It must not replace a backend server of another service that does, so
+/// the announcement is refused in this case.
+///
+/// # Errors
+///
+/// Returns an error if the failure domain has no node, or if the unknown service would displace
+/// another one.
+fn check_known(shared: &Shared, found: &NamedAnnouncement) -> Result<(), AnnounceError> {
     let (service, domain) = (&found.service, &found.domain);
     let listed = shared.view.load().service(service.as_str()).is_some();
     let backend = shared.backend.borrow();
@@ -144,8 +155,8 @@
     Ok(())
 }
 
-/// Counts and logs an announcement that is refused.
-fn refused(shared: &Shared, id: &str, err: &AnnounceError) {
+/// Counts and logs a refused announcement.
+fn record_refusal(shared: &Shared, id: &str, err: &AnnounceError) {
     let reason = err.as_str();
     let name = "swiftcart_announcements_refused_total";
     shared.counters.count(name, "reason", reason);
@@ -155,7 +166,7 @@
     }
 }
 
-/// Withdraws the announcement when it was not renewed in time.
+/// Withdraws each announcement that is not renewed before it expires.
 pub(super) async fn expire(shared: Arc<Shared>) {
     let mut expiry = shared.expiry.subscribe();
     loop {
@@ -183,13 +194,15 @@
 }
 
 fn announce(shared: &Shared, backend: Option<&Backend>) {
-    show(shared, backend, false);
+    publish_backend(shared, backend, false);
 }
 
-/// Shows the backend server to the other parts, also an equal one that took its place.
+/// Publishes the state of the backend server to the other parts of the node.
 ///
-/// One that said in an answer that it leaves is draining, whatever it announces.
-fn show(shared: &Shared, backend: Option<&Backend>, replaced: bool) {
+/// With `replaced`, subscribers are notified even if the new process announces equal values. A
+/// backend server that has signalled in a response that it is leaving is published as draining,
+/// whatever readiness it announces.
+fn publish_backend(shared: &Shared, backend: Option<&Backend>, replaced: bool) {
     let leaving = shared.registration().is_leaving();
     let backend = backend.map(|backend| Backend {
         readiness: match leaving {
--- a/crates/swiftcart-node/src/admin/announce/body.rs
+++ b/crates/swiftcart-node/src/admin/announce/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of announcements, decoded and checked once.
+//! Decoding and validation of announcement bodies.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,25 +12,29 @@
 use crate::logging::unix_ms;
 use crate::settings::Announcements;
 
-/// The shortest and longest time that an announcement may stand, in milliseconds.
+/// Minimum and maximum time until an announcement expires, in milliseconds.
 const TTL_MS: (u64, u64) = (100, 600_000);
 
-/// Connections to a backend server that does not say how many it takes, for each slot: as
-/// many as its slots are in use, as many may be closing or opening.
-const CONNECTIONS_A_SLOT: u32 = 2;
+/// Maximum connections for each slot of a backend server that does not announce a connection limit.
+///
+/// Two for each slot: while every slot is in use, as many connections may be opening or closing.
+const CONNECTIONS_PER_SLOT: u32 = 2;
 
-/// The most slots or connections that a backend server may announce.
+/// Maximum number of slots or connections that a backend server may announce.
 const MAX_COUNT: u32 = 65_536;
 
-/// The greatest whole number that each JSON reader takes for the same one; above it, writers
-/// that count in floating point skip numbers.
-const MAX_WHOLE: u64 = (1 << 53) - 1;
+/// Greatest integer that every JSON parser reads exactly.
+///
+/// Above it, programs that use floating-point numbers cannot represent every integer.
+const MAX_SAFE_INTEGER: u64 = (1 << 53) - 1;
 
-/// How far a start may lie ahead of the instance's clock, in milliseconds. Clocks are set by
-/// seconds while processes run; a start far ahead would make all later ones look old.
-const AHEAD_MS: u64 = 300_000;
+/// Maximum clock skew by which a start time may lie in the future, in milliseconds.
+///
+/// Clocks are adjusted by seconds while processes run. A start time far in the future would make
+/// all later processes look older.
+const MAX_START_SKEW_MS: u64 = 300_000;
 
-/// The body of `PUT /v1/backend`.
+/// Body of `PUT /v1/backend`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Announcement {
@@ -43,47 +47,47 @@
     pub(super) ttl_ms: u64,
 }
 
-/// The body of `PUT /v1/backend/{id}`, by which a backend server names itself.
+/// Body of `PUT /v1/backend/{id}`, with which a backend server announces itself under its own id.
 ///
-/// Every field but the start is required: one that lacks any comes from another program.
-/// Fields that are not known are let pass, since a later release may have more.
+/// Every field except the start time is required: a body without one of them comes from another
+/// program. Unknown fields are ignored, since a later release may add fields.
 #[derive(Debug, Deserialize)]
-pub(super) struct Named {
+pub(super) struct NamedAnnouncement {
     pub(super) service: ServiceName,
     addr: SocketAddr,
     slots: u32,
     readiness: Readiness,
-    /// Numbers the announcements, so that one that arrives late is told.
+    /// Sequence number of the announcement, used to detect announcements that arrive out of order.
     pub(super) seq: u64,
-    /// How much longer the backend server is slow after its start, in milliseconds.
+    /// Remaining warm-up time of the backend server, in milliseconds.
     pub(super) warmup_ms: u32,
-    /// The failure domain that it believes itself in; the node's own counts.
+    /// Failure domain according to the backend server; routing uses the one of the node instead.
     pub(super) domain: String,
-    /// The release of its program.
+    /// Release of the backend server's program.
     pub(super) release: String,
     #[serde(flatten)]
-    told: Told,
+    told: StartField,
 }
 
-/// The body of `DELETE /v1/backend/{id}`, which may be empty.
+/// Body of `DELETE /v1/backend/{id}`, which may be empty.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Departure {
     #[serde(flatten)]
-    told: Told,
+    told: StartField,
 }
 
-/// When the sender started, under swiftcart's name or the one of the settings.
+/// Start time of the sender, under `start_ms` or the field name from the settings.
 #[derive(Debug, Default, Deserialize)]
-struct Told {
+struct StartField {
     #[serde(default, deserialize_with = "given")]
     start_ms: Option<u64>,
     #[serde(flatten)]
     others: BTreeMap<String, Value>,
 }
 
-/// Acknowledges an announcement.
+/// Response body that acknowledges an announcement.
 #[derive(Debug, Serialize)]
-pub(in crate::admin) struct Taken {}
+pub(in crate::admin) struct Acknowledgement {}
 
 impl Announcement {
     pub(super) fn parse(body: &[u8]) -> Result<Self, AnnounceError> {
@@ -94,13 +98,13 @@
 
     fn check(&self) -> Result<(), AnnounceError> {
         let name = self.service.as_str();
-        let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+        let announcement = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
         let addr = self.addr;
-        range("slots", self.slots.into(), 1, MAX_COUNT.into())?;
-        range("connections", self.connections.into(), 1, MAX_COUNT.into())?;
-        range("ttl_ms", self.ttl_ms, TTL_MS.0, TTL_MS.1)?;
+        check_range("slots", self.slots.into(), 1, MAX_COUNT.into())?;
+        check_range("connections", self.connections.into(), 1, MAX_COUNT.into())?;
+        check_range("ttl_ms", self.ttl_ms, TTL_MS.0, TTL_MS.1)?;
         match addr.ip() {
-            _ if !(1..=63).contains(&name.len()) || !name.bytes().all(plain) => {
+            _ if !(1..=63).contains(&name.len()) || !name.bytes().all(announcement) => {
                 Err(AnnounceError::Service(name.into()))
             }
             IpAddr::V4(ip) if ip.is_unspecified() || ip.is_multicast() => {
@@ -116,24 +120,26 @@
     }
 }
 
-impl Named {
-    /// Decodes the body of a backend server that is given up after `ttl_ms` without another one.
+impl NamedAnnouncement {
+    /// Decodes a body whose announcement expires after `ttl_ms` unless it is renewed.
+    ///
+    /// Returns it together with the equivalent announcement without an id.
     pub(super) fn parse(body: &[u8], ttl_ms: u32) -> Result<(Self, Announcement), AnnounceError> {
         let found: Self = decode(body)?;
-        let plain = Announcement {
+        let announcement = Announcement {
             service: found.service.clone(),
             addr: found.addr,
             slots: found.slots,
-            connections: found.slots.saturating_mul(CONNECTIONS_A_SLOT),
+            connections: found.slots.saturating_mul(CONNECTIONS_PER_SLOT),
             readiness: found.readiness,
             ttl_ms: ttl_ms.into(),
         };
-        plain.check()?;
-        range("seq", found.seq, 0, MAX_WHOLE)?;
-        Ok((found, plain))
+        announcement.check()?;
+        check_range("seq", found.seq, 0, MAX_SAFE_INTEGER)?;
+        Ok((found, announcement))
     }
 
-    /// Returns when the backend server started, if it tells.
+    /// Returns the start time of the backend server, if the body has it.
     pub(super) fn start(&self, names: &Announcements) -> Result<Option<StartTime>, AnnounceError> {
         self.told.start(names)
     }
@@ -147,13 +153,13 @@
         }
     }
 
-    /// Returns when the backend server that leaves started, if it tells.
+    /// Returns the start time of the departing backend server, if the body has it.
     pub(super) fn start(&self, names: &Announcements) -> Result<Option<StartTime>, AnnounceError> {
         self.told.start(names)
     }
 }
 
-impl Told {
+impl StartField {
     fn start(&self, names: &Announcements) -> Result<Option<StartTime>, AnnounceError> {
         let name = names.start.as_deref().unwrap_or_default();
         let start = match (self.start_ms, self.others.get(name)) {
@@ -165,9 +171,9 @@
             (Some(start), None) => start,
             (None, None) => return Ok(None),
         };
-        range("start_ms", start, 0, MAX_WHOLE)?;
+        check_range("start_ms", start, 0, MAX_SAFE_INTEGER)?;
         let now = unix_ms();
-        match start > now.saturating_add(AHEAD_MS) {
+        match start > now.saturating_add(MAX_START_SKEW_MS) {
             true => Err(AnnounceError::Ahead(start, now)),
             false => Ok(Some(StartTime(start))),
         }
@@ -186,7 +192,7 @@
     }
 }
 
-/// Decodes a body that is one JSON value and nothing else.
+/// Decodes a body that consists of exactly one JSON value.
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, AnnounceError> {
     let mut de = serde_json::Deserializer::from_slice(body);
     let found = serde_path_to_error::deserialize(&mut de)?;
@@ -194,12 +200,12 @@
     Ok(found)
 }
 
-/// Reads a field that may be missing and is never null.
+/// Deserializes an optional field that must not be `null` if it is present.
 fn given<'de, D: Deserializer<'de>>(de: D) -> Result<Option<u64>, D::Error> {
     u64::deserialize(de).map(Some)
 }
 
-fn range(key: &'static str, value: u64, min: u64, max: u64) -> Result<(), AnnounceError> {
+fn check_range(key: &'static str, value: u64, min: u64, max: u64) -> Result<(), AnnounceError> {
     match value {
         _ if (min..=max).contains(&value) => Ok(()),
         _ => Err(AnnounceError::Range(key, value, min, max)),
--- a/crates/swiftcart-node/src/admin/announce/error.rs
+++ b/crates/swiftcart-node/src/admin/announce/error.rs
@@ -1,4 +1,4 @@
-//! Why an announcement is refused.
+//! Errors of announcements.
 
 use std::net::SocketAddr;
 
@@ -10,47 +10,47 @@
 use serde::Serialize;
 
 quick_error! {
-    /// Tells why an announcement is refused.
+    /// Reason for which an announcement is refused.
     #[derive(Debug)]
     pub enum AnnounceError {
-        /// The body could not be read, or is too long.
+        /// The body could not be read or is too large.
         Body(err: BytesRejection) {
             from()
             source(err)
             display("{err}")
         }
-        /// The body is no announcement.
+        /// The body is not a valid announcement.
         Shape(err: serde_path_to_error::Error<serde_json::Error>) {
             from()
             source(err)
             display("{}: {}", err.path(), err.inner())
         }
-        /// The body goes on behind the announcement.
+        /// The body has data after the announcement.
         Trailing(err: serde_json::Error) {
             source(err)
             display("{err}: send one object")
         }
-        /// The service's name is empty or too long.
+        /// The service name is empty, is too long or has a forbidden character.
         Service(name: String) {
             display("service: {name:?} is refused: use 1 to 63 of the characters a-z, 0-9 and -")
         }
-        /// The configuration in force lacks the service.
+        /// The service is not in the active configuration.
         UnknownService(name: String) {
             display("service: {name:?} is not in the configuration: publish it first")
         }
-        /// No node is in the failure domain.
+        /// The failure domain has no node.
         UnknownDomain(name: String) {
             display("domain: {name:?} has no node: use the failure domain of the instance")
         }
-        /// The address cannot be reached.
+        /// The address is not the address of one reachable listener.
         Addr(addr: SocketAddr) {
             display("addr: {addr} is refused: use the IP address and port of the backend server")
         }
-        /// Only nodes say that a release is on trial.
+        /// The readiness is `on-trial`, which only nodes may set.
         Readiness {
             display("readiness: on-trial is refused: use warming, ready or draining")
         }
-        /// The id cannot be passed on.
+        /// The id cannot be sent as a header value.
         Id(id: String) {
             display("{id:?} is refused: use visible ASCII characters in a backend server's id")
         }
@@ -58,33 +58,33 @@
         Range(key: &'static str, value: u64, min: u64, max: u64) {
             display("{key}: {value} is refused: use a whole number from {min} to {max}")
         }
-        /// The start is told under two names.
+        /// The start time is present under two field names.
         TwoStarts(name: String) {
-            display("{name}: start_ms stands beside it: use one of the two")
+            display("{name}: start_ms is present as well: send only one of the two")
         }
-        /// The start is no whole number.
+        /// The start time is not a whole number.
         Start(name: String, err: serde_json::Error) {
             source(err)
-            display("{name}: {err}: use the start in whole Unix milliseconds")
+            display("{name}: {err}: send the start time in whole Unix milliseconds")
         }
-        /// The start lies ahead of the instance's clock.
+        /// The start time lies in the future by the clock of the instance.
         Ahead(start: u64, now: u64) {
-            display("start_ms: {start} lies ahead of {now}: set the clock of the backend server")
+            display("start_ms: {start} is later than the current time {now}: correct the clock of the backend server")
         }
-        /// The start is not told, though the backend server tells it otherwise.
+        /// The start time is missing, although other announcements of the backend server have it.
         NoStart {
-            display("start_ms: missing: tell it in each announcement or in none")
+            display("start_ms: missing: send it in every announcement or in none")
         }
     }
 }
 
 #[derive(Debug, Serialize)]
-struct Refusal {
+struct ErrorBody {
     error: String,
 }
 
 impl AnnounceError {
-    /// Returns the reason's name in metrics.
+    /// Returns the name of the reason in metrics.
     pub(super) const fn as_str(&self) -> &'static str {
         match self {
             Self::Body(_) => "body",
@@ -109,7 +109,7 @@
 
 impl IntoResponse for AnnounceError {
     fn into_response(self) -> Response {
-        let body = Refusal {
+        let body = ErrorBody {
             error: self.to_string(),
         };
         (self.status(), Json(body)).into_response()
--- a/crates/swiftcart-node/src/admin/report.rs
+++ b/crates/swiftcart-node/src/admin/report.rs
@@ -1,4 +1,4 @@
-//! What operators read: metrics, health and state.
+//! Read-only endpoints for operators: metrics, health and state.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 
 use crate::shared::{Phase, Shared};
 
-/// The answer of `/v1/state`.
+/// Response body of `GET /v1/state`.
 #[derive(Debug, Serialize)]
-pub(super) struct Report {
+pub(super) struct StateReport {
     id: NodeId,
     domain: String,
     version: Version,
@@ -41,10 +41,10 @@
     }
 }
 
-pub(super) async fn state(State(shared): State<Arc<Shared>>) -> Json<Report> {
+pub(super) async fn state(State(shared): State<Arc<Shared>>) -> Json<StateReport> {
     let progress = shared.progress.load();
     let phase = *shared.phase.borrow();
-    Json(Report {
+    Json(StateReport {
         id: shared.id,
         domain: shared.settings.domain.to_string(),
         version: progress.version,
--- a/crates/swiftcart-node/tests/admin.rs
+++ b/crates/swiftcart-node/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener: announcements, and what operators read.
+//! Tests of the admin listener: announcements and the endpoints for operators.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -11,7 +11,7 @@
 use swiftcart_node::Node;
 use swiftcart_standin::BackendSettings;
 
-const GOOD: &str =
+const VALID_ANNOUNCEMENT: &str =
     r#"{"service":"booking","addr":"127.0.0.1:9","slots":4,"connections":8,"ttl_ms":600000}"#;
 
 async fn announce(node: &Node, body: String) -> Got {
@@ -19,10 +19,10 @@
     call_at(node.shared().settings.listen.admin, put).await
 }
 
-async fn read(node: &Node, path: &str) -> Value {
+async fn get_json(node: &Node, path: &str) -> Value {
     let admin = node.shared().settings.listen.admin;
-    let got = call_at(admin, request("GET", path, &[])).await;
-    serde_json::from_slice(&got.body.unwrap()).unwrap()
+    let response = call_at(admin, request("GET", path, &[])).await;
+    serde_json::from_slice(&response.body.unwrap()).unwrap()
 }
 
 #[rstest]
@@ -36,12 +36,12 @@
     r#""slots":0"#,
     "slots: 0 is refused: use a whole number from 1 to 65536"
 )]
-#[case::longest_time(
+#[case::ttl_out_of_range(
     r#"600000"#,
     "600001",
     "ttl_ms: 600001 is refused: use a whole number from 100 to 600000"
 )]
-#[case::service_name(
+#[case::uppercase_service_name(
     "booking",
     "Booking",
     "service: \"Booking\" is refused: use 1 to 63 of the characters a-z, 0-9 and -"
@@ -52,19 +52,19 @@
     "addr: 127.0.0.1:0 is refused: use the IP address and port of the backend server"
 )]
 #[tokio::test]
-async fn a_bad_announcement_is_refused_and_changes_nothing(
+async fn an_invalid_announcement_is_refused_and_changes_nothing(
     #[case] from: &str,
     #[case] to: &str,
     #[case] message: &str,
 ) {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
-    assert_eq!(announce(&node, GOOD.into()).await.status, 204);
+    assert_eq!(announce(&node, VALID_ANNOUNCEMENT.into()).await.status, 204);
     let before = node.shared().backend.borrow().clone();
-    let got = announce(&node, GOOD.replace(from, to)).await;
-    let body: Value = serde_json::from_slice(&got.body.unwrap()).unwrap();
+    let response = announce(&node, VALID_ANNOUNCEMENT.replace(from, to)).await;
+    let body: Value = serde_json::from_slice(&response.body.unwrap()).unwrap();
     assert_eq!(
-        (got.status.as_u16(), body),
+        (response.status.as_u16(), body),
         (400, json!({"error": message}))
     );
     assert_eq!(*node.shared().backend.borrow(), before);
@@ -75,22 +75,22 @@
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let id = node.shared().id;
-    announce(&node, GOOD.replace("600000", "100")).await;
+    announce(&node, VALID_ANNOUNCEMENT.replace("600000", "100")).await;
     routed(&node, id).await;
     until(|| !node.shared().view.load().has_candidate(id)).await;
-    assert_eq!(read(&node, "/v1/state").await["backend"], Value::Null);
+    assert_eq!(get_json(&node, "/v1/state").await["backend"], Value::Null);
 }
 
 #[tokio::test]
-async fn operators_read_state_members_and_table() {
+async fn admin_endpoints_return_state_members_and_table() {
     let log = log_with(Limits::default()).await;
     let node = node(&log).await;
     let backend = backend_at(&node, BackendSettings::new(SERVICE)).await;
-    let state = read(&node, "/v1/state").await;
+    let state = get_json(&node, "/v1/state").await;
     let id = node.shared().id.to_string();
-    let seen = ["id", "domain", "version", "position", "ready", "reason"].map(|k| &state[k]);
+    let fields = ["id", "domain", "version", "position", "ready", "reason"].map(|k| &state[k]);
     assert_eq!(
-        seen,
+        fields,
         [
             &json!(id),
             &json!("norte"),
@@ -101,11 +101,11 @@
         ]
     );
     assert_eq!(state["backend"]["addr"], json!(backend.addr()));
-    let members = read(&node, "/v1/members").await;
+    let members = get_json(&node, "/v1/members").await;
     assert_eq!(members[0]["id"], json!(id));
     let table = json!([
         [{"service": SERVICE}, {"service": {"rate": 0, "concurrency": 0, "timeout_ms": 0}}],
         [{"route": ["/", SERVICE]}, {"route": 1}],
     ]);
-    assert_eq!(read(&node, "/v1/table").await, table);
+    assert_eq!(get_json(&node, "/v1/table").await, table);
 }
