--- a/crates/swiftcart-node/src/args.rs
+++ b/crates/swiftcart-node/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of `swiftcartd`.
+//! Command line of `swiftcartd`.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Tells why a command line is refused.
+    /// Error of a command line.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ArgsError {
         /// An option is unknown, repeated or lacks its value.
@@ -15,36 +15,36 @@
             source(err)
             display("{err}: see swiftcartd --help")
         }
-        /// A word is no option.
+        /// An argument is not an option.
         Extra(word: String) {
-            display("{word:?} is no option: see swiftcartd --help")
+            display("unexpected argument {word:?}: see swiftcartd --help")
         }
-        /// The settings file is not named.
+        /// The settings file is not given.
         NoSettings {
-            display("no settings: name the file with --settings FILE")
+            display("missing settings file: pass it with --settings FILE")
         }
     }
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Args {
-    /// Run a node with these settings.
+    /// Run a node with this settings file.
     Run(PathBuf),
-    /// Only check the settings.
+    /// Check this settings file and exit.
     Check(PathBuf),
-    /// Show the options.
+    /// Print this help text.
     Help(String),
-    /// Show the release.
+    /// Print the release.
     Version,
 }
 
 impl Args {
-    /// Reads the command line without the program's name.
+    /// Parses the command line without the name of the program.
     ///
     /// # Errors
     ///
-    /// Returns what is refused and the cure.
+    /// Returns an error that names the invalid argument and how to fix it.
     ///
     /// # Examples
     ///
@@ -79,9 +79,9 @@
 fn options() -> Options {
     let mut options = Options::new();
     options
-        .optopt("s", "settings", "the settings (JSON)", "FILE")
-        .optflag("c", "check", "only check the settings")
-        .optflag("h", "help", "show this help")
-        .optflag("V", "version", "show the release");
+        .optopt("s", "settings", "path of the settings file (JSON)", "FILE")
+        .optflag("c", "check", "check the settings file and exit")
+        .optflag("h", "help", "print this help")
+        .optflag("V", "version", "print the release");
     options
 }
--- a/crates/swiftcart-node/src/config.rs
+++ b/crates/swiftcart-node/src/config.rs
@@ -1,27 +1,27 @@
-//! The configuration of one version, as the parts of a node share it.
+//! One version of the configuration, shared by the parts of a node.
 
 use std::sync::Arc;
 
 use swiftcart_core::{Routes, Snapshot, Table, Version};
 
-/// Holds one version and its routes, which are built once.
+/// One version of the configuration with its routes, which are built once.
 #[derive(Debug, Clone)]
 pub struct Config {
     origin: Origin,
     routes: Arc<Routes>,
 }
 
-/// Where a version came from.
+/// Source of a version.
 #[derive(Debug, Clone)]
 enum Origin {
-    /// The table that the fold of the log arrived at.
+    /// Table built from the records of the log.
     Table(Arc<Table>),
-    /// A version that the platform has judged.
+    /// Snapshot that the platform has validated.
     Snapshot(Arc<Snapshot>),
 }
 
 impl Config {
-    /// Creates the configuration of a table that the log's fold arrived at.
+    /// Creates a configuration from a table that was built from the records of the log.
     #[must_use]
     pub fn from_table(version: Version, table: Arc<Table>) -> Self {
         Self {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Creates the configuration of a version that came as a whole.
+    /// Creates a configuration from a complete snapshot.
     #[must_use]
     pub fn from_snapshot(snapshot: Arc<Snapshot>) -> Self {
         Self {
--- a/crates/swiftcart-node/src/counters.rs
+++ b/crates/swiftcart-node/src/counters.rs
@@ -1,8 +1,8 @@
-//! The node's metrics: a counter for each refusal and retry reason, and call latencies.
+//! Metrics of the node: counters of refusals and retries by reason, and call latencies.
 //!
-//! Each node has its own recorder in place of the process's global one, so that
-//! several nodes run in one process under test. What the call path touches is
-//! registered once; an update is then one atomic operation.
+//! Each node has its own recorder instead of the global one of the process, so that tests can run
+//! several nodes in one process. The metrics of the call path are registered once, so that each
+//! update is one atomic operation.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use swiftcart_core::Outcome;
 
 /// Upper bounds of the latency histograms, in seconds.
-const BUCKETS: [f64; 16] = [
+const LATENCY_BUCKETS_SECS: [f64; 16] = [
     0.000_05, 0.000_1, 0.000_2, 0.000_3, 0.000_5, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25,
     1.0, 5.0, 30.0,
 ];
@@ -20,18 +20,18 @@
 static METADATA: Metadata<'static> =
     Metadata::new(module_path!(), Level::INFO, Some(module_path!()));
 
-/// Names a stage of a call whose latency is measured.
+/// Stage of a call whose latency is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// At the ingress, from the request's head to the answer's head.
+    /// At the ingress, from the request head to the response head.
     Ingress,
     /// At the guard, waiting for a slot.
     Queue,
-    /// At the guard, from hand-over to the answer's head.
+    /// At the guard, from sending the request to the backend server to the response head.
     Backend,
 }
 
-/// Holds the recorder and the handles that the call path uses.
+/// Metrics recorder of one node, with handles for the metrics of the call path.
 pub struct Counters {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
@@ -52,12 +52,12 @@
 }
 
 impl Counters {
-    /// Creates the recorder and registers what the call path uses.
+    /// Creates the recorder and registers the metrics of the call path.
     #[must_use]
     pub fn new() -> Self {
         let builder = PrometheusBuilder::new();
         let recorder = builder
-            .set_buckets(&BUCKETS)
+            .set_buckets(&LATENCY_BUCKETS_SECS)
             .unwrap_or_default()
             .build_recorder();
         let handle = recorder.handle();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Counts a call that a caller got an answer to.
+    /// Counts a call whose caller got a response.
     pub fn call(&self, outcome: Outcome) {
         self.calls[outcome as usize].increment(1);
     }
@@ -98,30 +98,30 @@
         self.stages[stage as usize].record(elapsed.as_secs_f64());
     }
 
-    /// Counts one event of `name` under a label from a closed set.
+    /// Adds one to the counter `name` with a label from a closed set.
     pub fn count(&self, name: &'static str, label: &'static str, value: &'static str) {
         self.add(name, label, value, 1);
     }
 
-    /// Adds `n` to the counter `name` under a label from a closed set.
+    /// Adds `n` to the counter `name` with a label from a closed set.
     pub fn add(&self, name: &'static str, label: &'static str, value: &'static str, n: u64) {
         let key = key(name, label, value);
         self.recorder.register_counter(&key, &METADATA).increment(n);
     }
 
-    /// Returns the gauge `name`, to be set by its holder.
+    /// Returns the gauge `name`, which the caller of this method sets.
     pub fn gauge(&self, name: &'static str) -> Gauge {
         let key = Key::from_static_name(name);
         self.recorder.register_gauge(&key, &METADATA)
     }
 
-    /// Returns every metric in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Folds recorded latencies into their histograms, which bounds what they hold.
+    /// Moves recorded latencies into their histograms, which bounds the memory of the recorder.
     pub fn upkeep(&self) {
         self.handle.run_upkeep();
     }
--- a/crates/swiftcart-node/src/edge.rs
+++ b/crates/swiftcart-node/src/edge.rs
@@ -1,5 +1,6 @@
-//! The platform as a node needs it, where it is more than a log: other implementations of
-//! these traits run the same node elsewhere.
+//! Interfaces to a platform that offers more than a log.
+//!
+//! An implementation of these traits lets the same node run on another platform.
 
 use std::fmt;
 use std::future::Future;
@@ -13,70 +14,72 @@
 };
 use swiftcart_platform::PlatformError;
 
-/// The answer of the platform, some time.
+/// Future of a response of the platform.
 pub type PlatformFuture<'a, T> =
     Pin<Box<dyn Future<Output = Result<T, PlatformError>> + Send + 'a>>;
 
-/// What came behind a place among the versions.
+/// Result of a read of the version after a position in the version history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextVersion {
-    /// Nothing: the version before it is the newest one.
+    /// There is no later version: the version before the position is the newest one.
     Nothing,
-    /// This newer version.
+    /// The next version after the position.
     Newer(Snapshot),
-    /// It cannot be told; only a read of the newest version can.
+    /// The next version cannot be determined. Only a read of the newest version helps.
     Unknown,
 }
 
-/// A platform that judges configurations itself and holds the newest accepted one.
+/// Platform that validates configurations itself and stores the newest accepted one.
 pub trait SnapshotSource: fmt::Debug + Send + Sync {
-    /// Returns the newest version; waits up to `wait` for one above `known`, and returns
-    /// `None` when there is none.
+    /// Returns the newest version if it is above `known`.
+    ///
+    /// Waits up to `wait` for such a version, and returns `None` if there is none.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; nothing is known then.
+    /// Returns any [`PlatformError`]. Nothing is known then.
     fn newest(&self, known: Version, wait: Duration) -> PlatformFuture<'_, Option<Snapshot>>;
 
-    /// Returns where versions go on behind `version`, when that was read here; some number that
-    /// other nodes of the mesh understand.
+    /// Returns the position after `version` in the version history.
+    ///
+    /// Returns `None` if this node has not read the version here. The position is an opaque number that is valid on all nodes of the mesh.
     fn place(&self, _version: Version) -> Option<u64> {
         None
     }
 
-    /// Returns what came behind a place; reads go on from there.
+    /// Returns the version after a position. Later reads continue from there.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; nothing is known then.
+    /// Returns any [`PlatformError`]. Nothing is known then.
     fn behind(&self, _place: u64) -> PlatformFuture<'_, NextVersion> {
         Box::pin(async { Ok(NextVersion::Unknown) })
     }
 
-    /// Returns how many records were passed over so far, since they could not be read.
+    /// Returns the total number of records that were skipped because they could not be read.
     fn unreadable(&self) -> u64 {
         0
     }
 
-    /// Takes the orders to roll out releases that reads have brought since the last call.
+    /// Removes and returns the roll-out orders that were read since the last call.
     fn orders(&self) -> Vec<RolloutOrder> {
         Vec::new()
     }
 
-    /// Takes what reads have brought of drained failure domains since the last call.
+    /// Removes and returns the drain updates of failure domains that were read since the last call.
     fn drains(&self) -> Vec<DrainUpdate> {
         Vec::new()
     }
 }
 
-/// What the platform shows its operators of a roll-out.
+/// State of a roll-out, as shown to operators of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RolloutState {
-    /// It has not ended.
+    /// The roll-out is in progress.
     Running,
     /// The new release is in use.
     Completed,
-    /// The new release was taken back.
+    /// The new release was rolled back.
     RolledBack,
 }
 
@@ -92,138 +95,142 @@
     }
 }
 
-/// How far the roll-out of one service is, as the platform keeps it.
+/// Progress of the roll-out of one service, as stored on the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RolloutRecord {
-    /// The service.
+    /// Service that is rolled out.
     pub service: ServiceName,
-    /// The order.
+    /// Order that started the roll-out.
     pub order: OrderId,
-    /// The release that it names.
+    /// Release that the order names.
     pub target: Release,
-    /// How far it is.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// The deadline, in Unix milliseconds.
+    /// Deadline of the order, in Unix milliseconds.
     pub due_ms: u64,
 }
 
-/// All records of roll-outs, and the place behind them.
+/// Newest records of all roll-outs, and the position after them.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct RolloutRecords {
-    /// The newest record of each service.
+    /// Newest record of each service.
     pub records: Vec<RolloutRecord>,
-    /// Where the next record goes.
+    /// Position of the next record.
     pub place: u64,
 }
 
-/// Where operators read how far roll-outs are. Of several writers who know the same place, one
-/// succeeds.
+/// Storage of roll-out records, in which operators follow the progress of roll-outs.
+///
+/// Writes are conditional: of several writes at the same position, only one succeeds.
 pub trait RolloutBoard: fmt::Debug + Send + Sync {
     /// Returns the newest record of each service.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; nothing is known then.
+    /// Returns any [`PlatformError`]. Nothing is known then.
     fn read(&self) -> PlatformFuture<'_, RolloutRecords>;
 
-    /// Writes a record if it comes to stand at `place`. Returns the place behind it, or `None` when
-    /// another one stands there.
+    /// Writes a record if `place` is still the next position.
+    ///
+    /// Returns the position after the record, or `None` if there is another record at `place`.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; whether it was written, or will be, is then not known.
+    /// Returns any [`PlatformError`]. The record may have been written then, or may still be.
     fn write(&self, record: RolloutRecord, place: u64) -> PlatformFuture<'_, Option<u64>>;
 }
 
-/// What a directory holds.
+/// Contents of a directory.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct DirectoryListing {
-    /// Those who are entered.
+    /// Nodes that are registered.
     pub nodes: Vec<NodeId>,
-    /// The requests that were held when they were remembered, some of them long ago perhaps.
+    /// Stored memos of quarantined requests, some of them possibly old.
     pub memos: Vec<Memo>,
 }
 
-/// A place outside the mesh through which its nodes find each other.
+/// External registry through which the nodes of a mesh discover each other.
 pub trait Directory: fmt::Debug + Send + Sync {
-    /// Enters `id`; entering again changes nothing.
+    /// Registers `id`. Repeated registration has no effect.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; whether `id` was entered is then not known.
+    /// Returns any [`PlatformError`]. The entry may exist then or not.
     fn enter(&self, id: NodeId) -> PlatformFuture<'_, ()>;
 
-    /// Returns who is entered, `id` among them if it is, and what is remembered.
+    /// Returns the registered nodes, including `id` if it is registered, and the stored memos.
     ///
-    /// Of a large mesh it may return a part, which is enough to meet it; `entered` says that `id` is
-    /// known to be entered. Of few nodes that enter first and look then, the one that entered
-    /// later finds all.
+    /// `entered` is set if `id` is known to be registered. In a large mesh the result may be a part
+    /// of the nodes, which is enough to join. In a small mesh, nodes register first and then call
+    /// this method, so that the node that registered last finds all others.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`].
+    /// Returns any [`PlatformError`].
     fn find(&self, id: NodeId, entered: bool) -> PlatformFuture<'_, DirectoryListing>;
 
-    /// Remembers `memo` in place of what was remembered of the same request.
+    /// Stores `memo`, which replaces an earlier memo of the same request.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; whether it is remembered is then not known.
+    /// Returns any [`PlatformError`]. The memo may be stored then or not.
     fn remember(&self, memo: Memo) -> PlatformFuture<'_, ()>;
 
-    /// Forgets what is remembered of `requests`.
+    /// Deletes the memos of `requests`.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; whether it is forgotten is then not known.
+    /// Returns any [`PlatformError`]. The memos may be deleted then or not.
     fn forget(&self, requests: Vec<RequestPrint>) -> PlatformFuture<'_, ()>;
 
-    /// Removes `ids`, which are gone for good.
+    /// Removes the entries of `ids`, whose nodes have left permanently.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; whether they were removed is then not known.
+    /// Returns any [`PlatformError`]. The entries may be removed then or not.
     fn remove(&self, ids: Vec<NodeId>) -> PlatformFuture<'_, ()>;
 
-    /// Returns how many entries were passed over so far, since they are no node's.
+    /// Returns the total number of entries that were skipped because they are not valid nodes.
     fn unreadable(&self) -> u64 {
         0
     }
 }
 
-/// What a node has of the platform besides the log; without any it follows the log.
+/// Optional adapters of a node for its platform.
+///
+/// Without a snapshot source, the node follows the log.
 #[derive(Debug, Default, Clone)]
 pub struct PlatformAdapters {
-    /// Where accepted versions come from, in place of the log.
+    /// Source of accepted versions, which replaces the log.
     pub snapshots: Option<Arc<dyn SnapshotSource>>,
-    /// Where nodes find each other, beside the seeds of the settings.
+    /// Directory in which nodes discover each other, in addition to the seeds in the settings.
     pub directory: Option<Arc<dyn Directory>>,
-    /// Where operators read how far roll-outs are; without it nothing is rolled out.
+    /// Storage of roll-out records. Without it, no roll-outs take place.
     pub board: Option<Arc<dyn RolloutBoard>>,
 }
 
 impl PlatformAdapters {
-    /// Creates the edges of a node that follows the platform's log.
+    /// Creates the adapters of a node that follows the platform's log.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes accepted versions from `source`.
+    /// Sets the source of accepted versions.
     #[must_use]
     pub fn with_snapshots(mut self, source: Arc<dyn SnapshotSource>) -> Self {
         self.snapshots = Some(source);
         self
     }
 
-    /// Finds other nodes in `directory`.
+    /// Sets the directory in which nodes discover each other.
     #[must_use]
     pub fn with_directory(mut self, directory: Arc<dyn Directory>) -> Self {
         self.directory = Some(directory);
         self
     }
 
-    /// Shows operators on `board` how far roll-outs are.
+    /// Sets the storage of roll-out records.
     #[must_use]
     pub fn with_board(mut self, board: Arc<dyn RolloutBoard>) -> Self {
         self.board = Some(board);
--- a/crates/swiftcart-node/src/egress.rs
+++ b/crates/swiftcart-node/src/egress.rs
@@ -1,4 +1,4 @@
-//! The way out of the instance, as all of the node's connections share it.
+//! Egress link of the instance, which all connections of the node share.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -7,21 +7,22 @@
 
 use crate::clock::Clock;
 
-/// The queue on the link up to which long answers are passed on: 37 kB at 15 Mbit/s. With the part
-/// that is passed on next, 64 kB at most, a short answer waits for 55 ms behind it, a fifth of the
-/// target of the shortest calls on such links.
-const SHORT_QUEUE: Duration = Duration::from_millis(20);
+/// Queueing delay on the link up to which parts of long responses are sent: 37 kB at 15 Mbit/s.
+///
+/// Together with the next part, 64 kB at most, a short response waits for 55 ms behind a long one.
+/// This is a fifth of the latency target of the shortest calls on such links.
+const MAX_QUEUE_DELAY: Duration = Duration::from_millis(20);
 
-/// Follows what the node has handed to its instance's link.
+/// Estimate of the data that the node has queued on the link of its instance.
 #[derive(Debug)]
 pub struct Egress {
     clock: Clock,
-    /// None where the link's rate is not known.
+    /// State of the link, or `None` if the rate of the link is not known.
     link: Option<Mutex<Link>>,
 }
 
 impl Egress {
-    /// Creates the egress over a link.
+    /// Creates the egress for a link of the given rate.
     #[must_use]
     pub fn new(clock: Clock, rate: Option<LinkRate>) -> Self {
         Self {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Takes in `bytes` that are handed to the link.
+    /// Records `bytes` that are sent over the link.
     pub fn sent(&self, bytes: usize) {
         if let Some(link) = &self.link {
             let mut link = link.lock().unwrap_or_else(PoisonError::into_inner);
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Returns how long what is handed over now waits for the link.
+    /// Returns the queueing delay of data that is sent now.
     #[must_use]
     pub fn delay(&self) -> Duration {
         self.link.as_ref().map_or(Duration::ZERO, |link| {
@@ -47,11 +48,13 @@
         })
     }
 
-    /// Returns how long a part of a long answer has to be held back, so that short ones do not
-    /// wait behind it.
+    /// Returns the time for which the next part of a long response has to be delayed.
+    ///
+    /// Without this delay, short responses wait behind long ones. Returns `None` if the part can be
+    /// sent at once.
     #[must_use]
     pub fn hold_back(&self) -> Option<Duration> {
-        let over = self.delay().saturating_sub(SHORT_QUEUE);
+        let over = self.delay().saturating_sub(MAX_QUEUE_DELAY);
         (!over.is_zero()).then_some(over)
     }
 }
--- a/crates/swiftcart-node/src/faults.rs
+++ b/crates/swiftcart-node/src/faults.rs
@@ -1,7 +1,7 @@
-//! The fault switch: cuts this node off from chosen addresses, for failure tests.
+//! Fault injection: simulates network partitions from chosen addresses, for failure tests.
 //!
-//! Only builds with the feature `faults` can be cut; without it every address is
-//! reachable and the switch takes no space.
+//! Only builds with the feature `faults` support it. In other builds every address is reachable and
+//! [`Faults`] has no size.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 #[cfg(feature = "faults")]
 use arc_swap::ArcSwap;
 
-/// The environment variable with the addresses to start cut off from, separated by commas.
+/// Environment variable with the initially unreachable addresses, separated by commas.
 #[cfg(feature = "faults")]
 pub const CUT_FROM: &str = "SWIFTCART_CUT_FROM";
 
-/// Tells which addresses this node behaves as cut off from.
+/// Set of addresses that this node treats as unreachable.
 #[derive(Debug, Default)]
 pub struct Faults {
     #[cfg(feature = "faults")]
@@ -23,7 +23,7 @@
 }
 
 impl Faults {
-    /// Tells whether packets to and from `addr` arrive.
+    /// Returns `true` if packets to and from `addr` are delivered.
     #[must_use]
     pub fn reaches(&self, addr: SocketAddr) -> bool {
         #[cfg(feature = "faults")]
@@ -32,8 +32,9 @@
         return !matches!(addr.port(), 0);
     }
 
-    /// Creates the switch as the environment variable [`CUT_FROM`] sets it, so that a
-    /// process can start within a cut.
+    /// Reads the unreachable addresses from the environment variable [`CUT_FROM`].
+    ///
+    /// This way, a process can start during a simulated partition.
     #[cfg(feature = "faults")]
     #[must_use]
     pub fn from_env() -> Self {
@@ -43,14 +44,14 @@
         faults
     }
 
-    /// Creates the switch of a build that cannot be cut.
+    /// Creates the empty set of a build without fault injection.
     #[cfg(not(feature = "faults"))]
     #[must_use]
     pub const fn from_env() -> Self {
         Self {}
     }
 
-    /// Replaces the addresses that this node is cut off from.
+    /// Replaces the set of unreachable addresses.
     #[cfg(feature = "faults")]
     pub fn cut(&self, addrs: impl IntoIterator<Item = SocketAddr>) {
         self.cut
--- a/crates/swiftcart-node/src/lib.rs
+++ b/crates/swiftcart-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node of swiftcart: the edges around `swiftcart-core`.
+//! The swiftcart node: networking, timers and metrics around `swiftcart-core`.
 //!
-//! One node runs beside each backend server. It takes callers' requests
-//! (*ingress*), guards its own backend server (*guard*), and follows the
-//! configuration and the other nodes (*control*).
+//! One node runs beside each backend server. It accepts callers' requests (*ingress*), hands
+//! requests to its own backend server (*guard*), and follows the configuration and the other
+//! nodes (*control*).
 
 mod admin;
 mod args;
--- a/crates/swiftcart-node/src/logging.rs
+++ b/crates/swiftcart-node/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log of events: one line of key=value pairs for each, on standard output.
+//! Event log: one line of key=value pairs per event, on standard output.
 //!
-//! Lines wait for a thread that writes them, a bounded number of them; nothing else waits
-//! for standard output. Lines of calls are limited besides, see [`CallLog`].
+//! A separate thread writes the lines from a bounded queue, so that no other part of the node
+//! blocks on standard output. [`CallLog`] limits the rate of lines about calls.
 
 mod call_log;
 
@@ -18,11 +18,12 @@
 
 use crate::settings::LogLevel;
 
-/// Lines that may wait to be written; more are dropped and counted by the drain. The queue
-/// takes its memory at once, about 100 bytes a line.
-const QUEUE: usize = 256;
+/// Maximum number of queued lines; the drain drops and counts further lines.
+///
+/// The queue allocates its memory at the start, about 100 bytes per line.
+const MAX_QUEUED_LINES: usize = 256;
 
-/// Names every event that a node logs, the value of the key `event`.
+/// Event that a node logs, as the value of the key `event`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
     /// The listeners are open.
@@ -33,67 +34,68 @@
     Stopped,
     /// The settings were read again.
     Reloaded,
-    /// A second signal ended the node at once.
+    /// A second signal or the end of the grace period stopped the node at once.
     Killed,
-    /// A listener, or another part, failed.
+    /// A listener or another part failed.
     Failed,
-    /// The node takes requests, or no longer does.
+    /// The node accepts requests, or no longer does.
     Phase,
-    /// Another configuration is in force.
+    /// Another configuration became active.
     Applied,
-    /// The log cannot be read.
+    /// The log of the platform cannot be read.
     PlatformDown,
-    /// The log can be read again.
+    /// The log of the platform can be read again.
     PlatformUp,
-    /// The reader met a record that a later release wrote.
+    /// The reader stopped at a record that a later release wrote.
     Stalled,
     /// A member changed.
     Member,
-    /// The directory named the other nodes, or could not be reached.
+    /// The directory returned the other nodes, or could not be reached.
     Found,
-    /// Records of the platform were passed over, since they could not be read.
+    /// Unreadable records of the platform were skipped.
     Skipped,
-    /// A failure domain cannot be reached any more.
+    /// A failure domain became unreachable.
     DomainCut,
-    /// A failure domain is reached again.
+    /// A failure domain became reachable again.
     DomainBack,
-    /// A checkpoint was appended to the log, or could not be.
+    /// A checkpoint was appended to the log, or appending it failed.
     Checkpoint,
-    /// A source has another state at the same place in the stream.
+    /// A source has another state at the same offset of the stream.
     Diverged,
-    /// The log holds no place from which to start reading.
+    /// The log has no offset from which to start reading.
     NoStart,
-    /// A datagram or pull was refused.
+    /// A datagram or state pull was refused.
     Dropped,
-    /// The backend server announced itself, changed or left.
+    /// The backend server was announced, changed or left.
     Backend,
-    /// A backend server that names itself replaced another one, left, or spoke late.
+    /// A backend server with an id of its own replaced another one, left, or sent an announcement
+    /// that was refused or out of order.
     Announced,
     /// The announcement of the backend server was not renewed.
     Expired,
-    /// The backend server said something new of itself in an answer.
+    /// The backend server reported a new state in a response.
     Notice,
-    /// The backend server has ended while it was running requests.
+    /// The backend server ended while it was running requests.
     Crashed,
-    /// A request is not handed to backend servers for now, since it ends them.
+    /// A request was quarantined, since it crashes backend servers.
     Quarantined,
-    /// Such a request may be handed over again.
+    /// A request was released from quarantine.
     Released,
-    /// An order to roll a release out is known, or a roll-out is a stage further.
+    /// A roll-out was ordered or reached its next stage.
     Rollout,
-    /// A failure domain is drained, or takes requests again.
+    /// A failure domain is drained, or gets requests again.
     Drain,
-    /// A client account is held back since it sent more than its quota, or no longer is.
+    /// A client account is limited since it exceeded its quota, or no longer is.
     Quota,
     /// A connection could not be accepted.
     Refused,
-    /// A caller's request has its answer.
+    /// A caller's request got its response.
     Answer,
-    /// A try of a request did not end with an answer of its backend server.
+    /// An attempt of a request ended without a response of its backend server.
     Try,
-    /// The guard did not hand a request over, or got no answer to it.
+    /// The guard refused a request, or got no response to it.
     Guard,
-    /// So many lines of calls were left out in the last second.
+    /// Lines about calls were suppressed in an earlier second.
     LeftOut,
 }
 
@@ -169,26 +171,28 @@
     }
 }
 
-/// The longest time to write what still waits when the process ends.
-const CLOSE: Duration = Duration::from_millis(300);
+/// Maximum time to write the queued lines when the process ends.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Writes what still waits and ends the log, unless standard output takes nothing.
+/// Writes the queued lines and closes the log.
+///
+/// Gives up after a time limit, in case that standard output is blocked.
 pub fn close(guard: AsyncGuard) {
     let (done, written) = mpsc::channel();
     thread::spawn(move || {
         drop(guard);
-        // Nobody waits any more when it took too long.
+        // The receiver is gone if the time limit has passed.
         done.send(()).ok();
     });
-    // When nobody reads standard output, the process ends without its last lines.
-    written.recv_timeout(CLOSE).ok();
+    // If standard output is blocked, the last lines are lost.
+    written.recv_timeout(CLOSE_TIMEOUT).ok();
 }
 
-/// Opens the log on standard output; dropping the guard writes what still waits.
+/// Opens the log on standard output. Dropping the guard writes the queued lines.
 pub fn open(level: LogLevel) -> (Logger, AsyncGuard) {
     let lines = Logfmt::new(io::stdout()).no_prefix().build().fuse();
     let (queue, guard) = slog_async::Async::new(lines)
-        .chan_size(QUEUE)
+        .chan_size(MAX_QUEUED_LINES)
         .build_with_guard();
     let filter = queue.filter_level(level.level()).fuse();
     let now = FnValue(|_: &Record<'_>| unix_ms());
@@ -204,7 +208,7 @@
     Logger::root(slog::Discard, o!())
 }
 
-/// Returns the wall clock in milliseconds since 1970.
+/// Returns the wall-clock time in Unix milliseconds.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/swiftcart-node/src/logging/call_log.rs
+++ b/crates/swiftcart-node/src/logging/call_log.rs
@@ -1,4 +1,4 @@
-//! Lines about single calls: a bounded number a second, those of failures for themselves.
+//! Rate-limited log lines about single calls, with separate limits for successes and failures.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -7,37 +7,40 @@
 
 use super::Event;
 
-/// Lines a second for calls that ended well. A node of the size to design for answers about
-/// 90 calls a second and is the guard of as many.
-const DONE_LINES: u32 = 150;
+/// Maximum lines per second for successful calls.
+///
+/// A node of the intended size answers about 90 calls per second, and is the guard of as many.
+const DONE_LINES_PER_SEC: u32 = 150;
 
-/// Lines a second for refusals, failures and further tries; they come first, so that they
-/// have a share that no success can take.
-const FAILED_LINES: u32 = 300;
+/// Maximum lines per second for refusals, failures and retries.
+///
+/// They matter most to operators, so that successful calls cannot use up this limit.
+const FAILED_LINES_PER_SEC: u32 = 300;
 
-/// Lines a second for announcements that are refused: each says what is wrong, and whoever sends
-/// many of them is known by the first ones.
-const IRREGULAR_LINES: u32 = 5;
+/// Maximum lines per second for refused announcements and other irregular messages.
+///
+/// Each line has the reason, and the first lines already identify a sender of many such messages.
+const IRREGULAR_LINES_PER_SEC: u32 = 5;
 
-/// Writes lines about calls and counts those that it leaves out.
+/// Log that limits the rate of lines about calls and counts the suppressed lines.
 #[derive(Debug)]
 pub struct CallLog {
     logger: Logger,
-    done: Mutex<Share>,
-    failed: Mutex<Share>,
-    irregular: Mutex<Share>,
+    done: Mutex<LineCount>,
+    failed: Mutex<LineCount>,
+    irregular: Mutex<LineCount>,
 }
 
-/// The lines of one kind in the current second.
+/// Number of lines of one kind in the current second.
 #[derive(Debug, Default, Clone, Copy)]
-struct Share {
+struct LineCount {
     second: u64,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl CallLog {
-    /// Writes to `logger`.
+    /// Creates a log that writes to `logger`.
     #[must_use]
     pub fn new(logger: Logger) -> Self {
         Self {
@@ -48,46 +51,46 @@
         }
     }
 
-    /// Returns the log for a line about a call that ended well, if there is room for it.
+    /// Returns the logger for a line about a successful call, unless the limit is reached.
     #[must_use]
     pub fn done(&self, now: Instant) -> Option<&Logger> {
-        self.admit(&self.done, DONE_LINES, "done", now)
+        self.admit(&self.done, DONE_LINES_PER_SEC, "done", now)
     }
 
-    /// Returns the log for a line about a failure or a further try, if there is room for it.
+    /// Returns the logger for a line about a failure or a retry, unless the limit is reached.
     #[must_use]
     pub fn failed(&self, now: Instant) -> Option<&Logger> {
-        self.admit(&self.failed, FAILED_LINES, "failed", now)
+        self.admit(&self.failed, FAILED_LINES_PER_SEC, "failed", now)
     }
 
-    /// Returns the log for a line about a refused announcement, if there is room for it.
+    /// Returns the logger for a line about an irregular message, unless the limit is reached.
     #[must_use]
     pub fn irregular(&self, now: Instant) -> Option<&Logger> {
-        self.admit(&self.irregular, IRREGULAR_LINES, "irregular", now)
+        self.admit(&self.irregular, IRREGULAR_LINES_PER_SEC, "irregular", now)
     }
 
     fn admit(
         &self,
-        share: &Mutex<Share>,
-        most: u32,
+        lines: &Mutex<LineCount>,
+        limit: u32,
         kind: &'static str,
         now: Instant,
     ) -> Option<&Logger> {
-        let mut share = share.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
         let second = now.elapsed().as_secs();
-        if second != share.second {
-            let before = std::mem::take(&mut *share);
-            share.second = second;
-            if before.left_out > 0 {
+        if second != lines.second {
+            let previous = std::mem::take(&mut *lines);
+            lines.second = second;
+            if previous.suppressed > 0 {
                 info!(self.logger, ""; "event" => Event::LeftOut, "kind" => kind,
-                    "count" => before.left_out);
+                    "count" => previous.suppressed);
             }
         }
-        if share.written < most {
-            share.written += 1;
+        if lines.written < limit {
+            lines.written += 1;
             return Some(&self.logger);
         }
-        share.left_out += 1;
+        lines.suppressed += 1;
         None
     }
 }
--- a/crates/swiftcart-node/src/main.rs
+++ b/crates/swiftcart-node/src/main.rs
@@ -1,4 +1,4 @@
-//! `swiftcartd`, the node beside a backend server.
+//! The `swiftcartd` program, which runs the node beside a backend server.
 
 use std::process::ExitCode;
 
--- a/crates/swiftcart-node/src/node.rs
+++ b/crates/swiftcart-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One running node: its listeners, its parts and its graceful stop.
+//! Start and graceful shutdown of one node.
 
 use std::future::pending;
 use std::io;
@@ -20,19 +20,20 @@
 use crate::shared::{Phase, Shared};
 use crate::{admin, control};
 
-/// Time between two upkeeps of the metrics.
-const UPKEEP: Duration = Duration::from_secs(2);
+/// Interval between two maintenance runs of the metrics recorder.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time before the end of `stop.linger_ms` at which the other nodes are told, so that they
-/// send nothing more when it ends. A word reaches all of some hundred nodes in about four
-/// rounds of 100 ms.
-const FAREWELL: Duration = Duration::from_millis(400);
+/// Time before the end of `stop.linger_ms` at which the node announces to the others that it leaves.
+///
+/// The other nodes have then stopped sending requests when the linger time ends. Gossip reaches all
+/// of some hundred nodes in about four rounds of 100 ms.
+const LEAVE_LEAD_TIME: Duration = Duration::from_millis(400);
 
 quick_error! {
-    /// Tells why a node cannot start.
+    /// Error that prevents the start of a node.
     #[derive(Debug)]
     pub enum NodeError {
-        /// The control edge cannot start.
+        /// The control loop cannot start.
         Control(err: ControlError) {
             from()
             source(err)
@@ -41,12 +42,12 @@
         /// A listener cannot be opened.
         Listen(path: &'static str, addr: SocketAddr, err: io::Error) {
             source(err)
-            display("{path}: {addr} cannot be listened on: {err}: free the port or choose another")
+            display("{path}: cannot listen on {addr}: {err}: free the port or choose another")
         }
     }
 }
 
-/// A running node.
+/// Running node with its listeners and background tasks.
 #[derive(Debug)]
 pub struct Node {
     shared: Arc<Shared>,
@@ -55,7 +56,7 @@
 }
 
 impl Node {
-    /// Opens the listeners and starts the parts.
+    /// Opens the listeners and starts the background tasks of a node that follows the platform's log.
     ///
     /// # Errors
     ///
@@ -64,14 +65,14 @@
         Self::start_with(settings, PlatformAdapters::new(), logger).await
     }
 
-    /// Opens the listeners and starts the parts, with `edges` in place of the platform's log.
+    /// Opens the listeners and starts the background tasks, with `adapters` for the platform.
     ///
     /// # Errors
     ///
     /// Returns the first listener that cannot be opened.
     pub async fn start_with(
         settings: Settings,
-        edges: PlatformAdapters,
+        adapters: PlatformAdapters,
         logger: Logger,
     ) -> Result<Self, NodeError> {
         let listen = settings.listen.clone();
@@ -82,7 +83,7 @@
         let callers = bind("listen.calls", listen.calls).await?;
         let peers = bind("listen.peer", listen.peer).await?;
         let shared = Shared::new(settings, logger);
-        let control = control::open(Arc::clone(&shared), edges).await?;
+        let control = control::open(Arc::clone(&shared), adapters).await?;
         let calls = Calls::start(&shared, callers, peers);
         let background = vec![
             tokio::spawn(admin::run(Arc::clone(&shared), admin)),
@@ -98,15 +99,16 @@
         })
     }
 
-    /// Returns what the node's parts share.
+    /// Returns the state that the parts of the node share.
     #[must_use]
     pub const fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Leaves, refuses new work, finishes everything in flight, and ends.
+    /// Shuts the node down gracefully.
     ///
-    /// It takes as long as the requests in flight, unless `stop.grace_ms` bounds it.
+    /// The node leaves the mesh, refuses new requests and completes the requests in flight. The
+    /// shutdown takes as long as these requests, unless `stop.grace_ms` or `stop.kill_s` limits it.
     pub async fn stop(self) {
         let stop = self.shared.settings.stop;
         info!(self.shared.logger, ""; "event" => Event::Stopping);
@@ -120,17 +122,17 @@
         let shared = Arc::clone(&self.shared);
         let finish = async {
             let lingers = !stop.linger().is_zero();
-            // The backend server works on, so its place in the mesh is kept for as long.
-            let farewell = FAREWELL.min(stop.linger());
-            sleep(stop.linger() - farewell).await;
+            // The backend server still works, so the node stays a member of the mesh until then.
+            let lead_time = LEAVE_LEAD_TIME.min(stop.linger());
+            sleep(stop.linger() - lead_time).await;
             shared.stopping.cancel();
-            sleep(farewell).await;
+            sleep(lead_time).await;
             if lingers {
                 shared.enter(Phase::Finishing);
                 sleep(stop.notice()).await;
             }
             shared.enter(Phase::Stopping);
-            // Callers that were served for so long have learnt of it.
+            // Callers had the linger time to notice the shutdown.
             let notice = if lingers {
                 Duration::ZERO
             } else {
@@ -155,7 +157,7 @@
 }
 
 async fn upkeep(shared: Arc<Shared>) {
-    let mut ticks = interval(UPKEEP);
+    let mut ticks = interval(UPKEEP_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
--- a/crates/swiftcart-node/src/program.rs
+++ b/crates/swiftcart-node/src/program.rs
@@ -1,4 +1,4 @@
-//! The daemon's way from its command line to its end, shared by every program around a node.
+//! Main function of the programs that run a node: command line, runtime and signals.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -13,46 +13,46 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// The exit code when the command line or the settings are refused.
-const REFUSED: u8 = 2;
+/// Exit code for an invalid command line or invalid settings.
+const EXIT_REFUSED: u8 = 2;
 
-/// The exit code when the node cannot run.
-const FAILED: u8 = 1;
+/// Exit code for a node that cannot start or that a second signal ends.
+const EXIT_FAILED: u8 = 1;
 
-/// The signals that a node answers.
+/// Unix signals that a node handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-/// Runs the program `name` by the command line of this process until it is asked to stop.
+/// Runs the program `name` with the command line of this process until a signal stops it.
 ///
-/// `edges` says what the node has of the platform besides the log.
+/// `adapters` returns the platform adapters of the node, depending on its settings.
 pub fn run_program(
     name: &'static str,
-    edges: impl FnOnce(&Settings) -> PlatformAdapters,
+    adapters: impl FnOnce(&Settings) -> PlatformAdapters,
 ) -> ExitCode {
     match Args::parse(std::env::args_os().skip(1)) {
-        Ok(Args::Help(text)) => say(&text),
-        Ok(Args::Version) => say(&format!("{name} {}\n", env!("CARGO_PKG_VERSION"))),
+        Ok(Args::Help(text)) => print_text(&text),
+        Ok(Args::Version) => print_text(&format!("{name} {}\n", env!("CARGO_PKG_VERSION"))),
         Ok(Args::Check(file)) => with_settings(name, &file, |_| ExitCode::SUCCESS),
         Ok(Args::Run(file)) => with_settings(name, &file, |settings| {
-            let edges = edges(&settings);
-            run(&file, settings, edges)
+            let adapters = adapters(&settings);
+            run(&file, settings, adapters)
         }),
         Err(err) => refuse(name, &err),
     }
 }
 
-fn say(text: &str) -> ExitCode {
+fn print_text(text: &str) -> ExitCode {
     print!("{text}");
     ExitCode::SUCCESS
 }
 
 fn refuse(name: &str, err: &dyn std::error::Error) -> ExitCode {
     eprintln!("{name}: {err}");
-    ExitCode::from(REFUSED)
+    ExitCode::from(EXIT_REFUSED)
 }
 
 fn with_settings(name: &str, file: &Path, then: impl FnOnce(Settings) -> ExitCode) -> ExitCode {
@@ -62,17 +62,19 @@
     }
 }
 
-fn run(file: &Path, settings: Settings, edges: PlatformAdapters) -> ExitCode {
+fn run(file: &Path, settings: Settings, adapters: PlatformAdapters) -> ExitCode {
     let (logger, guard) = open_log(settings.log.level);
     let code = match runtime(settings.threads) {
-        Ok(runtime) => runtime.block_on(serve(file, settings, edges, logger)),
+        Ok(runtime) => runtime.block_on(serve(file, settings, adapters, logger)),
         Err(err) => fail(&logger, &err),
     };
     close_log(guard);
     code
 }
 
-/// Creates the runtime; one thread needs no others and less memory.
+/// Creates the runtime for the given number of threads, where 0 means one per processor.
+///
+/// A single thread uses the current-thread runtime, which needs less memory.
 fn runtime(threads: u32) -> std::io::Result<Runtime> {
     match threads {
         1 => Builder::new_current_thread().enable_all().build(),
@@ -87,14 +89,14 @@
 async fn serve(
     file: &Path,
     settings: Settings,
-    edges: PlatformAdapters,
+    adapters: PlatformAdapters,
     logger: Logger,
 ) -> ExitCode {
     let mut signals = match Signals::new() {
         Ok(signals) => signals,
         Err(err) => return fail(&logger, &err),
     };
-    let node = match Node::start_with(settings, edges, logger.clone()).await {
+    let node = match Node::start_with(settings, adapters, logger.clone()).await {
         Ok(node) => node,
         Err(err) => return fail(&logger, &err),
     };
@@ -103,12 +105,12 @@
         () = node.stop() => ExitCode::SUCCESS,
         () = signals.until_stop(|| {}) => {
             warn!(logger, ""; "event" => Event::Killed);
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
 
-/// Reads the settings again; what differs is in force after the next start.
+/// Reads the settings again. Changes take effect after a restart.
 fn reload(file: &Path, node: &Node, logger: &Logger) {
     match Settings::load(file) {
         Ok(new) => {
@@ -118,14 +120,14 @@
         }
         Err(err) => {
             warn!(logger, ""; "event" => Event::Reloaded, "error" => %err,
-                "in_force" => "the settings before");
+                "in_force" => "the previous settings");
         }
     }
 }
 
 fn fail(logger: &Logger, err: &dyn std::error::Error) -> ExitCode {
     error!(logger, ""; "event" => Event::Failed, "error" => %err);
-    ExitCode::from(FAILED)
+    ExitCode::from(EXIT_FAILED)
 }
 
 impl Signals {
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Waits for a signal to stop; calls `reload` for each one to reload.
+    /// Waits for a signal to stop. Calls `reload` for each hangup signal.
     async fn until_stop(&mut self, reload: impl Fn()) {
         loop {
             tokio::select! {
--- a/crates/swiftcart-node/src/quotas.rs
+++ b/crates/swiftcart-node/src/quotas.rs
@@ -1,4 +1,4 @@
-//! The counts of client accounts, between the calls that count and the control loop that tells them.
+//! Request counts of client accounts, shared by calls and the control loop.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -7,14 +7,14 @@
 
 use crate::calls::with_rng;
 
-/// Holds what this node has counted for each account.
+/// Quota meter of this node, which calls update and the control loop reports to other nodes.
 #[derive(Debug)]
 pub struct Quotas {
     meter: Mutex<QuotaMeter>,
 }
 
 impl Quotas {
-    /// Creates counts of a process that has counted nothing.
+    /// Creates a meter without any counts, under a random epoch.
     #[must_use]
     pub fn new() -> Self {
         let epoch = rand::rng().random();
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Counts a request of an account, and tells whether its quota lets it through.
+    /// Counts a request of an account and checks it against the quota of the account.
     ///
     /// # Errors
     ///
-    /// The refusal of [`QuotaMeter::admit`].
+    /// Returns the refusal of [`QuotaMeter::admit`].
     pub fn admit(
         &self,
         now: Instant,
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Gives back the part of a request that did not run.
+    /// Returns the quota that an admitted request used, since the request did not run.
     pub fn cancel_admission(&self, account: &ResolvedAccount) {
         if account.quota.is_some() {
             self.with(|meter| meter.cancel_admission(account.tag));
         }
     }
 
-    /// Gives access to the meter.
+    /// Calls `f` with the locked meter.
     pub fn with<T>(&self, f: impl FnOnce(&mut QuotaMeter) -> T) -> T {
         f(&mut self.meter.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/swiftcart-node/src/registration.rs
+++ b/crates/swiftcart-node/src/registration.rs
@@ -1,70 +1,73 @@
-//! What a node knows of the identity of the backend server beside it.
+//! Identity of the local backend server.
 
 use http::HeaderValue;
 use swiftcart_core::{Announced, AnnouncementOutcome, Instant, Release, StartTime, Succession};
 
 use crate::logging::unix_ms;
 
-/// Names one process of a backend server: its id, and its start where it tells that.
+/// Identity of one process of a backend server: its id, and its start time if it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// The id by which the backend server calls itself, as it is told in a header.
+    /// Id from the announcements of the backend server, as a header value.
     pub id: HeaderValue,
-    /// When the process started.
+    /// Start time of the process, if it is announced.
     pub start: Option<StartTime>,
-    /// The release of its program.
+    /// Release of the program.
     pub release: Release,
 }
 
-/// What an announcement says of the process besides its place in the order of all of them.
+/// Properties of an announced process that do not affect the order of announcements.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Process {
-    /// The release of its program.
+    /// Release of the program.
     pub release: Release,
-    /// When it has warmed up.
+    /// Time at which the warm-up ends.
     pub warm: Instant,
 }
 
 impl Identity {
-    /// Tells whether this is a later process of the backend server `old`, whose process is gone
-    /// then.
+    /// Returns `true` if this is another process of the same backend server as `old`.
+    ///
+    /// The process `old` has ended in this case.
     #[must_use]
     pub fn succeeds(&self, old: &Self) -> bool {
         self.id == old.id && self.start != old.start
     }
 }
 
-/// Holds which backend server announced itself last, and which ones left.
+/// Backend server that announced itself last, and the backend servers that have left.
 #[derive(Debug, Default, Clone)]
 pub struct Registration {
     succession: Succession,
     identity: Option<Identity>,
     warm: Instant,
-    /// Whether its process said in an answer that it leaves, whatever it announces.
+    /// Set once the process has signalled in a response that it is leaving.
+    ///
+    /// Later announcements of the same process do not reset it.
     leaving: bool,
 }
 
 impl Registration {
-    /// Takes an announcement; `None` when its id cannot be passed on in a header.
+    /// Applies an announcement. Returns `None` if its id cannot be sent as a header value.
     pub fn on_announcement(
         &mut self,
         now: Instant,
-        said: Announced<'_>,
+        announced: Announced<'_>,
         process: Process,
     ) -> Option<AnnouncementOutcome> {
-        let id = HeaderValue::from_str(said.id).ok()?;
-        let heard = self.succession.on_announcement(now, said);
-        if heard.is_accepted() {
-            let start = said.start;
+        let id = HeaderValue::from_str(announced.id).ok()?;
+        let outcome = self.succession.on_announcement(now, announced);
+        if outcome.is_accepted() {
+            let start = announced.start;
             let release = process.release;
             self.identity = Some(Identity { id, start, release });
             self.warm = process.warm;
-            self.leaving &= !heard.is_new_process();
+            self.leaving &= !outcome.is_new_process();
         }
-        Some(heard)
+        Some(outcome)
     }
 
-    /// Notes that the backend server `id` has left; returns whether it was the current one.
+    /// Records that the backend server `id` has left. Returns `true` if it was the current one.
     pub fn leave(&mut self, now: Instant, id: &str, start: Option<StartTime>) -> bool {
         let left = self.succession.leave(now, id, start, StartTime(unix_ms()));
         if left {
@@ -74,39 +77,42 @@
         left
     }
 
-    /// Notes that the process `identity` said in an answer that it leaves; returns whether it is the
-    /// current one and that is news.
+    /// Records that the process `identity` has signalled in a response that it is leaving.
+    ///
+    /// Returns `true` if it is the current process and had not signalled this before.
     pub fn leaves(&mut self, identity: Option<&Identity>) -> bool {
-        let news = self.identity.as_ref() == identity && !self.leaving;
-        self.leaving |= news;
-        news
+        let is_new = self.identity.as_ref() == identity && !self.leaving;
+        self.leaving |= is_new;
+        is_new
     }
 
-    /// Notes that nothing is announced any more. One that does not name itself is another one when it
-    /// comes back.
+    /// Records that the announcement has been withdrawn.
+    ///
+    /// A backend server that announces itself without an id counts as another process when it is
+    /// announced again.
     pub fn withdrawn(&mut self) {
         self.leaving &= self.identity.is_some();
     }
 
-    /// Tells whether its process said in an answer that it leaves.
+    /// Returns `true` if the current process has signalled in a response that it is leaving.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Returns the identity of the backend server whose announcement counted last.
+    /// Returns the identity from the last accepted announcement.
     #[must_use]
     pub fn identity(&self) -> Option<&Identity> {
         self.identity.as_ref()
     }
 
-    /// Tells whether it has warmed up, as it said.
+    /// Returns `true` if the announced warm-up time has passed.
     #[must_use]
     pub fn is_warm(&self, now: Instant) -> bool {
         now >= self.warm
     }
 
-    /// Returns its id.
+    /// Returns the id of the current backend server.
     #[must_use]
     pub fn id(&self) -> Option<&str> {
         self.succession.id()
--- a/crates/swiftcart-node/src/shared.rs
+++ b/crates/swiftcart-node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one node share: settings, routing view, state and the stop signal.
+//! State that the parts of one node share: settings, routing view, metrics and the stop signal.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -25,29 +25,29 @@
 use crate::unreached::UnreachedNodes;
 use crate::warmup::SharedWarmup;
 
-/// Tells whether a node takes callers' requests, and if not, why.
+/// Lifecycle phase of a node, which decides whether it accepts requests of callers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// No configuration was read yet.
+    /// No configuration has been read yet.
     #[default]
     NoConfig,
-    /// The configuration is older than one that this node may have applied before.
+    /// The configuration is older than one that this node may have applied before a restart.
     BelowFloor,
-    /// No other node has told yet which members there are.
+    /// No other node has sent the list of members yet.
     NoMembers,
-    /// The node takes requests.
+    /// The node accepts requests.
     Ready,
-    /// The node was asked to stop and still takes the requests of callers that do not know.
+    /// The node is shutting down and still accepts requests of callers that have not noticed it.
     Leaving,
-    /// The backend server beside the node gets nothing new. Requests still go to others: the
-    /// backend server makes calls for what it is finishing.
+    /// The local backend server gets no new requests. Requests still go to other backend servers,
+    /// since the local one makes calls for the requests that it is finishing.
     Finishing,
-    /// The node finishes what it has.
+    /// The node only completes the requests in flight.
     Stopping,
 }
 
 impl Phase {
-    /// Tells how far the node's stop is; 0 before it was asked to.
+    /// Returns the step of the shutdown, 0 before it begins.
     const fn stop(self) -> u8 {
         match self {
             Self::NoConfig | Self::BelowFloor | Self::NoMembers | Self::Ready => 0,
@@ -57,91 +57,91 @@
         }
     }
 
-    /// Tells whether the node was asked to stop.
+    /// Returns `true` if the node is shutting down.
     #[must_use]
     pub const fn is_stop(self) -> bool {
         self.stop() > 0
     }
 }
 
-/// What the control edge knows of the configuration stream, for operators.
+/// Progress in the configuration stream, for operators.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Progress {
-    /// The version in force.
+    /// Active version of the configuration.
     pub version: Version,
-    /// The next offset to read.
+    /// Next offset to read.
     pub position: Offset,
-    /// The hash of the folded state.
+    /// Hash of the state built from the records up to this offset.
     pub digest: Digest,
-    /// The greater rule number at which the reader stalled.
+    /// Unsupported rule number at which the reader stopped.
     pub stalled_rule: Option<u16>,
 }
 
-/// Everything that the parts of one node share.
+/// Shared state of the parts of one node.
 ///
-/// The control edge writes `view`, `progress`, `members` and moves `phase` up to
-/// [`Phase::Ready`]; the admin edge writes `backend`; the call path only reads.
+/// The control loop writes `view`, `progress`, `members` and moves `phase` up to
+/// [`Phase::Ready`]. The admin listener writes `backend`. The call path only reads these fields.
 pub struct Shared {
-    /// The checked settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// The headers of callers and backend servers.
+    /// Header names of callers and backend servers.
     pub headers: Arc<Headers>,
-    /// The node's name, the address of its datagrams.
+    /// Id of the node, which is its gossip address.
     pub id: NodeId,
-    /// Where events are logged.
+    /// Logger for events.
     pub logger: Logger,
-    /// Where lines about single calls are logged.
+    /// Rate-limited log for lines about single calls.
     pub call_log: CallLog,
-    /// The node's metrics.
+    /// Metrics of the node.
     pub counters: Counters,
-    /// The immutable routing view; a request loads it once.
+    /// Immutable routing view, which each request loads once.
     pub view: ArcSwap<View>,
-    /// Changes whenever another view is in force.
+    /// Channel that signals each change of the view.
     pub views: watch::Sender<()>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The configuration in force, from which `view` was built.
+    /// Active configuration, from which `view` was built.
     pub config: ArcSwap<Config>,
-    /// The state of the configuration stream.
+    /// Progress in the configuration stream.
     pub progress: ArcSwap<Progress>,
-    /// Every member that is known, for `/v1/members`.
+    /// All known members, for `/v1/members`.
     pub members: ArcSwap<Vec<Member>>,
-    /// Whether the node takes requests.
+    /// Current phase of the node.
     pub phase: watch::Sender<Phase>,
-    /// The backend server beside this node, while its announcement is valid.
+    /// Local backend server, while its announcement is valid.
     pub backend: watch::Sender<Option<Backend>>,
-    /// The id by which the backend server calls itself, and those of its predecessors.
+    /// Identity of the local backend server and of its predecessors.
     pub registration: Mutex<Registration>,
-    /// The backend server's pace in thousandths, 0 while it is not known.
+    /// Pace of the backend server in thousandths, or 0 while it is not known.
     pub pace: AtomicU32,
-    /// Requests that the backend server runs.
+    /// Number of requests that the backend server is processing.
     pub running: Arc<AtomicU32>,
-    /// When the announcement ends unless it is renewed.
+    /// Expiry time of the announcement, unless it is renewed.
     pub expiry: watch::Sender<Option<tokio::time::Instant>>,
-    /// The instance's link.
+    /// Egress link of the instance.
     pub link: Arc<Egress>,
-    /// The nodes to which no connection opened lately.
+    /// Nodes to which a recent connection attempt failed.
     pub unreached: UnreachedNodes,
-    /// The requests that end backend servers.
+    /// Quarantine of requests that crash backend servers.
     pub suspects: SharedQuarantine,
-    /// What client accounts have sent through this node.
+    /// Quota meter of the client accounts that send requests through this node.
     pub quotas: Quotas,
-    /// What the backend server may be given while its service is rolled out.
+    /// Admission state of the backend server during a roll-out of its service.
     pub clearing: RolloutGate,
-    /// Whether the backend server is cold, and what it may be handed then.
+    /// Warm-up state of the backend server and its limits while it is cold.
     pub warmup: SharedWarmup,
-    /// Whether the failure domain is drained, so that the backend server gets nothing.
+    /// Set while the failure domain is drained. The backend server then gets no requests.
     pub drained: watch::Sender<bool>,
-    /// What this node is cut off from, in builds for failure tests.
+    /// Simulated network partitions, in builds for failure tests.
     pub faults: Faults,
-    /// Cancelled when the node is asked to stop.
+    /// Token that is cancelled shortly before the linger time of the shutdown ends.
     pub stopping: CancellationToken,
-    /// When the process started.
+    /// Start time of the process.
     pub started: Instant,
 }
 
 impl Phase {
-    /// Returns the name used in answers and logs.
+    /// Returns the name used in responses and logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -157,7 +157,7 @@
 }
 
 impl Shared {
-    /// Creates the shared state of a node that has read nothing yet.
+    /// Creates the initial state of a node.
     #[must_use]
     pub fn new(settings: Settings, logger: Logger) -> Arc<Self> {
         let id = NodeId(settings.listen.gossip);
@@ -198,22 +198,23 @@
         })
     }
 
-    /// Puts `config` and the `view` built from it in force.
+    /// Activates `config` and the `view` built from it.
     pub fn adopt(&self, config: Config, view: View) {
         self.config.store(Arc::new(config));
         self.view.store(Arc::new(view));
         self.views.send_replace(());
     }
 
-    /// Locks what is known of the backend server's own id.
+    /// Locks the registration of the local backend server.
     pub fn registration(&self) -> MutexGuard<'_, Registration> {
         self.registration
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the process `identity` of the backend server said in an answer that it leaves: it is
-    /// shown as draining from now on.
+    /// Records that the process `identity` has signalled in a response that it is leaving.
+    ///
+    /// If it is the current process, the backend server is published as draining from now on.
     pub fn leaves(&self, identity: Option<&Identity>) {
         if !self.registration().leaves(identity) {
             return;
@@ -227,15 +228,15 @@
         });
     }
 
-    /// Returns how many requests the backend server runs.
+    /// Returns the number of requests that the backend server is processing.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Moves to `phase`; a node that was asked to stop only moves on to its end.
+    /// Changes to `phase`, unless this would undo a step of the shutdown.
     ///
-    /// Returns whether the phase changed.
+    /// Returns `true` if the phase changed.
     pub fn enter(&self, phase: Phase) -> bool {
         self.phase.send_if_modified(|now| match *now {
             old if old == phase || old.stop() > phase.stop() => false,
--- a/crates/swiftcart-node/src/suspects.rs
+++ b/crates/swiftcart-node/src/suspects.rs
@@ -1,4 +1,4 @@
-//! The quarantine, between the calls that look into it and the control loop that spreads it.
+//! Quarantine of requests that crash backend servers, shared by calls and the control loop.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -6,7 +6,9 @@
 
 use swiftcart_core::{CrashId, Fingerprint, HeadPrint, Instant, Quarantine, RequestPrint};
 
-/// Holds the quarantine. While nothing is in it, which is nearly always, a look costs one load.
+/// Quarantine that calls check and the control loop synchronizes with other nodes.
+///
+/// It is nearly always empty; a check then costs one atomic load.
 #[derive(Debug, Default)]
 pub struct SharedQuarantine {
     any: AtomicBool,
@@ -14,13 +16,13 @@
 }
 
 impl SharedQuarantine {
-    /// Tells whether a request with this head may be a suspect.
+    /// Returns `true` if a request with this head may be quarantined.
     #[must_use]
     pub fn may_be_quarantined(&self, head: HeadPrint) -> bool {
         self.is_used() && self.with(|quarantine| quarantine.suspects(head))
     }
 
-    /// Returns for how long a request is held back from now on; `None` when it is not.
+    /// Returns the remaining quarantine time of a request, or `None` if it is not quarantined.
     #[must_use]
     pub fn held(&self, now: Instant, print: Fingerprint) -> Option<Duration> {
         match self.is_used() {
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Returns at how many ends of backend servers a request is known to have been running.
+    /// Returns the number of known backend server crashes during which a request was running.
     #[must_use]
     pub fn ends(&self, request: RequestPrint) -> usize {
         match self.is_used() {
@@ -38,23 +40,24 @@
         }
     }
 
-    /// Tells whether a request that has ended a backend server just now would do so again.
+    /// Returns `true` if a request that was running at a recent crash is expected to crash another
+    /// backend server.
     #[must_use]
     pub fn ends_another(&self, request: RequestPrint) -> bool {
         self.is_used() && self.with(|quarantine| quarantine.ends_another(request))
     }
 
-    /// Notes the end of the own backend server, and what it was running.
+    /// Records a crash of the local backend server and the requests that it was running.
     pub fn crashed(&self, now: Instant, id: CrashId, prints: &[Fingerprint]) {
         self.with(|quarantine| quarantine.crashed(now, id, prints));
     }
 
-    /// Notes that the own backend server has run a request to its end.
+    /// Records that the local backend server has completed a request.
     pub fn finished(&self, now: Instant, print: Fingerprint) {
         self.with(|quarantine| quarantine.finished(now, print));
     }
 
-    /// Gives access to all of it.
+    /// Calls `f` with the locked quarantine.
     pub fn with<T>(&self, f: impl FnOnce(&mut Quarantine) -> T) -> T {
         let mut quarantine = self
             .quarantine
@@ -65,7 +68,7 @@
         result
     }
 
-    /// Tells whether anything is in it.
+    /// Returns `true` if the quarantine is not empty.
     #[must_use]
     pub fn is_used(&self) -> bool {
         self.any.load(Ordering::Relaxed)
--- a/crates/swiftcart-node/src/unreached.rs
+++ b/crates/swiftcart-node/src/unreached.rs
@@ -1,23 +1,23 @@
-//! Connections to other nodes that did not open, on their way from the calls to the control loop.
+//! Failed connection attempts to other nodes, reported by calls to the control loop.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use swiftcart_core::{Instant, NodeId};
 
-/// Holds the nodes to which no connection opened, and when the last one was tried.
+/// Nodes to which a connection attempt failed, with the time of the last failed attempt.
 ///
-/// The map has one entry a node at most, and the control loop empties it with each tick.
+/// The map has at most one entry per node, and the control loop empties it at each tick.
 #[derive(Debug, Default)]
 pub struct UnreachedNodes(Mutex<BTreeMap<NodeId, Instant>>);
 
 impl UnreachedNodes {
-    /// Notes that a connection to `node` did not open that was tried at `tried`.
-    pub fn note(&self, node: NodeId, tried: Instant) {
-        self.lock().insert(node, tried);
+    /// Records that the connection attempt to `node` at `attempted` failed.
+    pub fn note(&self, node: NodeId, attempted: Instant) {
+        self.lock().insert(node, attempted);
     }
 
-    /// Takes what was noted since the last call.
+    /// Removes and returns the entries since the last call.
     pub fn take(&self) -> BTreeMap<NodeId, Instant> {
         std::mem::take(&mut self.lock())
     }
--- a/crates/swiftcart-node/tests/clock.rs
+++ b/crates/swiftcart-node/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock by which deadlines are kept, beside the one by which timers run.
+//! Tests of the clock for deadlines and its conversion to the clock of the timers.
 
 use std::fs;
 use std::time::Duration;
@@ -6,22 +6,22 @@
 use swiftcart_core::Instant;
 use swiftcart_node::Clock;
 
-/// Returns the time since the instance was started, with the time in which it was suspended, as the
-/// kernel tells it.
+/// Returns the time since the instance booted as reported by the kernel, including time in which the
+/// instance was suspended.
 fn uptime() -> Duration {
-    let text = fs::read_to_string("/proc/uptime").expect("the kernel's word");
+    let text = fs::read_to_string("/proc/uptime").expect("/proc/uptime is readable");
     let seconds = text.split(' ').next().expect("a number");
     Duration::from_secs_f64(seconds.parse().expect("a number"))
 }
 
 #[test]
-fn it_goes_on_as_the_time_since_the_instance_was_started_does() {
+fn clock_advances_like_the_time_since_boot() {
     let before = uptime();
     let clock = Clock::new();
     std::thread::sleep(Duration::from_millis(300));
     let passed = clock.now().elapsed();
     let expected = uptime() - before;
-    // The kernel's word is in hundredths of a second.
+    // The kernel reports the uptime in hundredths of a second.
     assert!(
         passed.abs_diff(expected) < Duration::from_millis(40),
         "{passed:?}, {expected:?}"
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn timers_get_the_time_from_now_on() {
+fn future_instants_keep_their_distance_on_the_timer_clock() {
     let clock = Clock::new();
     let now = tokio::time::Instant::now();
     let ahead = clock.tokio(clock.now() + Duration::from_secs(5)) - now;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_lies_in_the_past_is_due_now() {
+fn past_instants_are_due_now() {
     let clock = Clock::new();
     std::thread::sleep(Duration::from_millis(20));
     let late = clock.tokio(Instant::default());
--- a/crates/swiftcart-node/tests/stop.rs
+++ b/crates/swiftcart-node/tests/stop.rs
@@ -1,4 +1,4 @@
-//! The graceful stop of the real program.
+//! Tests of the graceful shutdown of the `swiftcartd` program.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod common;
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A running `swiftcartd`, killed when the test fails.
+/// Running `swiftcartd` process, which is killed on drop.
 struct Daemon {
     child: Child,
     ip: Ipv4Addr,
@@ -26,7 +26,7 @@
         Self::start_with(log, &[], 0)
     }
 
-    /// Starts a daemon that finds others at `seeds` and serves for `linger_ms` when it stops.
+    /// Starts a daemon with the given seeds and linger time.
     fn start_with(log: SocketAddr, seeds: &[SocketAddr], linger_ms: u32) -> Self {
         let ip = own_ip();
         let settings = tempfile::NamedTempFile::new().unwrap();
@@ -76,44 +76,44 @@
     }
 }
 
-/// Sends `text` on a new connection and returns what comes back until the end.
-async fn exchange(addr: SocketAddr, text: &str) -> String {
-    let mut got = Vec::new();
+/// Sends `text` on a new connection and returns everything received until it is closed.
+async fn send_raw(addr: SocketAddr, text: &str) -> String {
+    let mut response = Vec::new();
     if let Ok(mut socket) = TcpStream::connect(addr).await {
         let _ = socket.write_all(text.as_bytes()).await;
-        let _ = socket.read_to_end(&mut got).await;
+        let _ = socket.read_to_end(&mut response).await;
     }
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-async fn ready(daemon: &Daemon) {
+async fn wait_until_ready(daemon: &Daemon) {
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
     until_async(async || {
-        let got = exchange(daemon.addr(7001), get).await;
-        got.starts_with("HTTP/1.1 200")
+        let response = send_raw(daemon.addr(7001), get).await;
+        response.starts_with("HTTP/1.1 200")
     })
     .await;
 }
 
-async fn stopping(daemon: &Daemon) {
+async fn wait_until_stopping(daemon: &Daemon) {
     until_async(async || phase(daemon).await == "stopping").await;
 }
 
-/// Returns what the daemon says of its phase.
+/// Returns the phase that the daemon reports on `/readyz`.
 async fn phase(daemon: &Daemon) -> String {
     let get = "GET /readyz HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
-    let answer = exchange(daemon.addr(7003), get).await;
-    answer.lines().last().unwrap_or_default().to_owned()
+    let response = send_raw(daemon.addr(7003), get).await;
+    response.lines().last().unwrap_or_default().to_owned()
 }
 
 #[tokio::test]
-async fn a_stop_cuts_off_no_upload_and_takes_no_new_work() {
+async fn shutdown_completes_uploads_and_refuses_new_requests() {
     let log = log_with(Limits::default()).await;
     let mut daemon = Daemon::start(log.addr());
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = BackendSettings::new(SERVICE).with_admin(daemon.addr(7003));
     let backend = BackendServer::start(any, settings).await.unwrap();
-    ready(&daemon).await;
+    wait_until_ready(&daemon).await;
 
     const LEN: usize = 1 << 20;
     let half = vec![7; LEN / 2];
@@ -125,106 +125,114 @@
 
     daemon.signal("-TERM");
     let post = "POST / HTTP/1.1\r\nhost: mesh\r\nx-request-id: new\r\ncontent-length: 0\r\n\r\n";
-    stopping(&daemon).await;
-    let refused = exchange(daemon.addr(7001), post).await;
+    wait_until_stopping(&daemon).await;
+    let refused = send_raw(daemon.addr(7001), post).await;
     assert!(refused.contains("swiftcart-reason: stopping"), "{refused}");
     assert!(refused.contains("connection: close"), "{refused}");
-    // The listener is closed after the notice; the upload goes on.
+    // The listener is closed after the notice time, while the upload continues.
     until_async(async || TcpStream::connect(daemon.addr(7001)).await.is_err()).await;
 
     upload.write_all(&half).await.unwrap();
-    let mut answer = String::new();
-    upload.read_to_string(&mut answer).await.unwrap();
+    let mut response = String::new();
+    upload.read_to_string(&mut response).await.unwrap();
     let digest = blake3::hash(&vec![7; LEN]).to_hex();
-    assert!(answer.contains(digest.as_str()), "{answer}");
+    assert!(response.contains(digest.as_str()), "{response}");
     assert_eq!(daemon.exit_code().await, Some(0));
 }
 
 #[tokio::test]
-async fn a_node_that_leaves_still_runs_what_other_nodes_send() {
+async fn leaving_node_still_serves_requests_of_other_nodes() {
     let log = log_with(Limits::default()).await;
     let leaving = Daemon::start_with(log.addr(), &[], 2000);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = BackendSettings::new(SERVICE).with_admin(leaving.addr(7003));
     let _backend = BackendServer::start(any, settings).await.unwrap();
     let other = Daemon::start_with(log.addr(), &[leaving.addr(7004)], 0);
-    ready(&leaving).await;
-    ready(&other).await;
+    wait_until_ready(&leaving).await;
+    wait_until_ready(&other).await;
 
     leaving.signal("-TERM");
     until_async(async || phase(&leaving).await == "leaving").await;
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
     for _ in 0..10 {
-        let answer = exchange(other.addr(7001), get).await;
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = send_raw(other.addr(7001), get).await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         assert_eq!(phase(&leaving).await, "leaving");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // Nothing is lost either while the node says that it leaves and then refuses.
+    // No request is lost while the node announces that it leaves and then refuses requests.
     while phase(&leaving).await == "leaving" {
-        let answer = exchange(other.addr(7001), get).await;
-        let refused = answer.contains("swiftcart-reason");
-        assert!(answer.starts_with("HTTP/1.1 200") || refused, "{answer}");
+        let response = send_raw(other.addr(7001), get).await;
+        let refused = response.contains("swiftcart-reason");
+        assert!(
+            response.starts_with("HTTP/1.1 200") || refused,
+            "{response}"
+        );
     }
 }
 
 #[tokio::test]
-async fn calls_through_a_node_that_finishes_go_to_other_nodes() {
+async fn finishing_node_forwards_calls_to_other_nodes() {
     let log = log_with(Limits::default()).await;
     let leaving = Daemon::start_with(log.addr(), &[], 500);
     let other = Daemon::start_with(log.addr(), &[leaving.addr(7004)], 0);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let beside = |daemon: &Daemon| BackendSettings::new(SERVICE).with_admin(daemon.addr(7003));
-    let own = BackendServer::start(any, beside(&leaving)).await.unwrap();
-    let far = BackendServer::start(any, beside(&other)).await.unwrap();
-    ready(&leaving).await;
-    ready(&other).await;
+    let settings_for =
+        |daemon: &Daemon| BackendSettings::new(SERVICE).with_admin(daemon.addr(7003));
+    let local_backend = BackendServer::start(any, settings_for(&leaving))
+        .await
+        .unwrap();
+    let remote_backend = BackendServer::start(any, settings_for(&other))
+        .await
+        .unwrap();
+    wait_until_ready(&leaving).await;
+    wait_until_ready(&other).await;
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
-    // Until each node knows the other's backend server.
+    // Wait until each node routes requests to both backend servers.
     until_async(async || {
-        exchange(leaving.addr(7001), get).await;
-        exchange(other.addr(7001), get).await;
-        own.stats().runs.started > 0 && far.stats().runs.started > 0
+        send_raw(leaving.addr(7001), get).await;
+        send_raw(other.addr(7001), get).await;
+        local_backend.stats().runs.started > 0 && remote_backend.stats().runs.started > 0
     })
     .await;
 
     leaving.signal("-TERM");
     until_async(async || phase(&leaving).await == "finishing").await;
-    let before = own.stats().runs.started;
-    let answer = exchange(leaving.addr(7001), get).await;
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let before = local_backend.stats().runs.started;
+    let response = send_raw(leaving.addr(7001), get).await;
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     assert_eq!(
-        own.stats().runs.started,
+        local_backend.stats().runs.started,
         before,
-        "its own takes nothing new"
+        "the local backend server got a new request"
     );
 }
 
 #[rstest]
-#[case::terminated_twice("-TERM")]
-#[case::interrupted("-INT")]
+#[case::terminate("-TERM")]
+#[case::interrupt("-INT")]
 #[tokio::test]
-async fn a_second_signal_ends_the_process_at_once(#[case] second: &str) {
+async fn second_signal_ends_the_process_at_once(#[case] second: &str) {
     let log = log_with(Limits::default()).await;
     let mut daemon = Daemon::start(log.addr());
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let settings = BackendSettings::new(SERVICE).with_admin(daemon.addr(7003));
     let _backend = BackendServer::start(any, settings).await.unwrap();
-    ready(&daemon).await;
+    wait_until_ready(&daemon).await;
     let mut upload = TcpStream::connect(daemon.addr(7001)).await.unwrap();
     let head = "PUT / HTTP/1.1\r\nhost: mesh\r\ncontent-length: 9\r\n\r\n";
     upload.write_all(head.as_bytes()).await.unwrap();
     daemon.signal("-TERM");
     let state = "GET /readyz HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
     until_async(async || {
-        exchange(daemon.addr(7003), state)
+        send_raw(daemon.addr(7003), state)
             .await
             .ends_with("stopping")
     })
     .await;
     daemon.signal(second);
     assert_eq!(daemon.exit_code().await, Some(1));
-    // The upload, still in flight, would have kept the process for ever.
+    // Without the second signal, the unfinished upload would keep the process running.
     tokio::time::timeout(Duration::from_secs(5), upload.read(&mut [0]))
         .await
         .expect("the connection ends with the process")
@@ -232,14 +240,17 @@
 }
 
 #[tokio::test]
-async fn a_node_that_stops_before_it_knew_a_configuration_denies_no_route() {
+async fn node_stopping_without_configuration_reports_not_ready() {
     let mut daemon = Daemon::start_with(dead_addr(), &[], 3_000);
     until_async(async || phase(&daemon).await == "no-config").await;
     daemon.signal("-TERM");
     until_async(async || phase(&daemon).await == "leaving").await;
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
-    let got = exchange(daemon.addr(7001), get).await;
-    assert!(got.starts_with("HTTP/1.1 503"), "{got}");
-    assert!(got.contains("swiftcart-reason: not-ready"), "{got}");
+    let response = send_raw(daemon.addr(7001), get).await;
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(
+        response.contains("swiftcart-reason: not-ready"),
+        "{response}"
+    );
     assert_eq!(daemon.exit_code().await, Some(0));
 }
