--- a/crates/swiftcart-node/src/admin/announce.rs
+++ b/crates/swiftcart-node/src/admin/announce.rs
@@ -94,7 +94,7 @@
         .count("swiftcart_announcements_total", "outcome", outcome_name);
     match outcome {
         AnnouncementOutcome::Newer => {}
-        AnnouncementOutcome::MissingStart => return Err(AnnounceError::NoStart),
+        AnnouncementOutcome::MissingStart => return Err(AnnounceError::MissingStart),
         AnnouncementOutcome::Replaced
         | AnnouncementOutcome::Restarted
         | AnnouncementOutcome::Late
--- a/crates/swiftcart-node/src/admin/announce/body.rs
+++ b/crates/swiftcart-node/src/admin/announce/body.rs
@@ -174,7 +174,7 @@
         check_range("start_ms", start, 0, MAX_SAFE_INTEGER)?;
         let now = unix_ms();
         match start > now.saturating_add(MAX_START_SKEW_MS) {
-            true => Err(AnnounceError::Ahead(start, now)),
+            true => Err(AnnounceError::FutureStart(start, now)),
             false => Ok(Some(StartTime(start))),
         }
     }
--- a/crates/swiftcart-node/src/admin/announce/error.rs
+++ b/crates/swiftcart-node/src/admin/announce/error.rs
@@ -68,11 +68,11 @@
             display("{name}: {err}: send the start time in whole Unix milliseconds")
         }
         /// The start time lies in the future by the clock of the instance.
-        Ahead(start: u64, now: u64) {
+        FutureStart(start: u64, now: u64) {
             display("start_ms: {start} is later than the current time {now}: correct the clock of the backend server")
         }
         /// The start time is missing, although other announcements of the backend server have it.
-        NoStart {
+        MissingStart {
             display("start_ms: missing: send it in every announcement or in none")
         }
     }
@@ -95,7 +95,9 @@
             Self::Readiness => "readiness",
             Self::Id(_) => "id",
             Self::Range(..) => "range",
-            Self::TwoStarts(_) | Self::Start(..) | Self::Ahead(..) | Self::NoStart => "start",
+            Self::TwoStarts(_) | Self::Start(..) | Self::FutureStart(..) | Self::MissingStart => {
+                "start"
+            }
         }
     }
 
--- a/crates/swiftcart-node/src/args.rs
+++ b/crates/swiftcart-node/src/args.rs
@@ -16,11 +16,11 @@
             display("{err}: see swiftcartd --help")
         }
         /// An argument is not an option.
-        Extra(word: String) {
-            display("unexpected argument {word:?}: see swiftcartd --help")
+        UnexpectedArgument(argument: String) {
+            display("unexpected argument {argument:?}: see swiftcartd --help")
         }
         /// The settings file is not given.
-        NoSettings {
+        MissingSettingsFile {
             display("missing settings file: pass it with --settings FILE")
         }
     }
@@ -55,21 +55,21 @@
     /// assert_eq!(args, Args::Run("node.json".into()));
     /// # Ok::<(), swiftcart_node::ArgsError>(())
     /// ```
-    pub fn parse<I>(words: I) -> Result<Self, ArgsError>
+    pub fn parse<I>(arguments: I) -> Result<Self, ArgsError>
     where
         I: IntoIterator,
         I::Item: AsRef<std::ffi::OsStr>,
     {
         let options = options();
-        let found = options.parse(words)?;
+        let found = options.parse(arguments)?;
         let file = found.opt_str("settings").map(PathBuf::from);
         match (found.free.first(), file) {
             _ if found.opt_present("help") => Ok(Self::Help(
                 options.usage("Usage: swiftcartd --settings FILE [--check]"),
             )),
             _ if found.opt_present("version") => Ok(Self::Version),
-            (Some(word), _) => Err(ArgsError::Extra(word.clone())),
-            (None, None) => Err(ArgsError::NoSettings),
+            (Some(argument), _) => Err(ArgsError::UnexpectedArgument(argument.clone())),
+            (None, None) => Err(ArgsError::MissingSettingsFile),
             (None, Some(file)) if found.opt_present("check") => Ok(Self::Check(file)),
             (None, Some(file)) => Ok(Self::Run(file)),
         }
--- a/crates/swiftcart-node/tests/stop.rs
+++ b/crates/swiftcart-node/tests/stop.rs
@@ -78,19 +78,19 @@
 
 /// Sends `text` on a new connection and returns everything received until it is closed.
 async fn send_raw(addr: SocketAddr, text: &str) -> String {
-    let mut response = Vec::new();
+    let mut received = Vec::new();
     if let Ok(mut socket) = TcpStream::connect(addr).await {
         let _ = socket.write_all(text.as_bytes()).await;
-        let _ = socket.read_to_end(&mut response).await;
+        let _ = socket.read_to_end(&mut received).await;
     }
-    String::from_utf8_lossy(&response).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 async fn wait_until_ready(daemon: &Daemon) {
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
     until_async(async || {
-        let response = send_raw(daemon.addr(7001), get).await;
-        response.starts_with("HTTP/1.1 200")
+        let received = send_raw(daemon.addr(7001), get).await;
+        received.starts_with("HTTP/1.1 200")
     })
     .await;
 }
@@ -246,11 +246,11 @@
     daemon.signal("-TERM");
     until_async(async || phase(&daemon).await == "leaving").await;
     let get = "GET / HTTP/1.1\r\nhost: mesh\r\nconnection: close\r\n\r\n";
-    let response = send_raw(daemon.addr(7001), get).await;
-    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    let received = send_raw(daemon.addr(7001), get).await;
+    assert!(received.starts_with("HTTP/1.1 503"), "{received}");
     assert!(
-        response.contains("swiftcart-reason: not-ready"),
-        "{response}"
+        received.contains("swiftcart-reason: not-ready"),
+        "{received}"
     );
     assert_eq!(daemon.exit_code().await, Some(0));
 }
