--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -293,7 +293,7 @@
     /// Returns [`Reason::Quarantined`] with the remaining time of the quarantine.
     fn check_quarantine(&self, call: &Call, request: &Request<Outgoing>) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return Ok(());
         }
         let print = FingerprintSource::new(call.print, request.body()).fingerprint();
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -23,7 +23,7 @@
         original: &OriginalRequest,
     ) -> Result<(), Refusal> {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return Ok(());
         }
         let bytes = self.shared.settings.limits.replay_bytes as usize;
@@ -53,7 +53,7 @@
         reason: Reason,
     ) -> bool {
         let suspects = &self.shared.suspects;
-        if !suspects.may_hold(call.print.head) {
+        if !suspects.may_be_quarantined(call.print.head) {
             return false;
         }
         let Some(print) = original.print(call.print) else {
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -136,7 +136,8 @@
     fn record_answer(&self, run: RunId, is_success: bool) {
         let source = self.lock().answered(run);
         let suspects = &self.shared.suspects;
-        let source = source.filter(|source| is_success && suspects.may_hold(source.call.head));
+        let source =
+            source.filter(|source| is_success && suspects.may_be_quarantined(source.call.head));
         if let Some(print) = source.and_then(|source| source.fingerprint()) {
             suspects.finished(self.shared.clock.now(), print);
         }
--- a/crates/swiftcart-node/src/control.rs
+++ b/crates/swiftcart-node/src/control.rs
@@ -40,7 +40,7 @@
 use self::control_loop::Control;
 use self::pulls::PullOutcome;
 use self::reader::Read;
-use crate::edge::{Edges, Listed};
+use crate::edge::{DirectoryListing, PlatformAdapters};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -50,7 +50,7 @@
     PullOutcome(Box<PullOutcome>),
     Read(Box<Result<Read, PlatformError>>),
     /// Contents of the directory.
-    Discovered(Listed),
+    Discovered(DirectoryListing),
     CheckpointAppended(Result<(), PlatformError>),
     /// State of a roll-out as recorded at the platform.
     RecordedRollout(RecordedRollout),
@@ -62,7 +62,10 @@
 /// # Errors
 ///
 /// Returns an error if an address cannot be bound.
-pub async fn open(shared: Arc<Shared>, edges: Edges) -> Result<BoundControl, ControlError> {
+pub async fn open(
+    shared: Arc<Shared>,
+    edges: PlatformAdapters,
+) -> Result<BoundControl, ControlError> {
     Control::open(shared, edges).await.map(BoundControl)
 }
 
--- a/crates/swiftcart-node/src/control/board.rs
+++ b/crates/swiftcart-node/src/control/board.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use super::Input;
-use crate::edge::{Board, RolloutBoard, RolloutRecord, RolloutState};
+use crate::edge::{RolloutBoard, RolloutRecord, RolloutRecords, RolloutState};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -82,7 +82,7 @@
     shared: Arc<Shared>,
     board: Arc<dyn RolloutBoard>,
     /// Last board that was read or written; `None` after an error or a conflicting write.
-    cached: Option<Board>,
+    cached: Option<RolloutRecords>,
 }
 
 impl WriterTask {
@@ -153,7 +153,7 @@
     old.order > new.order || (same && (ended || new.state == RolloutState::Running))
 }
 
-fn with_record(mut board: Board, record: &RolloutRecord, place: u64) -> Board {
+fn with_record(mut board: RolloutRecords, record: &RolloutRecord, place: u64) -> RolloutRecords {
     board.records.retain(|old| old.service != record.service);
     board.records.push(record.clone());
     board.place = place;
--- a/crates/swiftcart-node/src/control/finder.rs
+++ b/crates/swiftcart-node/src/control/finder.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::{Input, report_skipped};
-use crate::edge::{Asked, Directory, Listed};
+use crate::edge::{Directory, DirectoryListing, PlatformFuture};
 use crate::logging::Event;
 use crate::shared::Shared;
 
@@ -72,7 +72,11 @@
     }
 }
 
-async fn query_directory(shared: &Shared, directory: &dyn Directory, entered: bool) -> Listed {
+async fn query_directory(
+    shared: &Shared,
+    directory: &dyn Directory,
+    entered: bool,
+) -> DirectoryListing {
     let found = retry_until_ok(&shared.logger, || directory.find(shared.id, entered)).await;
     info!(shared.logger, ""; "event" => Event::Found, "nodes" => found.nodes.len(),
         "held" => found.memos.len());
@@ -85,7 +89,7 @@
 /// Repeats a request with backoff until it succeeds.
 pub(super) async fn retry_until_ok<'a, T>(
     logger: &Logger,
-    request: impl Fn() -> Asked<'a, T>,
+    request: impl Fn() -> PlatformFuture<'a, T>,
 ) -> T {
     let mut backoff = Backoff::new();
     let mut rng = SmallRng::from_os_rng();
--- a/crates/swiftcart-node/src/control/members.rs
+++ b/crates/swiftcart-node/src/control/members.rs
@@ -8,7 +8,7 @@
 };
 
 use super::control_loop::Control;
-use crate::edge::Listed;
+use crate::edge::DirectoryListing;
 use crate::logging::Event;
 
 /// Divisor of the slots that a cold backend server advertises, since its requests take longer.
@@ -93,7 +93,7 @@
     }
 
     /// Applies the contents of the directory: other nodes and quarantined requests.
-    pub(super) fn on_discovered(&mut self, discovered: &Listed) {
+    pub(super) fn on_discovered(&mut self, discovered: &DirectoryListing) {
         self.discovered = true;
         self.listed_nodes = discovered.nodes.len();
         let now = self.now();
--- a/crates/swiftcart-node/src/control/reader.rs
+++ b/crates/swiftcart-node/src/control/reader.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinHandle;
 
 use super::{Input, reachable};
-use crate::edge::{Behind, SnapshotSource};
+use crate::edge::{NextVersion, SnapshotSource};
 use crate::shared::Shared;
 
 /// Stream that holds publishes and checkpoints.
@@ -259,9 +259,9 @@
         let inputs = self.inputs.clone();
         self.task = Some(tokio::spawn(async move {
             let read = snapshots.behind(place).await.map(|behind| match behind {
-                Behind::Nothing => Read::Confirmed(version),
-                Behind::Newer(snapshot) => Read::Newest(Some(snapshot)),
-                Behind::Unknown => Read::UnknownPosition,
+                NextVersion::Nothing => Read::Confirmed(version),
+                NextVersion::Newer(snapshot) => Read::Newest(Some(snapshot)),
+                NextVersion::Unknown => Read::UnknownPosition,
             });
             // Sending fails only after the control loop has stopped.
             drop(inputs.send(Input::Read(Box::new(read))).await);
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -15,7 +15,7 @@
 use super::board::RecordedRollout;
 use super::control_loop::Control;
 use super::trials::WatchedRollout;
-use crate::clearing::{Cleared, RolloutRole};
+use crate::clearing::{RoleClearance, RolloutRole};
 use crate::edge::RolloutState;
 use crate::logging::{Event, unix_ms};
 
@@ -128,35 +128,35 @@
             .map(|own| own.release.clone());
         let cleared = match &backend {
             Some(backend) => self.clearance_of(backend, release.as_ref()),
-            None => Cleared::default(),
+            None => RoleClearance::default(),
         };
         let epoch = rand::rng().random();
         if self.shared.clearing.adopt(cleared.clone(), epoch)
-            && let Some(part) = cleared.part
+            && let Some(rollout_role) = cleared.rollout_role
         {
-            info!(self.shared.logger, ""; "event" => Event::Rollout, "service" => %part.service,
-                "order" => part.order.0, "side" => ?part.side, "clearance" => ?cleared.clearance,
+            info!(self.shared.logger, ""; "event" => Event::Rollout, "service" => %rollout_role.service,
+                "order" => rollout_role.order.0, "side" => ?rollout_role.side, "clearance" => ?cleared.clearance,
                 "release" => release.as_ref().map(Release::as_str));
         }
         self.advertise_backend(self.now());
     }
 
-    fn clearance_of(&self, backend: &Backend, release: Option<&Release>) -> Cleared {
+    fn clearance_of(&self, backend: &Backend, release: Option<&Release>) -> RoleClearance {
         let rollouts = &self.watch.rollouts;
         let Some((rollout, side)) = rollouts.side(&backend.service, release) else {
-            return Cleared::default();
+            return RoleClearance::default();
         };
-        let part = RolloutRole {
+        let rollout_role = RolloutRole {
             service: backend.service.clone(),
             order: rollout.order,
             side,
         };
         let batch = match rollout.stage {
-            RolloutStage::Moving(_) => self.shared.clearing.turn(self.batch_of(backend)),
+            RolloutStage::Moving(_) => self.shared.clearing.rollout_batch(self.batch_of(backend)),
             _ => RolloutBatch::FIRST,
         };
-        Cleared {
-            part: Some(part),
+        RoleClearance {
+            rollout_role: Some(rollout_role),
             clearance: rollout.stage.clearance(side, batch),
         }
     }
--- a/crates/swiftcart-node/src/lib.rs
+++ b/crates/swiftcart-node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node of swiftcart: the edges around `swiftcart-core`.
+//! The swiftcart node: networking, timers and metrics around `swiftcart-core`.
 //!
-//! One node runs beside each backend server. It takes callers' requests
-//! (*ingress*), guards its own backend server (*guard*), and follows the
-//! configuration and the other nodes (*control*).
+//! One node runs beside each backend server. It accepts callers' requests (*ingress*), hands
+//! requests to its own backend server (*guard*), and follows the configuration and the other
+//! nodes (*control*).
 
 mod admin;
 mod args;
@@ -32,8 +32,8 @@
 pub use control::ControlError;
 pub use counters::{Counters, Stage};
 pub use edge::{
-    Asked, Behind, Board, Directory, Edges, Listed, RolloutBoard, RolloutRecord, RolloutState,
-    SnapshotSource,
+    Directory, DirectoryListing, NextVersion, PlatformAdapters, PlatformFuture, RolloutBoard,
+    RolloutRecord, RolloutRecords, RolloutState, SnapshotSource,
 };
 pub use faults::Faults;
 pub use logging::{Event, open as open_log, silent as silent_log};
--- a/crates/swiftcart-node/src/main.rs
+++ b/crates/swiftcart-node/src/main.rs
@@ -1,9 +1,9 @@
-//! `swiftcartd`, the node beside a backend server.
+//! The `swiftcartd` program, which runs the node beside a backend server.
 
 use std::process::ExitCode;
 
-use swiftcart_node::{Edges, run_program};
+use swiftcart_node::{PlatformAdapters, run_program};
 
 fn main() -> ExitCode {
-    run_program("swiftcartd", |_| Edges::new())
+    run_program("swiftcartd", |_| PlatformAdapters::new())
 }
