--- a/crates/swiftcart-cli/src/account.rs
+++ b/crates/swiftcart-cli/src/account.rs
@@ -12,30 +12,30 @@
 use crate::Error;
 
 /// The fewest digits of a key's hash that name the key.
-pub const LEAST_DIGITS: usize = 4;
+pub const MIN_HASH_DIGITS: usize = 4;
 
 quick_error! {
     /// Tells why a change of an account makes no sense for the current table.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AccountError {
         /// The account is there already.
-        Taken(name: AccountName) {
+        AlreadyExists(name: AccountName) {
             display("account {name} is there already; change it with account rotate, revoke, quota or homes")
         }
         /// The account is not there.
-        Unknown(name: AccountName) {
+        NotFound(name: AccountName) {
             display("the table has no account {name}; see account list")
         }
         /// No key has such a hash.
-        NoKey(name: AccountName, digits: String) {
+        KeyNotFound(name: AccountName, digits: String) {
             display("account {name} has no key whose hash begins with {digits}; see account list")
         }
         /// No one knows yet whether the change was taken.
-        Unsettled(name: AccountName, detail: String) {
+        OutcomeUnknown(name: AccountName, detail: String) {
             display("outcome unknown ({detail}): look with account list what became of {name}; a key that was not shown cannot be used, revoke it there")
         }
         /// Several keys have such a hash.
-        ManyKeys(name: AccountName, digits: String) {
+        AmbiguousKey(name: AccountName, digits: String) {
             display("several keys of account {name} have hashes that begin with {digits}; give more digits")
         }
     }
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// [`Error::Random`] when the system gives none.
-    pub fn draw() -> Result<Self, Error> {
+    pub fn generate() -> Result<Self, Error> {
         let mut bytes = [0; 16];
         OsRng.try_fill_bytes(&mut bytes)?;
         Ok(Self(format!("{:032x}", u128::from_be_bytes(bytes))))
@@ -109,7 +109,7 @@
 
     /// Tells whether the change brings a new key.
     #[must_use]
-    pub const fn wants_key(&self) -> bool {
+    pub const fn needs_key(&self) -> bool {
         matches!(self, Self::Add(..) | Self::Rotate(_))
     }
 
@@ -123,7 +123,7 @@
     ///
     /// let rotate = AccountChange::Rotate(AccountName::new("harbour"));
     /// let refused = rotate.edits(&Table::new(), KeyHash::of(b"new")).unwrap_err();
-    /// assert_eq!(refused, AccountError::Unknown(AccountName::new("harbour")));
+    /// assert_eq!(refused, AccountError::NotFound(AccountName::new("harbour")));
     /// ```
     ///
     /// # Errors
@@ -131,27 +131,30 @@
     /// [`AccountError`] when the table and the change do not fit.
     pub fn edits(&self, table: &Table, key: KeyHash) -> Result<Vec<Edit>, AccountError> {
         let name = self.name();
-        let held = table.accounts().find(|(held, _)| *held == name);
-        let held = held.map(|(_, account)| account.clone());
-        let known = || {
-            held.clone()
-                .ok_or_else(|| AccountError::Unknown(name.clone()))
+        let found = table.accounts().find(|(found, _)| *found == name);
+        let found = found.map(|(_, account)| account.clone());
+        let existing = || {
+            found
+                .clone()
+                .ok_or_else(|| AccountError::NotFound(name.clone()))
         };
         let account = match self {
-            Self::Add(..) if held.is_some() => return Err(AccountError::Taken(name.clone())),
+            Self::Add(..) if found.is_some() => {
+                return Err(AccountError::AlreadyExists(name.clone()));
+            }
             Self::Add(_, account) => account.clone().with_key(key),
-            Self::Rotate(_) => known()?.with_key(key),
-            Self::Revoke(_, digits) => without_key(name, known()?, digits)?,
+            Self::Rotate(_) => existing()?.with_key(key),
+            Self::Revoke(_, digits) => without_key(name, existing()?, digits)?,
             Self::Quota(_, quota) => Account {
                 quota: *quota,
-                ..known()?
+                ..existing()?
             },
             Self::Homes(_, homes) => {
-                known()?;
+                existing()?;
                 return Ok(vec![homes_edit(name, homes)]);
             }
             Self::Remove(_) => {
-                known()?;
+                existing()?;
                 let homes = table.account_homes(name).is_some();
                 let homes = homes.then(|| homes_edit(name, &Homes::new()));
                 let account = Edit {
@@ -170,9 +173,9 @@
 
 /// Returns what an operator sees of an account: no key, only hashes.
 #[must_use]
-pub fn account_row(table: &Table, name: &AccountName, account: &Account) -> [String; 5] {
+pub fn account_cells(table: &Table, name: &AccountName, account: &Account) -> [String; 5] {
     let none = || "-".to_owned();
-    let keys: Vec<_> = account.keys.iter().map(|key| short(*key)).collect();
+    let keys: Vec<_> = account.keys.iter().map(|key| short_hash(*key)).collect();
     let quota = account.quota;
     let homes = table.account_homes(name);
     let homes = homes.map(|homes| {
@@ -196,8 +199,8 @@
 }
 
 /// Returns the first digits of a key's hash.
-fn short(key: KeyHash) -> String {
-    key.to_string().chars().take(2 * LEAST_DIGITS).collect()
+fn short_hash(key: KeyHash) -> String {
+    key.to_string().chars().take(2 * MIN_HASH_DIGITS).collect()
 }
 
 fn homes_edit(name: &AccountName, homes: &Homes) -> Edit {
@@ -212,14 +215,19 @@
     mut account: Account,
     digits: &str,
 ) -> Result<Account, AccountError> {
-    let fits = |key: &&KeyHash| key.to_string().starts_with(digits);
-    let found: Vec<KeyHash> = account.keys.iter().filter(fits).copied().collect();
-    match found[..] {
+    let matches_digits = |key: &&KeyHash| key.to_string().starts_with(digits);
+    let keys: Vec<KeyHash> = account
+        .keys
+        .iter()
+        .filter(matches_digits)
+        .copied()
+        .collect();
+    match keys[..] {
         [key] => {
             account.keys.remove(&key);
             Ok(account)
         }
-        [] => Err(AccountError::NoKey(name.clone(), digits.to_owned())),
-        _ => Err(AccountError::ManyKeys(name.clone(), digits.to_owned())),
+        [] => Err(AccountError::KeyNotFound(name.clone(), digits.to_owned())),
+        _ => Err(AccountError::AmbiguousKey(name.clone(), digits.to_owned())),
     }
 }
--- a/crates/swiftcart-cli/src/admin.rs
+++ b/crates/swiftcart-cli/src/admin.rs
@@ -15,8 +15,8 @@
 use swiftcart_core::{FailureDomain, Member, NodeId, Version};
 use tokio::time::timeout;
 
-const TIMEOUT: Duration = Duration::from_secs(2);
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 quick_error! {
     /// Tells why a node gave no answer.
@@ -52,17 +52,17 @@
 
 /// Asks nodes; a clone shares its connections.
 #[derive(Debug, Clone)]
-pub struct Admin {
+pub struct AdminClient {
     client: Client<HttpConnector, Empty<Bytes>>,
 }
 
-impl Default for Admin {
+impl Default for AdminClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Admin {
+impl AdminClient {
     /// Creates a client; it connects when first used.
     #[must_use]
     pub fn new() -> Self {
@@ -80,7 +80,7 @@
     ///
     /// The node gave no answer.
     pub async fn members(&self, addr: SocketAddr) -> Result<Vec<Member>, AdminError> {
-        self.ask(addr, "/v1/members").await
+        self.query(addr, "/v1/members").await
     }
 
     /// Asks the node at `addr` for its own state.
@@ -89,17 +89,17 @@
     ///
     /// The node gave no answer.
     pub async fn state(&self, addr: SocketAddr) -> Result<NodeState, AdminError> {
-        self.ask(addr, "/v1/state").await
+        self.query(addr, "/v1/state").await
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn query<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
     ) -> Result<T, AdminError> {
         let uri = format!("http://{addr}{path}");
         let uri = uri.parse().map_err(|_| AdminError::Unreachable)?;
-        let bytes = timeout(TIMEOUT, self.fetch(uri)).await;
+        let bytes = timeout(REQUEST_TIMEOUT, self.fetch(uri)).await;
         let bytes = bytes.map_err(|_| AdminError::Unreachable)??;
         serde_json::from_slice(&bytes).map_err(|_| AdminError::Malformed)
     }
@@ -111,7 +111,9 @@
             StatusCode::OK => {}
             _ => return Err(AdminError::Malformed),
         }
-        let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await;
         body.map(http_body_util::Collected::to_bytes)
             .map_err(|_| AdminError::Malformed)
     }
--- a/crates/swiftcart-cli/src/args.rs
+++ b/crates/swiftcart-cli/src/args.rs
@@ -13,16 +13,16 @@
 use swiftcart_core::{PublishId, ServiceName, Version};
 
 use crate::{AccountChange, Error, MAX_NODES, Settings};
-use value::{ADDR, FORMAT, NODE, file, limit, publish_id, seconds, value, version};
+use value::{ADDR_HINT, FORMAT_HINT, NODE_HINT, file, limit, publish_id, seconds, value, version};
 
 /// The time that `--wait` waits unless it is given a number of seconds.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(30);
 
 /// The number of publishes that `history` shows unless it is given one.
-pub const DEFAULT_LIMIT: usize = 20;
+pub const DEFAULT_HISTORY_LIMIT: usize = 20;
 
 /// The most publishes that `history` shows.
-pub const MAX_LIMIT: usize = 10_000;
+pub const MAX_HISTORY_LIMIT: usize = 10_000;
 
 /// Holds the whole command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,21 +41,21 @@
     /// Print this help.
     Help(String),
     /// Print the program's version.
-    About,
+    Version,
     /// Write the table as a sheet.
-    Pull(Pull),
+    Pull(PullOptions),
     /// Check a sheet without the platform.
     Check(PathBuf),
     /// Compare a sheet with a version.
-    Diff(Diff),
+    Diff(DiffOptions),
     /// Publish a sheet.
-    Publish(Publishing),
+    Publish(PublishOptions),
     /// Show the last publishes; this many.
     History(usize),
     /// Show which nodes have which version.
     Status,
     /// Tell from log files what became of a request.
-    Explain(Explain),
+    Explain(ExplainOptions),
     /// Show the client accounts.
     Accounts,
     /// Change a client account.
@@ -64,7 +64,7 @@
 
 /// Options of `explain`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Explain {
+pub struct ExplainOptions {
     /// The request's id.
     pub id: String,
     /// The log files of the nodes.
@@ -73,7 +73,7 @@
 
 /// Options of `table pull`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pull {
+pub struct PullOptions {
     /// The version to write, or the current one.
     pub version: Option<Version>,
     /// The form to write.
@@ -86,7 +86,7 @@
 
 /// Options of `table diff`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Diff {
+pub struct DiffOptions {
     /// The sheet.
     pub file: PathBuf,
     /// The version to compare with, or the current one.
@@ -97,12 +97,12 @@
 
 /// Options of `table publish`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Publishing {
+pub struct PublishOptions {
     /// The sheet.
     pub file: PathBuf,
     /// The id, to settle an earlier publish; drawn at random otherwise.
     pub id: Option<PublishId>,
-    /// The version that the sheet was made from, in place of the sheet's own.
+    /// The version that the sheet was made from, in place of the base row.
     pub base: Option<Version>,
     /// How long to wait until the version is in force everywhere.
     pub wait: Option<Duration>,
@@ -136,16 +136,18 @@
     ///
     /// The command line or the settings file is not valid.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
-        let mut leading = help::globals();
-        leading
+        let mut global_options = help::globals();
+        global_options
             .optflag("V", "version", "")
             .parsing_style(ParsingStyle::StopAtFirstFree);
-        let head = leading.parse(args)?;
-        let words: Vec<_> = head.free.iter().map(String::as_str).collect();
+        let globals = global_options.parse(args)?;
+        let words: Vec<_> = globals.free.iter().map(String::as_str).collect();
         let (command, rest) = match words[..] {
-            _ if head.opt_present("version") => return Ok(Self::plain(Command::About)),
-            [] if head.opt_present("help") => return Ok(Self::plain(Command::Help(help::all()))),
-            [] => return Err(Error::Missing("the command")),
+            _ if globals.opt_present("version") => return Ok(Self::plain(Command::Version)),
+            [] if globals.opt_present("help") => {
+                return Ok(Self::plain(Command::Help(help::all())));
+            }
+            [] => return Err(Error::MissingArgument("the command")),
             ["help", ..] => return Ok(Self::plain(Command::Help(help::all()))),
             ["table", "pull", ..] => (help::Name::Pull, 2),
             ["table", "check", ..] => (help::Name::Check, 2),
@@ -159,15 +161,17 @@
             }
             ["account", word, ..] => match accounts::Name::of(word) {
                 Some(name) => (help::Name::Account(name), 2),
-                None => return Err(Error::Command(format!("account {word}"))),
+                None => return Err(Error::UnknownCommand(format!("account {word}"))),
             },
-            ["table", word, ..] => return Err(Error::Command(format!("table {word}"))),
-            [word, ..] => return Err(Error::Command(word.into())),
+            ["table", word, ..] => return Err(Error::UnknownCommand(format!("table {word}"))),
+            [word, ..] => return Err(Error::UnknownCommand(word.into())),
         };
-        let own = command.options().parse(joined(&head.free[rest..]))?;
-        match head.opt_present("help") || own.opt_present("help") {
+        let matches = command
+            .options()
+            .parse(join_wait_value(&globals.free[rest..]))?;
+        match globals.opt_present("help") || matches.opt_present("help") {
             true => Ok(Self::plain(Command::Help(command.help()))),
-            false => Self::build(command, &head, &own),
+            false => Self::build(command, &globals, &matches),
         }
     }
 
@@ -179,21 +183,21 @@
         }
     }
 
-    fn build(name: help::Name, head: &Matches, own: &Matches) -> Result<Self, Error> {
-        let settings = settings(head, own)?;
-        let json = head.opt_present("json") || own.opt_present("json");
+    fn build(name: help::Name, globals: &Matches, matches: &Matches) -> Result<Self, Error> {
+        let settings = settings(globals, matches)?;
+        let json = globals.opt_present("json") || matches.opt_present("json");
         let command = match name {
-            help::Name::Pull => Command::Pull(pull(own, json)?),
-            help::Name::Check => Command::Check(file(own)?),
-            help::Name::Diff => Command::Diff(diff(own)?),
-            help::Name::Publish => Command::Publish(publishing(own)?),
-            help::Name::History => Command::History(limit(own)?),
+            help::Name::Pull => Command::Pull(pull(matches, json)?),
+            help::Name::Check => Command::Check(file(matches)?),
+            help::Name::Diff => Command::Diff(diff(matches)?),
+            help::Name::Publish => Command::Publish(publishing(matches)?),
+            help::Name::History => Command::History(limit(matches)?),
             help::Name::Status => Command::Status,
-            help::Name::Explain => Command::Explain(explain(own)?),
-            help::Name::Account(name) => accounts::command(name, own)?,
+            help::Name::Explain => Command::Explain(explain(matches)?),
+            help::Name::Account(name) => accounts::command(name, matches)?,
         };
-        match own.free.get(name.arguments()) {
-            Some(extra) => Err(Error::Extra(extra.clone())),
+        match matches.free.get(name.arguments()) {
+            Some(extra) => Err(Error::ExtraArgument(extra.clone())),
             None => Ok(Self {
                 settings,
                 json,
@@ -204,7 +208,7 @@
 }
 
 /// Joins `--wait 60`, which the parser takes only as `--wait=60`.
-fn joined(args: &[String]) -> Vec<String> {
+fn join_wait_value(args: &[String]) -> Vec<String> {
     let is_number = |arg: &String| arg.parse::<u64>().is_ok();
     let mut joined: Vec<String> = Vec::new();
     for arg in args {
@@ -217,26 +221,30 @@
 }
 
 /// Lays the command line's options over the settings file.
-fn settings(head: &Matches, own: &Matches) -> Result<Settings, Error> {
-    let either = |name: &str| own.opt_str(name).or_else(|| head.opt_str(name));
+fn settings(globals: &Matches, matches: &Matches) -> Result<Settings, Error> {
+    let either = |name: &str| matches.opt_str(name).or_else(|| globals.opt_str(name));
     let mut settings = match either("settings") {
         Some(path) => Settings::load(path.as_ref())?,
         None => Settings::default(),
     };
     if let Some(text) = either("platform") {
-        settings.platform = Some(value("platform", &text, ADDR)?);
+        settings.platform = Some(value("platform", &text, ADDR_HINT)?);
     }
     if let Some(text) = either("timeout") {
         settings.timeout = seconds("timeout", &text)?;
     }
-    if own.opt_defined("author") {
-        settings.author = own.opt_str("author").or(settings.author);
+    if matches.opt_defined("author") {
+        settings.author = matches.opt_str("author").or(settings.author);
     }
-    let names = [head.opt_strs("node"), own.opt_strs("node")].concat();
+    let names = [globals.opt_strs("node"), matches.opt_strs("node")].concat();
     if names.len() > MAX_NODES {
-        return Err(Error::Value("node", names.len().to_string(), NODE));
+        return Err(Error::InvalidValue(
+            "node",
+            names.len().to_string(),
+            NODE_HINT,
+        ));
     }
-    let nodes = names.iter().map(|text| value("node", text, NODE));
+    let nodes = names.iter().map(|text| value("node", text, NODE_HINT));
     let nodes: Vec<SocketAddr> = nodes.collect::<Result<_, _>>()?;
     if !nodes.is_empty() {
         settings.nodes = nodes;
@@ -244,60 +252,60 @@
     Ok(settings)
 }
 
-fn pull(own: &Matches, json: bool) -> Result<Pull, Error> {
-    let format = match own.opt_str("format").as_deref() {
+fn pull(matches: &Matches, json: bool) -> Result<PullOptions, Error> {
+    let format = match matches.opt_str("format").as_deref() {
         None if json => Format::Json,
         None | Some("csv") => Format::Csv,
         Some("json") => Format::Json,
-        Some(other) => return Err(Error::Value("format", other.into(), FORMAT)),
+        Some(other) => return Err(Error::InvalidValue("format", other.into(), FORMAT_HINT)),
     };
-    Ok(Pull {
-        version: version(own, "version")?,
+    Ok(PullOptions {
+        version: version(matches, "version")?,
         format,
-        output: own.opt_str("output").map(PathBuf::from),
-        force: own.opt_present("force"),
+        output: matches.opt_str("output").map(PathBuf::from),
+        force: matches.opt_present("force"),
     })
 }
 
-fn diff(own: &Matches) -> Result<Diff, Error> {
-    Ok(Diff {
-        file: file(own)?,
-        against: version(own, "against")?,
-        scope: scope(own),
+fn diff(matches: &Matches) -> Result<DiffOptions, Error> {
+    Ok(DiffOptions {
+        file: file(matches)?,
+        against: version(matches, "against")?,
+        scope: scope(matches),
     })
 }
 
-fn publishing(own: &Matches) -> Result<Publishing, Error> {
-    let id = own.opt_str("id");
-    let wait = match own.opt_str("wait") {
+fn publishing(matches: &Matches) -> Result<PublishOptions, Error> {
+    let id = matches.opt_str("id");
+    let wait = match matches.opt_str("wait") {
         Some(text) => Some(seconds("wait", &text)?),
-        None => own.opt_present("wait").then_some(DEFAULT_WAIT),
+        None => matches.opt_present("wait").then_some(DEFAULT_WAIT),
     };
-    Ok(Publishing {
-        file: file(own)?,
+    Ok(PublishOptions {
+        file: file(matches)?,
         id: id.map(|text| publish_id(&text)).transpose()?,
-        base: version(own, "base")?,
+        base: version(matches, "base")?,
         wait,
-        scope: scope(own),
+        scope: scope(matches),
     })
 }
 
-fn explain(own: &Matches) -> Result<Explain, Error> {
-    match &own.free[..] {
-        [] => Err(Error::Missing("the request's id")),
-        [_] => Err(Error::Missing("the log file")),
-        [id, files @ ..] => Ok(Explain {
+fn explain(matches: &Matches) -> Result<ExplainOptions, Error> {
+    match &matches.free[..] {
+        [] => Err(Error::MissingArgument("the request's id")),
+        [_] => Err(Error::MissingArgument("the log file")),
+        [id, files @ ..] => Ok(ExplainOptions {
             id: id.clone(),
             files: files.iter().map(PathBuf::from).collect(),
         }),
     }
 }
 
-fn scope(own: &Matches) -> Scope {
-    let only = own.opt_strs("only").into_iter().map(ServiceName::new);
+fn scope(matches: &Matches) -> Scope {
+    let only = matches.opt_strs("only").into_iter().map(ServiceName::new);
     Scope {
         only: only.collect(),
-        prune: own.opt_present("prune"),
+        prune: matches.opt_present("prune"),
     }
 }
 
--- a/crates/swiftcart-cli/src/args/accounts.rs
+++ b/crates/swiftcart-cli/src/args/accounts.rs
@@ -5,12 +5,12 @@
 
 use super::Command;
 use super::value::value;
-use crate::{AccountChange, Error, LEAST_DIGITS};
+use crate::{AccountChange, Error, MIN_HASH_DIGITS};
 
-const RATE: &str = "write requests a second from 1 to 4294967295";
-const BURST: &str = "write requests from 1 to 4294967295";
-const RANK: &str = "write a rank from 0 to 255, 0 goes first";
-const KEY: &str = "write the first digits of a hash that account list shows, at least 4";
+const RATE_HINT: &str = "write requests a second from 1 to 4294967295";
+const BURST_HINT: &str = "write requests from 1 to 4294967295";
+const RANK_HINT: &str = "write a rank from 0 to 255, 0 goes first";
+const KEY_HINT: &str = "write the first digits of a hash that account list shows, at least 4";
 
 const LIST: &str = "\
 Usage: swiftcart account list [OPTIONS]
@@ -128,44 +128,44 @@
 }
 
 /// Returns what the command line asks for.
-pub(super) fn command(name: Name, own: &Matches) -> Result<Command, Error> {
+pub(super) fn command(name: Name, matches: &Matches) -> Result<Command, Error> {
     let change = match name {
         Name::List => return Ok(Command::Accounts),
-        Name::Add => AccountChange::Add(account(own)?, added(own)?),
-        Name::Rotate => AccountChange::Rotate(account(own)?),
-        Name::Revoke => AccountChange::Revoke(account(own)?, digits(own)?),
-        Name::Quota => AccountChange::Quota(account(own)?, quota(own)?),
-        Name::Homes => AccountChange::Homes(account(own)?, homes(own)),
-        Name::Remove => AccountChange::Remove(account(own)?),
+        Name::Add => AccountChange::Add(account(matches)?, new_account(matches)?),
+        Name::Rotate => AccountChange::Rotate(account(matches)?),
+        Name::Revoke => AccountChange::Revoke(account(matches)?, digits(matches)?),
+        Name::Quota => AccountChange::Quota(account(matches)?, quota(matches)?),
+        Name::Homes => AccountChange::Homes(account(matches)?, homes(matches)),
+        Name::Remove => AccountChange::Remove(account(matches)?),
     };
     Ok(Command::Account(change))
 }
 
-fn account(own: &Matches) -> Result<AccountName, Error> {
-    let name = own.free.first();
+fn account(matches: &Matches) -> Result<AccountName, Error> {
+    let name = matches.free.first();
     name.map(AccountName::new)
-        .ok_or(Error::Missing("the account's name"))
+        .ok_or(Error::MissingArgument("the account's name"))
 }
 
-fn added(own: &Matches) -> Result<Account, Error> {
-    let rank = own.opt_str("rank");
-    let rank = rank.map(|text| value("rank", &text, RANK).map(Priority));
+fn new_account(matches: &Matches) -> Result<Account, Error> {
+    let rank = matches.opt_str("rank");
+    let rank = rank.map(|text| value("rank", &text, RANK_HINT).map(Priority));
     Ok(Account {
-        quota: quota(own)?,
+        quota: quota(matches)?,
         priority: rank.transpose()?,
         ..Account::new()
     })
 }
 
-fn quota(own: &Matches) -> Result<Option<Quota>, Error> {
-    let number = |option: &'static str, cure| {
-        let text = own.opt_str(option);
-        text.map(|text| value(option, &text, cure)).transpose()
+fn quota(matches: &Matches) -> Result<Option<Quota>, Error> {
+    let number = |option: &'static str, hint| {
+        let text = matches.opt_str(option);
+        text.map(|text| value(option, &text, hint)).transpose()
     };
-    let (rate, burst) = (number("rate", RATE)?, number("burst", BURST)?);
+    let (rate, burst) = (number("rate", RATE_HINT)?, number("burst", BURST_HINT)?);
     match (rate, burst) {
         (None, None) => Ok(None),
-        (None, Some(_)) => Err(Error::Missing("--rate, to which --burst belongs,")),
+        (None, Some(_)) => Err(Error::MissingArgument("--rate, to which --burst belongs,")),
         (Some(rate), burst) => Ok(Some(Quota {
             rate,
             burst: burst.unwrap_or(rate),
@@ -173,16 +173,19 @@
     }
 }
 
-fn digits(own: &Matches) -> Result<String, Error> {
-    let digits = own.free.get(1).ok_or(Error::Missing("the key's hash"))?;
+fn digits(matches: &Matches) -> Result<String, Error> {
+    let digits = matches
+        .free
+        .get(1)
+        .ok_or(Error::MissingArgument("the key's hash"))?;
     let hex = digits.bytes().all(|b| b.is_ascii_hexdigit());
-    match hex && digits.len() >= LEAST_DIGITS {
+    match hex && digits.len() >= MIN_HASH_DIGITS {
         true => Ok(digits.to_ascii_lowercase()),
-        false => Err(Error::Value("KEY", digits.clone(), KEY)),
+        false => Err(Error::InvalidValue("KEY", digits.clone(), KEY_HINT)),
     }
 }
 
-fn homes(own: &Matches) -> Homes {
-    let regions = own.free.iter().skip(1);
+fn homes(matches: &Matches) -> Homes {
+    let regions = matches.free.iter().skip(1);
     regions.map(Region::new).collect()
 }
--- a/crates/swiftcart-cli/src/error.rs
+++ b/crates/swiftcart-cli/src/error.rs
@@ -11,7 +11,7 @@
 use crate::{AccountError, Exit, Fault, SettingsError};
 
 /// Faults of a sheet that a message names before it only counts the rest.
-const NAMED: usize = 50;
+const MAX_LISTED_FAULTS: usize = 50;
 
 quick_error! {
     /// Tells why a command failed and what to do.
@@ -24,24 +24,24 @@
             source(e)
         }
         /// The command is unknown.
-        Command(words: String) {
+        UnknownCommand(words: String) {
             display("there is no command {words:?}; see swiftcart --help")
         }
         /// An argument is missing.
-        Missing(what: &'static str) {
+        MissingArgument(what: &'static str) {
             display("{what} is missing; see --help of the command")
         }
         /// There are more arguments than the command takes.
-        Extra(argument: String) {
+        ExtraArgument(argument: String) {
             display("the argument {argument:?} is one too many; see --help of the command")
         }
         /// An option's value cannot be understood.
-        Value(option: &'static str, value: String, cure: &'static str) {
-            display("--{option}: {value:?} is not valid; {cure}")
+        InvalidValue(option: &'static str, value: String, hint: &'static str) {
+            display("--{option}: {value:?} is not valid; {hint}")
         }
         /// A needed setting is neither on the command line nor in the settings.
-        Unset(what: &'static str, cure: &'static str) {
-            display("{what} is not set; {cure}")
+        MissingSetting(what: &'static str, hint: &'static str) {
+            display("{what} is not set; {hint}")
         }
         /// The settings file is wrong.
         Settings(e: SettingsError) {
@@ -55,27 +55,27 @@
             source(e)
         }
         /// The file to write exists.
-        Exists(path: PathBuf) {
+        FileExists(path: PathBuf) {
             display("{} exists; give --force to overwrite it", path.display())
         }
         /// The file is too large to be a sheet.
-        Large(path: PathBuf, limit: u64) {
+        FileTooLarge(path: PathBuf, limit: u64) {
             display("{}: over {limit} bytes, which no valid table needs", path.display())
         }
         /// Cells of the sheet are wrong.
         Sheet(path: PathBuf, faults: Vec<Fault>) {
-            display("{}", list(path, faults))
+            display("{}", format_faults(path, faults))
         }
         /// The sheet does not say which version it was made from.
-        NoBase(path: PathBuf) {
+        MissingBase(path: PathBuf) {
             display("{}: no row of kind base; pull the table again or give --base N", path.display())
         }
         /// A service given by `--only` is in neither the sheet nor the base.
-        NoService(name: ServiceName) {
+        UnknownService(name: ServiceName) {
             display("--only: neither the sheet nor the table has a service {name:?}; correct the name", name = name.as_str())
         }
         /// The version was never accepted, or the log no longer keeps it.
-        NoVersion(version: Version, current: Version) {
+        UnknownVersion(version: Version, current: Version) {
             display("version {version} was not accepted or is no longer kept; the current version is {current}")
         }
         /// The platform is out of reach; nothing was published.
@@ -88,24 +88,24 @@
             display("records before offset {first} have expired and no checkpoint covers them")
         }
         /// Records expired faster than they were read.
-        Expired {
+        RecordsExpired {
             display("records expire faster than they can be read; try again")
         }
         /// The log follows a later rule.
-        Rule(rule: u16) {
+        UnknownRule(rule: u16) {
             display("the log has records of rule {rule}, which this release does not know; upgrade swiftcart")
         }
         /// The publish does not fit into one record.
-        Record(bytes: usize, limit: usize) {
+        PublishTooLarge(bytes: usize, limit: usize) {
             display("the publish has {bytes} bytes, over {limit}; publish fewer services at once with --only")
         }
         /// No one knows yet whether the publish was taken.
-        Unsettled(id: PublishId, e: PlatformError) {
+        OutcomeUnknown(id: PublishId, e: PlatformError) {
             display("outcome unknown ({e}): run the same command again with --id {id} to settle it; that publishes at most once")
             source(e)
         }
         /// The id was used for other edits.
-        Reused(id: PublishId) {
+        IdReused(id: PublishId) {
             display("--id {id} was used for a publish with other edits; leave --id out for a new publish")
         }
         /// The operating system gives no random numbers.
@@ -115,11 +115,11 @@
             source(e)
         }
         /// No node told its members.
-        NoNode(tried: Vec<SocketAddr>) {
+        NodesUnreachable(tried: Vec<SocketAddr>) {
             display("none of the nodes {tried:?} answers; give another one by --node IP:PORT")
         }
         /// No log file names the request.
-        NoRequest(id: String, files: usize) {
+        RequestNotFound(id: String, files: usize) {
             display("none of the {files} files has a line of the request {id:?}; \
                 give the logs of all nodes from the time of the request, and the id as the caller sent it")
         }
@@ -142,25 +142,33 @@
     #[must_use]
     pub const fn exit(&self) -> Exit {
         match self {
-            Self::Option(_) | Self::Command(_) | Self::Missing(_) | Self::Extra(_) => Exit::Usage,
-            Self::Value(..) | Self::Unset(..) | Self::Settings(_) => Exit::Usage,
-            Self::Large(..) | Self::Sheet(..) | Self::NoBase(_) => Exit::Usage,
-            Self::NoService(_) | Self::NoVersion(..) | Self::Reused(_) => Exit::Usage,
-            Self::Record(..) | Self::Exists(_) => Exit::Usage,
+            Self::Option(_)
+            | Self::UnknownCommand(_)
+            | Self::MissingArgument(_)
+            | Self::ExtraArgument(_) => Exit::Usage,
+            Self::InvalidValue(..) | Self::MissingSetting(..) | Self::Settings(_) => Exit::Usage,
+            Self::FileTooLarge(..) | Self::Sheet(..) | Self::MissingBase(_) => Exit::Usage,
+            Self::UnknownService(_) | Self::UnknownVersion(..) | Self::IdReused(_) => Exit::Usage,
+            Self::PublishTooLarge(..) | Self::FileExists(_) => Exit::Usage,
             Self::Platform(..) => Exit::Unreachable,
-            Self::Unsettled(..) | Self::Account(AccountError::Unsettled(..)) => Exit::Unknown,
+            Self::OutcomeUnknown(..) | Self::Account(AccountError::OutcomeUnknown(..)) => {
+                Exit::Unknown
+            }
             Self::Account(_) => Exit::Usage,
-            Self::File(..) | Self::NoCheckpoint(_) | Self::Expired | Self::Rule(_) => Exit::Failed,
-            Self::Random(_) | Self::NoNode(_) | Self::Runtime(_) => Exit::Failed,
-            Self::NoRequest(..) => Exit::Failed,
+            Self::File(..)
+            | Self::NoCheckpoint(_)
+            | Self::RecordsExpired
+            | Self::UnknownRule(_) => Exit::Failed,
+            Self::Random(_) | Self::NodesUnreachable(_) | Self::Runtime(_) => Exit::Failed,
+            Self::RequestNotFound(..) => Exit::Failed,
         }
     }
 }
 
-fn list(path: &std::path::Path, faults: &[Fault]) -> String {
+fn format_faults(path: &std::path::Path, faults: &[Fault]) -> String {
     let line = |fault: &Fault| format!("{}:{fault}", path.display());
-    let mut lines: Vec<_> = faults.iter().take(NAMED).map(line).collect();
-    match faults.len().saturating_sub(NAMED) {
+    let mut lines: Vec<_> = faults.iter().take(MAX_LISTED_FAULTS).map(line).collect();
+    match faults.len().saturating_sub(MAX_LISTED_FAULTS) {
         0 => {}
         more => lines.push(format!("{}: and {more} more faults", path.display())),
     }
--- a/crates/swiftcart-cli/src/explain.rs
+++ b/crates/swiftcart-cli/src/explain.rs
@@ -14,19 +14,19 @@
 
 /// How long before the request's first line a change of belief is shown, in milliseconds: a
 /// member that fails is known everywhere within about 3 s.
-const BEFORE_MS: u64 = 3000;
+const CONTEXT_BEFORE_MS: u64 = 3000;
 
 /// How long after the request's last line a change of belief is shown, in milliseconds.
-const AFTER_MS: u64 = 500;
+const CONTEXT_AFTER_MS: u64 = 500;
 
 /// Lines about changes of belief that are shown at most, the latest ones.
-const MOST_AROUND: usize = 60;
+const MAX_CONTEXT_LINES: usize = 60;
 
 /// What a node writes for a value that is not there.
 const NO_VALUE: &str = "None";
 
 /// Longest line that is read, in bytes; a node writes far shorter ones.
-const MOST_BYTES: u64 = 64 * 1024;
+const MAX_LINE_BYTES: u64 = 64 * 1024;
 
 /// Holds what the logs say of one request.
 ///
@@ -47,22 +47,22 @@
     pub id: String,
     /// The lines that name the request, in order of their times.
     pub lines: Vec<LogLine>,
-    /// What the nodes of these lines came to believe around that time.
-    pub around: Vec<LogLine>,
+    /// What the nodes of these lines came to believe context that time.
+    pub context: Vec<LogLine>,
 }
 
 impl RequestTrace {
     /// Creates the trace of the request `id`.
     #[must_use]
-    pub fn new(id: &str, mut lines: Vec<LogLine>, mut around: Vec<LogLine>) -> Self {
+    pub fn new(id: &str, mut lines: Vec<LogLine>, mut context: Vec<LogLine>) -> Self {
         lines.sort_by_key(|line| line.at_ms);
-        around.sort_by_key(|line| line.at_ms);
-        let extra = around.len().saturating_sub(MOST_AROUND);
-        around.drain(..extra);
+        context.sort_by_key(|line| line.at_ms);
+        let extra = context.len().saturating_sub(MAX_CONTEXT_LINES);
+        context.drain(..extra);
         Self {
             id: id.to_owned(),
             lines,
-            around,
+            context,
         }
     }
 
@@ -70,12 +70,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error::File`] when a file cannot be read, [`Error::NoRequest`] when none names it.
+    /// [`Error::File`] when a file cannot be read, [`Error::RequestNotFound`] when none names it.
     pub fn read(id: &str, files: &[PathBuf]) -> Result<Self, Error> {
         let mut lines = Vec::new();
         for file in files {
             scan(file, |line| {
-                if line.value("id") == Some(id) && line.is_of_request() {
+                if line.value("id") == Some(id) && line.is_request_event() {
                     lines.push(line);
                 }
             })?;
@@ -84,19 +84,19 @@
             lines.iter().map(|line| line.at_ms).min(),
             lines.iter().map(|line| line.at_ms).max(),
         ) else {
-            return Err(Error::NoRequest(id.to_owned(), files.len()));
+            return Err(Error::RequestNotFound(id.to_owned(), files.len()));
         };
-        let span = first.saturating_sub(BEFORE_MS)..=last.saturating_add(AFTER_MS);
-        let mut around = Vec::new();
+        let span = first.saturating_sub(CONTEXT_BEFORE_MS)..=last.saturating_add(CONTEXT_AFTER_MS);
+        let mut context = Vec::new();
         for file in files {
             scan(file, |line| {
-                let touched = lines.iter().any(|known| known.node == line.node);
-                if touched && !line.is_of_request() && span.contains(&line.at_ms) {
-                    around.push(line);
+                let same_node = lines.iter().any(|known| known.node == line.node);
+                if same_node && !line.is_request_event() && span.contains(&line.at_ms) {
+                    context.push(line);
                 }
             })?;
         }
-        Ok(Self::new(id, lines, around))
+        Ok(Self::new(id, lines, context))
     }
 
     /// Returns what became of the request in one sentence.
@@ -104,7 +104,7 @@
     pub fn verdict(&self) -> String {
         let answers = self.lines.iter().rev();
         match answers.into_iter().find(|line| line.event == "answer") {
-            Some(line) => answered(line),
+            Some(line) => describe_answer(line),
             None => "no node logged an answer: the line was left out (event=left-out), the node \
                      ended before it, or its log is not among the files"
                 .into(),
@@ -115,12 +115,20 @@
     #[must_use]
     pub fn text(&self) -> String {
         let first = self.lines.first().map_or(0, |line| line.at_ms);
-        let rows = self.lines.iter().map(|line| row(line, first)).collect();
+        let rows = self
+            .lines
+            .iter()
+            .map(|line| trace_row(line, first))
+            .collect();
         let headings = ["ms", "node", "event", "what decided it"];
         let mut text = format!("request {}\n\n", self.id);
         text += &render::grid(headings, rows);
-        if !self.around.is_empty() {
-            let rows = self.around.iter().map(|line| row(line, first)).collect();
+        if !self.context.is_empty() {
+            let rows = self
+                .context
+                .iter()
+                .map(|line| trace_row(line, first))
+                .collect();
             text += "\n\naround it, at the same nodes:\n\n";
             text += &render::grid(headings, rows);
         }
@@ -134,13 +142,13 @@
             "id": self.id,
             "verdict": self.verdict(),
             "lines": self.lines,
-            "around": self.around,
+            "around": self.context,
         })
     }
 }
 
-/// Calls `take` for each line of a node in the file.
-fn scan(path: &Path, mut take: impl FnMut(LogLine)) -> Result<(), Error> {
+/// Calls `visit` for each line of a node in the file.
+fn scan(path: &Path, mut visit: impl FnMut(LogLine)) -> Result<(), Error> {
     let failed = |e| Error::File(path.into(), e);
     let name = path.file_stem().unwrap_or(path.as_os_str());
     let name = name.to_string_lossy();
@@ -148,28 +156,28 @@
     let mut bytes = Vec::new();
     loop {
         bytes.clear();
-        let mut bounded = std::io::Read::take(&mut reader, MOST_BYTES);
+        let mut bounded = std::io::Read::take(&mut reader, MAX_LINE_BYTES);
         if bounded.read_until(b'\n', &mut bytes).map_err(failed)? == 0 {
             return Ok(());
         }
         if let Some(line) = LogLine::parse(&name, &String::from_utf8_lossy(&bytes)) {
-            take(line);
+            visit(line);
         }
     }
 }
 
-fn row(line: &LogLine, first: u64) -> [String; 4] {
+fn trace_row(line: &LogLine, first: u64) -> [String; 4] {
     let at = i128::from(line.at_ms) - i128::from(first);
     [
         at.to_string(),
         line.node.clone(),
         line.event.clone(),
-        line.inputs(),
+        line.details(),
     ]
 }
 
 /// Says what an answer's line means.
-fn answered(line: &LogLine) -> String {
+fn describe_answer(line: &LogLine) -> String {
     let tries = line.value("tries").unwrap_or("1");
     match (line.value("status"), line.value("reason")) {
         (Some("own") | None, Some(reason)) => {
--- a/crates/swiftcart-cli/src/explain/line.rs
+++ b/crates/swiftcart-cli/src/explain/line.rs
@@ -3,13 +3,13 @@
 use serde::Serialize;
 
 /// What each line of a node begins with: the time.
-const BEGIN: &str = "at=";
+const TIME_PREFIX: &str = "at=";
 
 /// The events that are about one request; all others are about what a node believes.
-const OF_REQUESTS: [&str; 3] = ["answer", "try", "guard"];
+const REQUEST_EVENTS: [&str; 3] = ["answer", "try", "guard"];
 
 /// The keys that every line has.
-const COMMON: [&str; 4] = ["level", "at", "event", "id"];
+const COMMON_KEYS: [&str; 4] = ["level", "at", "event", "id"];
 
 /// Holds one line of a node's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -50,7 +50,7 @@
     /// ```
     #[must_use]
     pub fn parse(file: &str, text: &str) -> Option<Self> {
-        let (before, line) = text.split_at(begin(text)?);
+        let (before, line) = text.split_at(line_start(text)?);
         let pairs: Vec<_> = logfmt::parse(line.trim_end())
             .into_iter()
             .filter_map(|pair| {
@@ -65,7 +65,7 @@
         let at_ms = find("at")?.value.parse().ok()?;
         let event = find("event")?.value.clone();
         Some(Self {
-            node: named(before).unwrap_or(file).to_owned(),
+            node: node_name(before).unwrap_or(file).to_owned(),
             at_ms,
             event,
             pairs,
@@ -81,17 +81,17 @@
 
     /// Tells whether the line is about one request.
     #[must_use]
-    pub fn is_of_request(&self) -> bool {
-        OF_REQUESTS.contains(&self.event.as_str())
+    pub fn is_request_event(&self) -> bool {
+        REQUEST_EVENTS.contains(&self.event.as_str())
     }
 
     /// Returns the keys and values that are not common to all lines.
     #[must_use]
-    pub fn inputs(&self) -> String {
-        let of_request = self.is_of_request();
+    pub fn details(&self) -> String {
+        let is_request = self.is_request_event();
         let own = |pair: &&Pair| match pair.key.as_str() {
-            "id" => !of_request,
-            key => !COMMON.contains(&key),
+            "id" => !is_request,
+            key => !COMMON_KEYS.contains(&key),
         };
         // A node writes the pairs of an event in reverse.
         let texts = self.pairs.iter().rev().filter(own);
@@ -103,19 +103,19 @@
 }
 
 /// Returns where a node's own part of a line begins.
-fn begin(text: &str) -> Option<usize> {
+fn line_start(text: &str) -> Option<usize> {
     let is_first_key = |at: &usize| {
         text[..*at]
             .chars()
             .next_back()
             .is_none_or(char::is_whitespace)
     };
-    let places = text.match_indices(BEGIN).map(|(at, _)| at);
+    let places = text.match_indices(TIME_PREFIX).map(|(at, _)| at);
     places.into_iter().find(is_first_key)
 }
 
 /// Returns the last word before a line that can name a node.
-fn named(before: &str) -> Option<&str> {
+fn node_name(before: &str) -> Option<&str> {
     let words = before.split_whitespace().rev();
     let is_name = |word: &&str| word.chars().any(char::is_alphabetic);
     let word = words.into_iter().find(is_name)?;
--- a/crates/swiftcart-cli/src/fleet.rs
+++ b/crates/swiftcart-cli/src/fleet.rs
@@ -9,15 +9,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use crate::{Admin, AdminError, Error, NodeState};
+use crate::{AdminClient, AdminError, Error, NodeState};
 
-/// Nodes that are asked at the same time.
-const PARALLEL: usize = 32;
+/// Nodes that are reply at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// The most members that are asked.
+/// The most members that are reply.
 const MAX_MEMBERS: usize = 20_000;
 
-const ROUND: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Holds the members that one node knows and what each says of itself.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
@@ -38,8 +38,8 @@
 /// What a node says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It was not asked, since it is dead or has left.
-    Gone,
+    /// It was not reply, since it is dead or has left.
+    NotQueried,
     /// It gave no answer.
     Failed(AdminError),
     /// Its state.
@@ -65,17 +65,17 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NoNode`] when none of the nodes answers.
-    pub async fn ask(admin: &Admin, nodes: &[SocketAddr]) -> Result<Self, Error> {
+    /// [`Error::NodesUnreachable`] when none of the nodes answers.
+    pub async fn query(admin: &AdminClient, nodes: &[SocketAddr]) -> Result<Self, Error> {
         for addr in nodes {
             if let Ok(mut members) = admin.members(*addr).await {
                 members.truncate(MAX_MEMBERS);
                 members.sort_by(|a, b| (&a.domain, a.id).cmp(&(&b.domain, b.id)));
-                let nodes = states(admin, members).await;
+                let nodes = query_states(admin, members).await;
                 return Ok(Self { nodes });
             }
         }
-        Err(Error::NoNode(nodes.into()))
+        Err(Error::NodesUnreachable(nodes.into()))
     }
 
     /// Iterates over the nodes that are neither dead nor gone.
@@ -106,7 +106,7 @@
     pub const fn version(&self) -> Option<Version> {
         match &self.answer {
             Answer::State(state) => Some(state.version),
-            Answer::Gone | Answer::Failed(_) => None,
+            Answer::NotQueried | Answer::Failed(_) => None,
         }
     }
 
@@ -117,7 +117,7 @@
             version: self.version(),
             error: match self.answer {
                 Answer::Failed(e) => Some(e),
-                Answer::Gone | Answer::State(_) => None,
+                Answer::NotQueried | Answer::State(_) => None,
             },
         }
     }
@@ -127,8 +127,8 @@
 ///
 /// Calls `progress` with the live nodes and the stragglers after each round, and
 /// returns the last round's stragglers: `None` when no node answered.
-pub async fn wait_for(
-    admin: &Admin,
+pub async fn wait_for_version(
+    admin: &AdminClient,
     nodes: &[SocketAddr],
     version: Version,
     limit: Duration,
@@ -136,8 +136,8 @@
 ) -> Option<Vec<Straggler>> {
     let end = Instant::now() + limit;
     loop {
-        let next = Instant::now() + ROUND;
-        let fleet = Fleet::ask(admin, nodes).await.ok();
+        let next = Instant::now() + POLL_INTERVAL;
+        let fleet = Fleet::query(admin, nodes).await.ok();
         // A node that knows no live one, not even itself, tells nothing about the others.
         let fleet = fleet.filter(|fleet| fleet.live().next().is_some());
         let round = fleet.map(|fleet| {
@@ -164,11 +164,11 @@
     }
 }
 
-async fn states(admin: &Admin, members: Vec<Member>) -> Vec<Node> {
+async fn query_states(admin: &AdminClient, members: Vec<Member>) -> Vec<Node> {
     let mut answers = BTreeMap::new();
     let mut tasks = JoinSet::new();
     for (i, member) in members.iter().enumerate().filter(|(_, m)| is_live(m)) {
-        if tasks.len() >= PARALLEL {
+        if tasks.len() >= MAX_CONCURRENT_QUERIES {
             answers.extend(tasks.join_next().await.and_then(Result::ok));
         }
         let (admin, addr) = (admin.clone(), member.admin);
@@ -177,17 +177,17 @@
     answers.extend(tasks.join_all().await);
     let nodes = members.into_iter().enumerate();
     let nodes = nodes.map(|(i, member)| Node {
-        answer: answer(&member, answers.remove(&i)),
+        answer: verified_answer(&member, answers.remove(&i)),
         member,
     });
     nodes.collect()
 }
 
 /// Keeps an answer only when it is the member's own.
-fn answer(member: &Member, asked: Option<Result<NodeState, AdminError>>) -> Answer {
-    match asked {
+fn verified_answer(member: &Member, reply: Option<Result<NodeState, AdminError>>) -> Answer {
+    match reply {
         None if is_live(member) => Answer::Failed(AdminError::Unreachable),
-        None => Answer::Gone,
+        None => Answer::NotQueried,
         Some(Ok(state)) if state.id == member.id => Answer::State(state),
         Some(Ok(_)) => Answer::Failed(AdminError::Malformed),
         Some(Err(e)) => Answer::Failed(e),
--- a/crates/swiftcart-cli/src/plan.rs
+++ b/crates/swiftcart-cli/src/plan.rs
@@ -4,7 +4,7 @@
 
 use swiftcart_core::{Edit, Row, RowKey, ServiceName, Table};
 
-use crate::{Error, Line, Scope, Sheet, service_of};
+use crate::{Error, Scope, Sheet, SheetLine, service_of};
 
 /// Returns the edits that lead from `base` to what `sheet` asks for, in key order.
 ///
@@ -26,27 +26,27 @@
 ///
 /// # Errors
 ///
-/// [`Error::NoService`] for a service of the scope that neither side has.
+/// [`Error::UnknownService`] for a service of the scope that neither side has.
 pub fn plan(sheet: &Sheet, base: &Table, scope: &Scope) -> Result<Vec<Edit>, Error> {
     let named: BTreeSet<_> = sheet.lines.keys().filter_map(service_of).collect();
-    let held: BTreeSet<_> = base.0.keys().filter_map(service_of).collect();
-    let known = |name: &&ServiceName| named.contains(name) || held.contains(name);
+    let existing: BTreeSet<_> = base.0.keys().filter_map(service_of).collect();
+    let known = |name: &&ServiceName| named.contains(name) || existing.contains(name);
     if let Some(name) = scope.only.iter().find(|name| !known(name)) {
-        return Err(Error::NoService(name.clone()));
+        return Err(Error::UnknownService(name.clone()));
     }
-    let counts = |key: &RowKey| match (service_of(key), scope.only.is_empty()) {
+    let in_scope = |key: &RowKey| match (service_of(key), scope.only.is_empty()) {
         (Some(service), true) => named.contains(service),
         (Some(service), false) => scope.only.contains(service),
         (None, _) => false,
     };
-    let asked = sheet.lines.iter().filter(|(key, _)| counts(key));
-    let asked = asked.map(|(key, Line { row, .. })| (key, row.as_ref()));
+    let requested = sheet.lines.iter().filter(|(key, _)| in_scope(key));
+    let requested = requested.map(|(key, SheetLine { row, .. })| (key, row.as_ref()));
     let absent = base
         .0
         .keys()
         .filter(|key| scope.prune && !sheet.lines.contains_key(key));
-    let absent = absent.filter(|key| counts(key)).map(|key| (key, None));
-    let mut edits: Vec<_> = asked
+    let absent = absent.filter(|key| in_scope(key)).map(|key| (key, None));
+    let mut edits: Vec<_> = requested
         .chain(absent)
         .filter(|(key, row)| base.0.get(key) != *row)
         .map(|(key, row)| edit(key, row))
--- a/crates/swiftcart-cli/src/publish.rs
+++ b/crates/swiftcart-cli/src/publish.rs
@@ -11,10 +11,13 @@
 };
 use swiftcart_platform::{Fate, Platform, PlatformError};
 
-use crate::{Decided, Error, Journal, Keep, Publishing, Retry, STREAM, Sheet, Stop, plan};
+use crate::{
+    CONFIG_STREAM, DecidedPublish, Error, PublishOptions, ReadError, ReadOptions, Retry, Sheet,
+    StreamReader, plan,
+};
 
 /// How long one read waits for the record that was just appended.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_WAIT: Duration = Duration::from_secs(1);
 
 /// Tells what became of a publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,46 +56,46 @@
 ///
 /// # Errors
 ///
-/// [`Error::Platform`] when surely nothing was published, [`Error::Unsettled`] when
+/// [`Error::Platform`] when surely nothing was published, [`Error::OutcomeUnknown`] when
 /// the publish may have been taken, and whatever is wrong with the sheet.
 pub async fn publish(
     platform: &Platform,
     sheet: &Sheet,
     author: &str,
-    wanted: &Publishing,
+    options: &PublishOptions,
     (retry, rng): (&mut Retry, &mut SmallRng),
 ) -> Result<Published, Error> {
-    let base = base(&wanted.file, sheet, wanted.base)?;
-    let id = wanted.id.unwrap_or_else(|| PublishId(rng.random()));
-    let keep = Keep {
+    let base = base_version(&options.file, sheet, options.base)?;
+    let id = options.id.unwrap_or_else(|| PublishId(rng.random()));
+    let read_options = ReadOptions {
         version: Some(base),
-        id: Some(id),
-        decided: 0,
+        publish_id: Some(id),
+        history_limit: 0,
     };
-    let journal = Journal::open(platform, keep, retry).await?;
-    let edits = match journal.kept() {
-        Some(table) => Some(plan(sheet, table, &wanted.scope)?),
+    let reader = StreamReader::open(platform, read_options, retry).await?;
+    let edits = match reader.requested_table() {
+        Some(table) => Some(plan(sheet, table, &options.scope)?),
         None => None,
     };
-    if let Some(decision) = earlier(&journal, id) {
-        let edits = settled(&journal, id, edits)?;
+    if let Some(decision) = decision_on(&reader, id) {
+        let edits = published_edits(&reader, id, edits)?;
         return Ok(Published {
             id,
             edits,
             decision,
         });
     }
-    let current = journal.fold().version();
-    let edits = edits.ok_or(Error::NoVersion(base, current))?;
+    let current = reader.fold().version();
+    let edits = edits.ok_or(Error::UnknownVersion(base, current))?;
     let publish = Publish {
         id,
         author: author.into(),
         base,
         edits,
     };
-    let decision = match foresee(&journal, &publish) {
+    let decision = match predict(&reader, &publish) {
         Some(decision) => decision,
-        None => settle(platform, journal, &publish, retry).await?,
+        None => append_until_decided(platform, reader, &publish, retry).await?,
     };
     Ok(Published {
         id,
@@ -106,22 +109,22 @@
 /// # Errors
 ///
 /// The same as [`publish`], and what `edits` returns.
-pub async fn amend(
+pub async fn publish_edits(
     platform: &Platform,
     author: &str,
     edits: impl FnOnce(&Table) -> Result<Vec<Edit>, Error>,
     (retry, rng): (&mut Retry, &mut SmallRng),
 ) -> Result<Published, Error> {
-    let journal = Journal::open(platform, Keep::default(), retry).await?;
+    let reader = StreamReader::open(platform, ReadOptions::default(), retry).await?;
     let publish = Publish {
         id: PublishId(rng.random()),
         author: author.into(),
-        base: journal.fold().version(),
-        edits: edits(journal.fold().table())?,
+        base: reader.fold().version(),
+        edits: edits(reader.fold().table())?,
     };
-    let decision = match foresee(&journal, &publish) {
+    let decision = match predict(&reader, &publish) {
         Some(decision) => decision,
-        None => settle(platform, journal, &publish, retry).await?,
+        None => append_until_decided(platform, reader, &publish, retry).await?,
     };
     Ok(Published {
         id: publish.id,
@@ -131,20 +134,25 @@
 }
 
 /// Returns the version that the sheet was made from.
-pub(crate) fn base(file: &Path, sheet: &Sheet, over: Option<Version>) -> Result<Version, Error> {
-    over.or(sheet.base)
-        .ok_or_else(|| Error::NoBase(file.into()))
+pub(crate) fn base_version(
+    file: &Path,
+    sheet: &Sheet,
+    explicit: Option<Version>,
+) -> Result<Version, Error> {
+    explicit
+        .or(sheet.base)
+        .ok_or_else(|| Error::MissingBase(file.into()))
 }
 
 /// Returns the decision on the id, when the log has one.
-fn earlier(journal: &Journal<'_>, id: PublishId) -> Option<Decision> {
-    match journal.own().map(|own| &own.verdict) {
+fn decision_on(reader: &StreamReader<'_>, id: PublishId) -> Option<Decision> {
+    match reader.requested_publish().map(|found| &found.verdict) {
         Some(Verdict::Accepted(version)) => Some(Decision::Accepted(*version)),
         Some(Verdict::Rejected(Rejection::Repeated(PriorDecision::Accepted(version)))) => {
             Some(Decision::Accepted(*version))
         }
         Some(Verdict::Rejected(rejection)) => Some(Decision::Rejected(rejection.clone())),
-        _ => match journal.fold().prior_decision(id)? {
+        _ => match reader.fold().prior_decision(id)? {
             PriorDecision::Accepted(version) => Some(Decision::Accepted(version)),
             rejected => Some(Decision::Rejected(Rejection::Repeated(rejected))),
         },
@@ -152,21 +160,26 @@
 }
 
 /// Returns the edits that were published with the id, unless others are asked for now.
-fn settled(
-    journal: &Journal<'_>,
+fn published_edits(
+    reader: &StreamReader<'_>,
     id: PublishId,
     edits: Option<Vec<Edit>>,
 ) -> Result<Vec<Edit>, Error> {
-    match (journal.own().map(|own: &Decided| &own.publish), edits) {
-        (Some(publish), Some(edits)) if publish.edits != edits => Err(Error::Reused(id)),
+    match (
+        reader
+            .requested_publish()
+            .map(|found: &DecidedPublish| &found.publish),
+        edits,
+    ) {
+        (Some(publish), Some(edits)) if publish.edits != edits => Err(Error::IdReused(id)),
         (Some(publish), _) => Ok(publish.edits.clone()),
         (None, edits) => Ok(edits.unwrap_or_default()),
     }
 }
 
 /// Decides what the log already decides, so that a lost publish costs no append.
-fn foresee(journal: &Journal<'_>, publish: &Publish) -> Option<Decision> {
-    let fold = journal.fold();
+fn predict(reader: &StreamReader<'_>, publish: &Publish) -> Option<Decision> {
+    let fold = reader.fold();
     let held = |edit: &Edit| fold.table().0.get(&edit.key) == edit.row.as_ref();
     if publish.edits.iter().all(held) {
         return Some(Decision::Unchanged(fold.version()));
@@ -187,41 +200,41 @@
 }
 
 /// Appends the publish until the log shows a decision on its id.
-async fn settle(
+async fn append_until_decided(
     platform: &Platform,
-    mut journal: Journal<'_>,
+    mut reader: StreamReader<'_>,
     publish: &Publish,
     retry: &mut Retry,
 ) -> Result<Decision, Error> {
     let body = encode(publish);
     if body.len() > MAX_RECORD_BYTES {
-        return Err(Error::Record(body.len(), MAX_RECORD_BYTES));
+        return Err(Error::PublishTooLarge(body.len(), MAX_RECORD_BYTES));
     }
     let mut fate = Fate::NotTaken;
     loop {
-        let failure = match platform.append(STREAM, &body).await {
-            Ok(appended) => return follow(journal, publish.id, appended.offset, retry).await,
+        let failure = match platform.append(CONFIG_STREAM, &body).await {
+            Ok(appended) => return read_decision(reader, publish.id, appended.offset, retry).await,
             Err(failure) => failure,
         };
         if failure.fate() == Fate::Unknown {
             fate = Fate::Unknown;
         }
         if fate == Fate::Unknown
-            && let Some(decision) = look(&mut journal, publish.id).await?
+            && let Some(decision) = check_decision(&mut reader, publish.id).await?
         {
             return Ok(decision);
         }
-        if is_final(&failure) || !retry.wait(failure.retry_after()).await {
+        if is_permanent(&failure) || !retry.wait(failure.retry_after()).await {
             return Err(match fate {
                 Fate::NotTaken => Error::Platform(platform.addr(), failure),
-                Fate::Unknown => Error::Unsettled(publish.id, failure),
+                Fate::Unknown => Error::OutcomeUnknown(publish.id, failure),
             });
         }
     }
 }
 
 /// Tells whether the platform will refuse the same append always.
-const fn is_final(failure: &PlatformError) -> bool {
+const fn is_permanent(failure: &PlatformError) -> bool {
     matches!(
         failure,
         PlatformError::TooLarge | PlatformError::Refused { status: 400..=499 }
@@ -229,35 +242,38 @@
 }
 
 /// Looks once for a decision on the id; a platform out of reach shows none.
-async fn look(journal: &mut Journal<'_>, id: PublishId) -> Result<Option<Decision>, Error> {
-    match journal.catch_up(Duration::ZERO).await {
-        Err(Stop::Final(e)) => Err(e),
-        Ok(()) | Err(Stop::Platform(_) | Stop::Gap) => Ok(earlier(journal, id)),
+async fn check_decision(
+    reader: &mut StreamReader<'_>,
+    id: PublishId,
+) -> Result<Option<Decision>, Error> {
+    match reader.catch_up(Duration::ZERO).await {
+        Err(ReadError::Fatal(e)) => Err(e),
+        Ok(()) | Err(ReadError::Platform(_) | ReadError::Gap) => Ok(decision_on(reader, id)),
     }
 }
 
 /// Reads up to the record that was appended, where the decision is.
-async fn follow(
-    mut journal: Journal<'_>,
+async fn read_decision(
+    mut reader: StreamReader<'_>,
     id: PublishId,
     offset: Offset,
     retry: &mut Retry,
 ) -> Result<Decision, Error> {
     loop {
-        let failure = match journal.catch_up(POLL).await {
+        let failure = match reader.catch_up(POLL_WAIT).await {
             Ok(()) => PlatformError::Timeout,
-            Err(Stop::Platform(e)) => e,
+            Err(ReadError::Platform(e)) => e,
             // The record was taken; it is the reader that lost track.
-            Err(Stop::Gap) => return Err(Error::Unsettled(id, PlatformError::Malformed)),
-            Err(Stop::Final(e)) => return Err(e),
+            Err(ReadError::Gap) => return Err(Error::OutcomeUnknown(id, PlatformError::Malformed)),
+            Err(ReadError::Fatal(e)) => return Err(e),
         };
-        match earlier(&journal, id) {
+        match decision_on(&reader, id) {
             Some(decision) => return Ok(decision),
-            None if journal.fold().position() > offset => {
-                return Err(Error::Unsettled(id, PlatformError::Malformed));
+            None if reader.fold().position() > offset => {
+                return Err(Error::OutcomeUnknown(id, PlatformError::Malformed));
             }
             None if !retry.wait(failure.retry_after()).await => {
-                return Err(Error::Unsettled(id, failure));
+                return Err(Error::OutcomeUnknown(id, failure));
             }
             None => {}
         }
--- a/crates/swiftcart-cli/src/render.rs
+++ b/crates/swiftcart-cli/src/render.rs
@@ -60,7 +60,7 @@
     let rows = edits.iter().map(|edit| {
         let before = base.0.get(&edit.key);
         [
-            change(before, edit.row.as_ref()).into(),
+            change_kind(before, edit.row.as_ref()).into(),
             edit.key.to_string(),
             content(before),
             content(edit.row.as_ref()),
@@ -75,9 +75,9 @@
     let rows = edits.iter().map(|edit| {
         let before = base.0.get(&edit.key);
         let mut json = row_json(&edit.key, None);
-        json["change"] = json!(change(before, edit.row.as_ref()));
-        json["before"] = json!(before.map(cells));
-        json["after"] = json!(edit.row.as_ref().map(cells));
+        json["change"] = json!(change_kind(before, edit.row.as_ref()));
+        json["before"] = json!(before.map(row_fields));
+        json["after"] = json!(edit.row.as_ref().map(row_fields));
         json
     });
     rows.collect()
@@ -97,7 +97,8 @@
         RowKey::PrefixHomes(prefix) => json!({"kind": "homes", "prefix": prefix}),
         RowKey::AccountHomes(name) => json!({"kind": "homes", "account": name}),
     };
-    if let (Some(object), Some(Value::Object(cells))) = (json.as_object_mut(), row.map(cells)) {
+    if let (Some(object), Some(Value::Object(cells))) = (json.as_object_mut(), row.map(row_fields))
+    {
         object.extend(cells);
     }
     json
@@ -112,14 +113,14 @@
 /// ```
 #[must_use]
 pub fn utc(ms: u64) -> String {
-    let (year, month, day) = date(ms / DAY_MS);
+    let (year, month, day) = civil_date(ms / DAY_MS);
     let secs = ms % DAY_MS / 1000;
     let (h, m, s) = (secs / 3600, secs / 60 % 60, secs % 60);
     format!("{year:04}-{month:02}-{day:02} {h:02}:{m:02}:{s:02}")
 }
 
 /// Returns year, month and day of a day since the epoch (Hinnant's `civil_from_days`).
-const fn date(days: u64) -> (u64, u64, u64) {
+const fn civil_date(days: u64) -> (u64, u64, u64) {
     let shifted = days + 719_468;
     let era = shifted / 146_097;
     let doe = shifted % 146_097;
@@ -132,7 +133,7 @@
     (year, month, day)
 }
 
-const fn change(before: Option<&Row>, after: Option<&Row>) -> &'static str {
+const fn change_kind(before: Option<&Row>, after: Option<&Row>) -> &'static str {
     match (before, after) {
         (None, _) => "added",
         (Some(_), Some(_)) => "changed",
@@ -140,7 +141,7 @@
     }
 }
 
-fn cells(row: &Row) -> Value {
+fn row_fields(row: &Row) -> Value {
     match row {
         Row::Route(weight) => json!({"weight": weight}),
         Row::Service(limits) => json!(limits),
--- a/crates/swiftcart-cli/src/report.rs
+++ b/crates/swiftcart-cli/src/report.rs
@@ -44,7 +44,7 @@
         });
         match error {
             Error::Sheet(_, faults) => json["faults"] = json!(faults),
-            Error::Unsettled(id, _) => json["id"] = json!(id),
+            Error::OutcomeUnknown(id, _) => json["id"] = json!(id),
             _ => {}
         }
         Self::new(format!("swiftcart: {error}"), json).with_exit(exit)
--- a/crates/swiftcart-cli/src/retry.rs
+++ b/crates/swiftcart-cli/src/retry.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use tokio::time::{Instant, sleep};
 
-const FIRST_DELAY: Duration = Duration::from_millis(100);
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
 /// Spaces attempts out, with jitter, until a deadline.
@@ -23,15 +23,15 @@
     pub fn new(limit: Duration, rng: SmallRng) -> Self {
         Self {
             deadline: Instant::now() + limit,
-            delay: FIRST_DELAY,
+            delay: INITIAL_DELAY,
             rng,
         }
     }
 
-    /// Waits for the next attempt, at least `asked`; false when the deadline comes first.
-    pub async fn wait(&mut self, asked: Option<Duration>) -> bool {
+    /// Waits for the next attempt, at least `min_delay`; false when the deadline comes first.
+    pub async fn wait(&mut self, min_delay: Option<Duration>) -> bool {
         let jittered = self.delay.mul_f64(self.rng.random_range(0.5..1.0));
-        let delay = jittered.max(asked.unwrap_or_default());
+        let delay = jittered.max(min_delay.unwrap_or_default());
         self.delay = MAX_DELAY.min(self.delay * 2);
         match self.deadline.saturating_duration_since(Instant::now()) {
             left if left < delay => false,
--- a/crates/swiftcart-cli/src/run.rs
+++ b/crates/swiftcart-cli/src/run.rs
@@ -16,15 +16,15 @@
 use swiftcart_platform::{DEFAULT_TIMEOUT, Platform};
 
 use crate::{
-    Admin, Answer, Command, Decided, Error, Explain, Fleet, Invocation, Journal, Keep, Node,
-    Report, RequestTrace, Retry, Settings, Sheet, render,
+    AdminClient, Answer, Command, DecidedPublish, Error, ExplainOptions, Fleet, Invocation, Node,
+    ReadOptions, Report, RequestTrace, Retry, Settings, Sheet, StreamReader, render,
 };
 
 /// The largest sheet that is read, in bytes.
-pub const MAX_SHEET: u64 = 4 * 1024 * 1024;
+pub const MAX_SHEET_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Calls without an answer that fit into the time for a command, at least.
-const CALLS: u32 = 3;
+const MIN_TIMED_OUT_CALLS: u32 = 3;
 
 /// The time that status gives the platform.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
@@ -42,20 +42,20 @@
     let settings = &invocation.settings;
     match &invocation.command {
         Command::Help(text) => Ok(Report::new(text.clone(), json!({ "help": text }))),
-        Command::About => Ok(about()),
+        Command::Version => Ok(version_report()),
         Command::Pull(pull) => table::pull(settings, pull, invocation.json).await,
         Command::Check(file) => table::check(file),
         Command::Diff(diff) => table::diff(settings, diff).await,
-        Command::Publish(wanted) => publishing::publish(settings, wanted).await,
+        Command::Publish(options) => publishing::publish(settings, options).await,
         Command::History(limit) => history(settings, *limit).await,
         Command::Status => status(settings).await,
-        Command::Explain(wanted) => explain(wanted),
+        Command::Explain(options) => explain(options),
         Command::Accounts => account::list(settings).await,
         Command::Account(change) => account::change(settings, change).await,
     }
 }
 
-fn about() -> Report {
+fn version_report() -> Report {
     let version = env!("CARGO_PKG_VERSION");
     Report::new(
         format!("swiftcart {version}"),
@@ -63,26 +63,26 @@
     )
 }
 
-fn explain(wanted: &Explain) -> Result<Report, Error> {
-    let trace = RequestTrace::read(&wanted.id, &wanted.files)?;
+fn explain(options: &ExplainOptions) -> Result<Report, Error> {
+    let trace = RequestTrace::read(&options.id, &options.files)?;
     Ok(Report::new(trace.text(), trace.json()))
 }
 
 async fn history(settings: &Settings, limit: usize) -> Result<Report, Error> {
-    let keep = Keep {
-        decided: limit,
-        ..Keep::default()
+    let read_options = ReadOptions {
+        history_limit: limit,
+        ..ReadOptions::default()
     };
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, keep, &mut retry(settings)?).await?;
-    let rows = journal.decided().rev().map(history_row);
+    let reader = StreamReader::open(&platform, read_options, &mut retry(settings)?).await?;
+    let rows = reader.recent_publishes().rev().map(history_row);
     let headings = ["version", "time (UTC)", "author", "verdict", "rows"];
     let text = render::grid(headings, rows.collect());
-    let list: Vec<_> = journal.decided().rev().map(history_json).collect();
+    let list: Vec<_> = reader.recent_publishes().rev().map(history_json).collect();
     Ok(Report::new(text, json!({ "publishes": list })))
 }
 
-fn history_row(decided: &Decided) -> [String; 5] {
+fn history_row(decided: &DecidedPublish) -> [String; 5] {
     let publish = &decided.publish;
     let (version, verdict) = match decided.rejection() {
         None => (Version::at(decided.offset).to_string(), "accepted".into()),
@@ -98,7 +98,7 @@
     ]
 }
 
-fn history_json(decided: &Decided) -> serde_json::Value {
+fn history_json(decided: &DecidedPublish) -> serde_json::Value {
     let publish = &decided.publish;
     let edits = publish.edits.iter();
     let edits = edits.map(|e| {
@@ -121,7 +121,7 @@
 
 async fn status(settings: &Settings) -> Result<Report, Error> {
     let nodes = nodes(settings)?;
-    let fleet = Fleet::ask(&Admin::new(), nodes).await?;
+    let fleet = Fleet::query(&AdminClient::new(), nodes).await?;
     let log = match settings.platform {
         Some(_) => log_head(settings.clone()).await.map_err(|e| e.to_string()),
         None => Err("no platform is given".into()),
@@ -142,7 +142,7 @@
         text += &format!("\nthe head is the greatest version of a node: {reason}");
     }
     if !behind.is_empty() {
-        let names: Vec<_> = behind.iter().map(publishing::describe).collect();
+        let names: Vec<_> = behind.iter().map(publishing::describe_straggler).collect();
         text += &format!("\nstragglers: {}", names.join("; "));
     }
     let json = json!({
@@ -156,13 +156,13 @@
     Ok(Report::new(text, json))
 }
 
-/// Returns the log's version; status is wanted most when the platform is down, so it is quick.
+/// Returns the log's version; status is options most when the platform is down, so it is quick.
 async fn log_head(mut settings: Settings) -> Result<Version, Error> {
     settings.timeout = STATUS_TIMEOUT.min(settings.timeout);
     let platform = platform(&settings)?;
     let mut retry = retry(&settings)?;
-    let journal = Journal::open(&platform, Keep::default(), &mut retry).await?;
-    Ok(journal.fold().version())
+    let reader = StreamReader::open(&platform, ReadOptions::default(), &mut retry).await?;
+    Ok(reader.fold().version())
 }
 
 fn node_row(node: &Node) -> [String; 7] {
@@ -170,7 +170,7 @@
     let service = member.backend.as_ref().map(|b| b.service.to_string());
     let version = node.version().map(|version| version.to_string());
     let (ready, note) = match &node.answer {
-        Answer::Gone => ("-", String::new()),
+        Answer::NotQueried => ("-", String::new()),
         Answer::Failed(e) => ("-", e.to_string()),
         Answer::State(state) => (
             if state.ready { "yes" } else { "no" },
@@ -196,7 +196,7 @@
 fn node_json(node: &Node) -> serde_json::Value {
     let member = &node.member;
     let (state, error) = match &node.answer {
-        Answer::Gone => (None, None),
+        Answer::NotQueried => (None, None),
         Answer::Failed(e) => (None, Some(e.to_string())),
         Answer::State(state) => (Some(state), None),
     };
@@ -220,15 +220,15 @@
 
 fn platform(settings: &Settings) -> Result<Platform, Error> {
     let addr = settings.platform;
-    let addr = addr.ok_or(Error::Unset("the platform", NO_PLATFORM))?;
+    let addr = addr.ok_or(Error::MissingSetting("the platform", NO_PLATFORM))?;
     // One call without an answer leaves time to look for what became of it.
-    let timeout = DEFAULT_TIMEOUT.min(settings.timeout / CALLS);
+    let timeout = DEFAULT_TIMEOUT.min(settings.timeout / MIN_TIMED_OUT_CALLS);
     Ok(Platform::new(addr).with_timeout(timeout))
 }
 
 fn nodes(settings: &Settings) -> Result<&[std::net::SocketAddr], Error> {
     match &settings.nodes[..] {
-        [] => Err(Error::Unset("a node", NO_NODES)),
+        [] => Err(Error::MissingSetting("a node", NO_NODES)),
         nodes => Ok(nodes),
     }
 }
@@ -237,7 +237,7 @@
 fn author(settings: &Settings) -> Result<String, Error> {
     let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
     let author = settings.author.clone().or_else(user);
-    author.ok_or(Error::Unset("the author", NO_AUTHOR))
+    author.ok_or(Error::MissingSetting("the author", NO_AUTHOR))
 }
 
 fn rng() -> Result<SmallRng, Error> {
@@ -250,13 +250,13 @@
 
 /// Reads a sheet of bounded size.
 fn sheet(file: &Path) -> Result<Sheet, Error> {
-    let wrong = |e: io::Error| Error::File(file.into(), e);
+    let file_error = |e: io::Error| Error::File(file.into(), e);
     let mut bytes = Vec::new();
-    let opened = fs::File::open(file).map_err(wrong)?;
-    let mut bounded = io::Read::take(opened, MAX_SHEET + 1);
-    io::Read::read_to_end(&mut bounded, &mut bytes).map_err(wrong)?;
-    match bytes.len() as u64 > MAX_SHEET {
-        true => Err(Error::Large(file.into(), MAX_SHEET)),
+    let opened = fs::File::open(file).map_err(file_error)?;
+    let mut bounded = io::Read::take(opened, MAX_SHEET_BYTES + 1);
+    io::Read::read_to_end(&mut bounded, &mut bytes).map_err(file_error)?;
+    match bytes.len() as u64 > MAX_SHEET_BYTES {
+        true => Err(Error::FileTooLarge(file.into(), MAX_SHEET_BYTES)),
         false => Sheet::parse(&bytes).map_err(|faults| Error::Sheet(file.into(), faults)),
     }
 }
--- a/crates/swiftcart-cli/src/run/account.rs
+++ b/crates/swiftcart-cli/src/run/account.rs
@@ -5,47 +5,48 @@
 
 use super::{author, platform, retry, rng};
 use crate::{
-    AccountChange, AccountError, ApiKey, Decision, Error, Exit, Journal, Keep, Published, Report,
-    Settings, account_row, amend, render,
+    AccountChange, AccountError, ApiKey, Decision, Error, Exit, Published, ReadOptions, Report,
+    Settings, StreamReader, account_cells, publish_edits, render,
 };
 
 /// Shows the accounts of the current table.
 pub(super) async fn list(settings: &Settings) -> Result<Report, Error> {
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, Keep::default(), &mut retry(settings)?).await?;
-    let (table, version) = (journal.fold().table(), journal.fold().version());
+    let reader =
+        StreamReader::open(&platform, ReadOptions::default(), &mut retry(settings)?).await?;
+    let (table, version) = (reader.fold().table(), reader.fold().version());
     let rows = table
         .accounts()
-        .map(|(name, account)| account_row(table, name, account));
+        .map(|(name, account)| account_cells(table, name, account));
     let headings = ["account", "keys (hashes)", "quota", "rank", "homes"];
     let text = render::grid(headings, rows.collect());
     Ok(Report::new(
         text,
-        json!({ "version": version, "accounts": shown(table) }),
+        json!({ "version": version, "accounts": accounts_json(table) }),
     ))
 }
 
 /// Publishes a change of an account, and shows its new key once.
-pub(super) async fn change(settings: &Settings, wanted: &AccountChange) -> Result<Report, Error> {
+pub(super) async fn change(settings: &Settings, change: &AccountChange) -> Result<Report, Error> {
     let author = author(settings)?;
-    let key = wanted.wants_key().then(ApiKey::draw).transpose()?;
+    let key = change.needs_key().then(ApiKey::generate).transpose()?;
     let hash = key.as_ref().map_or(KeyHash::of(b""), ApiKey::hash);
     let platform = platform(settings)?;
     let (mut retry, mut rng) = (retry(settings)?, rng()?);
-    let edits = |table: &Table| wanted.edits(table, hash).map_err(Error::Account);
-    let tools = (&mut retry, &mut rng);
-    let published = match amend(&platform, &author, edits, tools).await {
-        Err(Error::Unsettled(_, e)) => {
-            let name = wanted.name().clone();
-            return Err(AccountError::Unsettled(name, e.to_string()).into());
+    let edits = |table: &Table| change.edits(table, hash).map_err(Error::Account);
+    let retry_and_rng = (&mut retry, &mut rng);
+    let published = match publish_edits(&platform, &author, edits, retry_and_rng).await {
+        Err(Error::OutcomeUnknown(_, e)) => {
+            let name = change.name().clone();
+            return Err(AccountError::OutcomeUnknown(name, e.to_string()).into());
         }
         result => result?,
     };
-    Ok(tell(&published, wanted, key.as_ref()))
+    Ok(report(&published, change, key.as_ref()))
 }
 
-fn tell(published: &Published, wanted: &AccountChange, key: Option<&ApiKey>) -> Report {
-    let name = wanted.name();
+fn report(published: &Published, change: &AccountChange, key: Option<&ApiKey>) -> Report {
+    let name = change.name();
     match &published.decision {
         Decision::Unchanged(version) => Report::new(
             format!("nothing to change: account {name} is so already as of version {version}"),
@@ -75,7 +76,7 @@
     }
 }
 
-fn shown(table: &Table) -> Vec<serde_json::Value> {
+fn accounts_json(table: &Table) -> Vec<serde_json::Value> {
     let accounts = table.accounts().map(|(name, account)| {
         let keys: Vec<_> = account.keys.iter().map(KeyHash::to_string).collect();
         json!({
--- a/crates/swiftcart-cli/src/run/publishing.rs
+++ b/crates/swiftcart-cli/src/run/publishing.rs
@@ -7,33 +7,36 @@
 
 use super::{author, nodes, platform, progress, retry, rng, sheet};
 use crate::{
-    Admin, Decision, Error, Exit, Fault, Published, Publishing, Report, Settings, Sheet, Straggler,
-    publish as publish_sheet, render, wait_for,
+    AdminClient, Decision, Error, Exit, Fault, PublishOptions, Published, Report, Settings, Sheet,
+    Straggler, publish as publish_sheet, render, wait_for_version,
 };
 
 /// Stragglers that a line of progress names.
-const NAMED: usize = 5;
+const MAX_NAMED_STRAGGLERS: usize = 5;
 
 /// Publishes a sheet and, if asked, waits until it is in force everywhere.
-pub(super) async fn publish(settings: &Settings, wanted: &Publishing) -> Result<Report, Error> {
+pub(super) async fn publish(
+    settings: &Settings,
+    options: &PublishOptions,
+) -> Result<Report, Error> {
     let author = author(settings)?;
-    if wanted.wait.is_some() {
+    if options.wait.is_some() {
         nodes(settings)?;
     }
     let platform = platform(settings)?;
-    let sheet = sheet(&wanted.file)?;
+    let sheet = sheet(&options.file)?;
     let (mut retry, mut rng) = (retry(settings)?, rng()?);
-    let tools = (&mut retry, &mut rng);
-    let published = publish_sheet(&platform, &sheet, &author, wanted, tools).await?;
-    let report = tell(&published, &sheet, wanted);
-    match (published.decision.version(), wanted.wait) {
+    let retry_and_rng = (&mut retry, &mut rng);
+    let published = publish_sheet(&platform, &sheet, &author, options, retry_and_rng).await?;
+    let report = publish_report(&published, &sheet, options);
+    match (published.decision.version(), options.wait) {
         (Some(version), Some(limit)) => wait(settings, version, limit, report).await,
         _ => Ok(report),
     }
 }
 
 /// Describes a straggler in a few words.
-pub(super) fn describe(straggler: &Straggler) -> String {
+pub(super) fn describe_straggler(straggler: &Straggler) -> String {
     let Straggler { node, domain, .. } = straggler;
     match (straggler.version, straggler.error) {
         (Some(version), _) => format!("{node} ({domain}) has version {version}"),
@@ -42,10 +45,10 @@
     }
 }
 
-fn tell(published: &Published, sheet: &Sheet, wanted: &Publishing) -> Report {
+fn publish_report(published: &Published, sheet: &Sheet, options: &PublishOptions) -> Report {
     let Published { id, edits, .. } = published;
     let rows = edits.len();
-    let file = wanted.file.display();
+    let file = options.file.display();
     match &published.decision {
         Decision::Unchanged(version) => Report::new(
             format!("nothing to change: the table reads so already as of version {version}"),
@@ -59,7 +62,7 @@
             json!({ "result": "accepted", "version": version, "rows": rows, "id": id }),
         ),
         Decision::Rejected(rejection) => {
-            let lines = rejected(rejection, sheet, &file.to_string());
+            let lines = rejection_lines(rejection, sheet, &file.to_string());
             let json = json!({
                 "result": "rejected",
                 "reason": rejection.kind(),
@@ -74,12 +77,12 @@
 }
 
 /// Names what each lost row lost to, or the cell of each fault.
-fn rejected(rejection: &Rejection, sheet: &Sheet, file: &str) -> String {
+fn rejection_lines(rejection: &Rejection, sheet: &Sheet, file: &str) -> String {
     let lines: Vec<_> = match rejection {
         Rejection::Conflict(lost) => {
             let rows = lost.iter().map(|lost| format!("\n  {lost}"));
-            let cure = "\npull the table again and repeat your edits of these rows";
-            rows.chain([cure.into()]).collect()
+            let hint = "\npull the table again and repeat your edits of these rows";
+            rows.chain([hint.into()]).collect()
         }
         Rejection::Invalid(violations) => {
             let faults = violations.iter().map(|v| Fault::of(v, sheet));
@@ -102,15 +105,15 @@
     let show = |live: usize, behind: &[Straggler]| {
         let now = (live, behind.len());
         if shown.replace(now) != Some(now) {
-            progress(&step(version, live, behind));
+            progress(&progress_line(version, live, behind));
         }
     };
     let nodes = nodes(settings)?;
-    let behind = wait_for(&Admin::new(), nodes, version, limit, show).await;
-    Ok(conclude(report, version, behind.as_deref()))
+    let behind = wait_for_version(&AdminClient::new(), nodes, version, limit, show).await;
+    Ok(wait_report(report, version, behind.as_deref()))
 }
 
-fn conclude(report: Report, version: Version, behind: Option<&[Straggler]>) -> Report {
+fn wait_report(report: Report, version: Version, behind: Option<&[Straggler]>) -> Report {
     let mut json = report.json;
     json["stragglers"] = json!(behind);
     json["in_force"] = Value::Bool(behind.is_some_and(<[_]>::is_empty));
@@ -120,7 +123,7 @@
             Exit::Done,
         ),
         Some(behind) => {
-            let names: Vec<_> = behind.iter().map(describe).collect();
+            let names: Vec<_> = behind.iter().map(describe_straggler).collect();
             let names = names.join("\n  ");
             (
                 format!("version {version} is accepted but not yet in force on:\n  {names}"),
@@ -135,10 +138,14 @@
     Report::new(line, json).with_exit(exit)
 }
 
-fn step(version: Version, live: usize, behind: &[Straggler]) -> String {
+fn progress_line(version: Version, live: usize, behind: &[Straggler]) -> String {
     let done = live - behind.len();
-    let names: Vec<_> = behind.iter().take(NAMED).map(describe).collect();
-    let more = match behind.len().saturating_sub(NAMED) {
+    let names: Vec<_> = behind
+        .iter()
+        .take(MAX_NAMED_STRAGGLERS)
+        .map(describe_straggler)
+        .collect();
+    let more = match behind.len().saturating_sub(MAX_NAMED_STRAGGLERS) {
         0 => String::new(),
         n => format!("; and {n} more"),
     };
--- a/crates/swiftcart-cli/src/run/table.rs
+++ b/crates/swiftcart-cli/src/run/table.rs
@@ -9,18 +9,23 @@
 
 use super::{platform, retry, sheet};
 use crate::{
-    Diff, Error, Exit, Fault, Format, Journal, Keep, Pull, Report, Settings, plan, render, write,
+    DiffOptions, Error, Exit, Fault, Format, PullOptions, ReadOptions, Report, Settings,
+    StreamReader, plan, render, write,
 };
 
 /// Writes the table of a version as a sheet or as JSON.
-pub(super) async fn pull(settings: &Settings, pull: &Pull, as_json: bool) -> Result<Report, Error> {
-    let keep = Keep {
+pub(super) async fn pull(
+    settings: &Settings,
+    pull: &PullOptions,
+    as_json: bool,
+) -> Result<Report, Error> {
+    let read_options = ReadOptions {
         version: pull.version,
-        ..Keep::default()
+        ..ReadOptions::default()
     };
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, keep, &mut retry(settings)?).await?;
-    let (table, version) = chosen(&journal, pull.version)?;
+    let reader = StreamReader::open(&platform, read_options, &mut retry(settings)?).await?;
+    let (table, version) = select_table(&reader, pull.version)?;
     let rows = table.0.iter();
     let rows: Vec<_> = rows
         .map(|(key, row)| render::row_json(key, Some(row)))
@@ -75,15 +80,15 @@
 }
 
 /// Shows what publishing a sheet would change.
-pub(super) async fn diff(settings: &Settings, diff: &Diff) -> Result<Report, Error> {
+pub(super) async fn diff(settings: &Settings, diff: &DiffOptions) -> Result<Report, Error> {
     let sheet = sheet(&diff.file)?;
-    let keep = Keep {
+    let read_options = ReadOptions {
         version: diff.against,
-        ..Keep::default()
+        ..ReadOptions::default()
     };
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, keep, &mut retry(settings)?).await?;
-    let (table, version) = chosen(&journal, diff.against)?;
+    let reader = StreamReader::open(&platform, read_options, &mut retry(settings)?).await?;
+    let (table, version) = select_table(&reader, diff.against)?;
     let edits = plan(&sheet, table, &diff.scope)?;
     let text = match edits.len() {
         0 => format!("no changes against version {version}"),
@@ -98,15 +103,15 @@
 }
 
 /// Returns the table of `version`, or the current one.
-fn chosen<'a>(
-    journal: &'a Journal<'_>,
+fn select_table<'a>(
+    reader: &'a StreamReader<'_>,
     version: Option<Version>,
 ) -> Result<(&'a Table, Version), Error> {
-    let current = journal.fold().version();
-    match (version, journal.kept()) {
-        (None, _) => Ok((journal.fold().table(), current)),
+    let current = reader.fold().version();
+    match (version, reader.requested_table()) {
+        (None, _) => Ok((reader.fold().table(), current)),
         (Some(version), Some(table)) => Ok((table, version)),
-        (Some(version), None) => Err(Error::NoVersion(version, current)),
+        (Some(version), None) => Err(Error::UnknownVersion(version, current)),
     }
 }
 
@@ -116,7 +121,7 @@
     options.write(true).create(true).truncate(true);
     options.create_new(!force);
     let mut file = options.open(path).map_err(|e| match e.kind() {
-        ErrorKind::AlreadyExists => Error::Exists(path.into()),
+        ErrorKind::AlreadyExists => Error::FileExists(path.into()),
         _ => Error::File(path.into(), e),
     })?;
     file.write_all(text.as_bytes())
--- a/crates/swiftcart-cli/src/settings.rs
+++ b/crates/swiftcart-cli/src/settings.rs
@@ -16,18 +16,18 @@
 
 const MAX_BYTES: usize = 64 * 1024;
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-const KEYS: &str = "platform, nodes, author or timeout_ms";
-const ADDR: &str = "write IP:PORT, for example \"127.0.0.1:7000\"";
-const NODES: &str = "write a list of at most 64 IP:PORT, for example [\"127.0.0.1:7002\"]";
-const AUTHOR: &str = "write your name in quotes, for example \"rosa\"";
-const TIMEOUT: &str = "write milliseconds from 1 to 3600000, for example 15000";
+const KNOWN_KEYS: &str = "platform, nodes, author or timeout_ms";
+const ADDR_HINT: &str = "write IP:PORT, for example \"127.0.0.1:7000\"";
+const NODES_HINT: &str = "write a list of at most 64 IP:PORT, for example [\"127.0.0.1:7002\"]";
+const AUTHOR_HINT: &str = "write your name in quotes, for example \"rosa\"";
+const TIMEOUT_HINT: &str = "write milliseconds from 1 to 3600000, for example 15000";
 
 /// Says where the platform and the nodes are, and who publishes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// The platform's log.
     pub platform: Option<SocketAddr>,
-    /// Admin addresses of some nodes; each knows all others.
+    /// AdminClient addresses of some nodes; each knows all others.
     pub nodes: Vec<SocketAddr>,
     /// Who publishes, for the history.
     pub author: Option<String>,
@@ -36,7 +36,7 @@
 }
 
 quick_error! {
-    /// Tells what is wrong with a settings file.
+    /// Tells what is invalid with a settings file.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsError {
         /// The file cannot be read.
@@ -53,11 +53,11 @@
         }
         /// The key is unknown.
         Key(path: PathBuf, key: String) {
-            display("{}: {key}: unknown key; use {KEYS}", path.display())
+            display("{}: {key}: unknown key; use {KNOWN_KEYS}", path.display())
         }
-        /// The value is wrong for its key.
-        Value(path: PathBuf, key: &'static str, value: String, cure: &'static str) {
-            display("{}: {key}: {value} is not valid; {cure}", path.display())
+        /// The value is invalid for its key.
+        Value(path: PathBuf, key: &'static str, value: String, hint: &'static str) {
+            display("{}: {key}: {value} is not valid; {hint}", path.display())
         }
     }
 }
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// The first key or value that is not valid, and its cure.
+    /// The first key or value that is not valid, and its hint.
     pub fn parse(path: &Path, bytes: &[u8]) -> Result<Self, SettingsError> {
         if bytes.len() > MAX_BYTES {
             return Err(SettingsError::Large(path.into()));
@@ -116,37 +116,45 @@
         for (key, value) in &object {
             settings
                 .set(key, value)
-                .map_err(|wrong| wrong.at(path, key, value))?;
+                .map_err(|invalid| invalid.into_error(path, key, value))?;
         }
         Ok(settings)
     }
 
-    fn set(&mut self, key: &str, value: &Value) -> Result<(), Wrong> {
+    fn set(&mut self, key: &str, value: &Value) -> Result<(), InvalidSetting> {
         match key {
-            "platform" => self.platform = Some(addr(value).ok_or(Wrong::Value("platform", ADDR))?),
-            "nodes" => self.nodes = addrs(value).ok_or(Wrong::Value("nodes", NODES))?,
-            "author" => self.author = Some(text(value).ok_or(Wrong::Value("author", AUTHOR))?),
+            "platform" => {
+                self.platform =
+                    Some(addr(value).ok_or(InvalidSetting::Value("platform", ADDR_HINT))?)
+            }
+            "nodes" => {
+                self.nodes = addrs(value).ok_or(InvalidSetting::Value("nodes", NODES_HINT))?
+            }
+            "author" => {
+                self.author = Some(text(value).ok_or(InvalidSetting::Value("author", AUTHOR_HINT))?)
+            }
             "timeout_ms" => {
-                self.timeout = millis(value).ok_or(Wrong::Value("timeout_ms", TIMEOUT))?;
+                self.timeout =
+                    millis(value).ok_or(InvalidSetting::Value("timeout_ms", TIMEOUT_HINT))?;
             }
-            _ => return Err(Wrong::Key),
+            _ => return Err(InvalidSetting::Key),
         }
         Ok(())
     }
 }
 
-/// What is wrong, before it is known where.
-enum Wrong {
+/// What is invalid, before it is known where.
+enum InvalidSetting {
     Key,
     Value(&'static str, &'static str),
 }
 
-impl Wrong {
-    fn at(self, path: &Path, key: &str, value: &Value) -> SettingsError {
+impl InvalidSetting {
+    fn into_error(self, path: &Path, key: &str, value: &Value) -> SettingsError {
         match self {
             Self::Key => SettingsError::Key(path.into(), key.into()),
-            Self::Value(key, cure) => {
-                SettingsError::Value(path.into(), key, value.to_string(), cure)
+            Self::Value(key, hint) => {
+                SettingsError::Value(path.into(), key, value.to_string(), hint)
             }
         }
     }
--- a/crates/swiftcart-cli/src/sheet.rs
+++ b/crates/swiftcart-cli/src/sheet.rs
@@ -32,12 +32,12 @@
     /// The version that the sheet was made from.
     pub base: Option<Version>,
     /// The rows by key.
-    pub lines: BTreeMap<RowKey, Line>,
+    pub lines: BTreeMap<RowKey, SheetLine>,
 }
 
 /// Holds one row of a sheet and where it stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Line {
+pub struct SheetLine {
     /// The line in the file, counted from 1.
     pub number: usize,
     /// The row's content, or `None` to remove it from the table.
--- a/crates/swiftcart-cli/src/sheet/fault.rs
+++ b/crates/swiftcart-cli/src/sheet/fault.rs
@@ -11,55 +11,55 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Problem {
         /// The file is not UTF-8 text.
-        Encoding {
+        InvalidEncoding {
             display("is not UTF-8; save the sheet as CSV UTF-8")
         }
         /// A quoted cell does not end on its line.
-        Quote {
+        UnclosedQuote {
             display("has a line break or an unclosed quote; remove it")
         }
         /// No row holds the headings.
-        NoHeadings {
+        HeadingsNotFound {
             display("no row has all headings; start the sheet with {}", super::HEADINGS.join(","))
         }
         /// A heading stands twice.
-        HeadingTwice {
+        DuplicateHeading {
             display("stands twice; remove one of the columns")
         }
         /// A heading is not known.
-        Heading {
+        UnknownHeading {
             display("is no heading; clear the column or use {}", super::HEADINGS.join(","))
         }
         /// A filled cell has no heading above it.
-        NoHeading {
+        MissingHeading {
             display("has no heading; clear the cell")
         }
         /// The first cell names no kind.
-        Kind {
+        UnknownKind {
             display("is no kind; write base, service, route, remove-service or remove-route")
         }
         /// A needed cell is empty.
-        Empty(cure: &'static str) {
-            display("is empty; {cure}")
+        EmptyCell(hint: &'static str) {
+            display("is empty; {hint}")
         }
         /// A cell is filled that does not belong to the row's kind.
-        Filled(kind: &'static str) {
+        UnexpectedValue(kind: &'static str) {
             display("does not belong to a row of kind {kind}; clear the cell")
         }
         /// A number is not plain digits.
-        Number {
+        InvalidNumber {
             display("is not a whole number up to 4294967295; write digits only, for example 1000")
         }
         /// A version is not plain digits.
-        Version {
+        InvalidVersion {
             display("is not a version; pull the table again to get the right one")
         }
         /// The row stands twice.
-        Twice(line: usize) {
+        DuplicateRow(line: usize) {
             display("names a row that line {line} names too; remove one of them")
         }
         /// The row breaks a rule of the table.
-        Rule(violation: Violation) {
+        InvalidRow(violation: Violation) {
             display("is not valid: {violation}")
         }
     }
@@ -97,9 +97,9 @@
         let (key, column, value) = cell(violation);
         let line = match key.and_then(|key| sheet.lines.get(&key)) {
             Some(line) => line.number,
-            None => first(violation, sheet),
+            None => first_line(violation, sheet),
         };
-        Self::new(line, column, &value, Problem::Rule(violation.clone()))
+        Self::new(line, column, &value, Problem::InvalidRow(violation.clone()))
     }
 }
 
@@ -161,7 +161,7 @@
 
 /// Returns the first line that may be the cause: with the violation's prefix, or of the
 /// service that a route outside the sheet lacks.
-fn first(violation: &Violation, sheet: &Sheet) -> usize {
+fn first_line(violation: &Violation, sheet: &Sheet) -> usize {
     let is_cause = |key: &RowKey| match (violation, key) {
         (Violation::Prefix(wanted) | Violation::NoWeight(wanted), RowKey::Route(prefix, _)) => {
             prefix == wanted
--- a/crates/swiftcart-cli/src/sheet/read.rs
+++ b/crates/swiftcart-cli/src/sheet/read.rs
@@ -3,7 +3,7 @@
 use csv::{ReaderBuilder, StringRecord};
 use swiftcart_core::{Limits, Row, RowKey, ServiceName, Table, Version, Violation, check};
 
-use super::{Fault, HEADINGS, Kind, Line, Problem, Sheet};
+use super::{Fault, HEADINGS, Kind, Problem, Sheet, SheetLine};
 
 /// The separators that spreadsheets write, by locale.
 const DELIMITERS: [u8; 3] = [b',', b';', b'\t'];
@@ -35,19 +35,19 @@
     pub fn parse(bytes: &[u8]) -> Result<Self, Vec<Fault>> {
         let text = decode(bytes).map_err(|fault| vec![fault])?;
         let lines = lines(&text).map_err(|fault| vec![fault])?;
-        let (records, columns) = locate(&lines)?;
-        let mut reading = Reading {
+        let (records, columns) = find_headings(&lines)?;
+        let mut parser = SheetParser {
             columns,
             sheet: Self::default(),
             base: None,
             faults: Vec::new(),
         };
-        records.iter().for_each(|record| reading.record(record));
-        reading
+        records.iter().for_each(|record| parser.record(record));
+        parser
             .faults
-            .sort_by_key(|fault| (fault.line, place(&fault.column)));
-        match reading.faults {
-            faults if faults.is_empty() => Ok(reading.sheet),
+            .sort_by_key(|fault| (fault.line, column_order(&fault.column)));
+        match parser.faults {
+            faults if faults.is_empty() => Ok(parser.sheet),
             faults => Err(faults),
         }
     }
@@ -61,31 +61,31 @@
         let rows = self.lines.iter();
         let rows = rows.filter_map(|(key, line)| Some((key.clone(), line.row.clone()?)));
         let found = check(&Table(rows.collect()));
-        let open = |violation: &Violation| {
+        let depends_on_table = |violation: &Violation| {
             matches!(
                 violation,
                 Violation::UnknownService(..) | Violation::NoWeight(_)
             )
         };
-        let (notes, faults): (Vec<_>, Vec<_>) = found.iter().partition(|v| open(v));
-        let place = |found: Vec<&Violation>| {
+        let (notes, faults): (Vec<_>, Vec<_>) = found.iter().partition(|v| depends_on_table(v));
+        let sorted = |found: Vec<&Violation>| {
             let mut faults: Vec<_> = found.iter().map(|v| Fault::of(v, self)).collect();
             faults.sort_by_key(|fault| fault.line);
             faults
         };
-        (place(faults), place(notes))
+        (sorted(faults), sorted(notes))
     }
 }
 
 /// Holds the sheet while it is read.
-struct Reading {
+struct SheetParser {
     columns: Columns,
     sheet: Sheet,
     base: Option<usize>,
     faults: Vec<Fault>,
 }
 
-impl Reading {
+impl SheetParser {
     fn record(&mut self, (number, record): &Record) {
         let before = self.faults.len();
         self.check_headings(*number, record);
@@ -94,13 +94,13 @@
             .into_iter()
             .find(|kind| kind.as_str() == name.to_ascii_lowercase());
         let Some(kind) = kind else {
-            self.fault(*number, "kind", &name, Problem::Kind);
+            self.fault(*number, "kind", &name, Problem::UnknownKind);
             return;
         };
         self.check_filled(*number, record, kind);
         let service = self.cell(record, "service");
         let key = match kind {
-            Kind::Base => return self.note_base(*number, &service),
+            Kind::Base => return self.set_base(*number, &service),
             Kind::Service | Kind::RemoveService => RowKey::Service(ServiceName::new(service)),
             Kind::Route | Kind::RemoveRoute => {
                 RowKey::Route(self.cell(record, "prefix"), ServiceName::new(service))
@@ -127,24 +127,26 @@
     fn insert(&mut self, number: usize, key: RowKey, row: Option<Row>) {
         match self.sheet.lines.get(&key).map(|line| line.number) {
             None => {
-                self.sheet.lines.insert(key, Line { number, row });
+                self.sheet.lines.insert(key, SheetLine { number, row });
             }
             Some(earlier) => {
-                let problem = Problem::Twice(earlier);
+                let problem = Problem::DuplicateRow(earlier);
                 self.fault(number, "kind", &key.to_string(), problem);
             }
         }
     }
 
-    fn note_base(&mut self, number: usize, value: &str) {
+    fn set_base(&mut self, number: usize, value: &str) {
         match (value.parse(), self.base) {
             (Ok(version), None) => {
                 self.base = Some(number);
                 self.sheet.base = Some(Version(version));
             }
-            (Ok(_), Some(earlier)) => self.fault(number, "kind", "base", Problem::Twice(earlier)),
+            (Ok(_), Some(earlier)) => {
+                self.fault(number, "kind", "base", Problem::DuplicateRow(earlier))
+            }
             (Err(_), _) if value.is_empty() => {}
-            (Err(_), _) => self.fault(number, "service", value, Problem::Version),
+            (Err(_), _) => self.fault(number, "service", value, Problem::InvalidVersion),
         }
     }
 
@@ -156,7 +158,7 @@
                 _ if value.is_empty() => {}
                 _ => {
                     let column = format!("column {}", i + 1);
-                    self.fault(number, &column, value, Problem::NoHeading);
+                    self.fault(number, &column, value, Problem::MissingHeading);
                 }
             }
         }
@@ -167,9 +169,14 @@
         for column in &HEADINGS[1..] {
             let value = self.cell(record, column);
             match (kind.cells().contains(column), value.is_empty()) {
-                (true, true) => self.fault(number, column, "", Problem::Empty(cure(column))),
+                (true, true) => self.fault(
+                    number,
+                    column,
+                    "",
+                    Problem::EmptyCell(empty_cell_hint(column)),
+                ),
                 (false, false) => {
-                    let problem = Problem::Filled(kind.as_str());
+                    let problem = Problem::UnexpectedValue(kind.as_str());
                     self.fault(number, column, &value, problem);
                 }
                 _ => {}
@@ -185,15 +192,15 @@
             // An empty cell is told already.
             _ if value.is_empty() => 0,
             _ => {
-                self.fault(number, column, &value, Problem::Number);
+                self.fault(number, column, &value, Problem::InvalidNumber);
                 0
             }
         }
     }
 
     fn cell(&self, record: &StringRecord, column: &str) -> String {
-        let place = self.columns.iter().position(|c| *c == Some(column));
-        let value = place.and_then(|i| record.get(i));
+        let position = self.columns.iter().position(|c| *c == Some(column));
+        let value = position.and_then(|i| record.get(i));
         value.unwrap_or_default().into()
     }
 
@@ -203,12 +210,12 @@
 }
 
 /// Returns where a column stands, those without a heading last.
-fn place(column: &str) -> usize {
+fn column_order(column: &str) -> usize {
     let known = HEADINGS.iter().position(|heading| *heading == column);
     known.unwrap_or(HEADINGS.len())
 }
 
-const fn cure(column: &str) -> &'static str {
+const fn empty_cell_hint(column: &str) -> &'static str {
     match column.as_bytes() {
         b"service" => "write the service's name, or the version in a row of kind base",
         b"prefix" => "write the path prefix, for example /book",
@@ -224,7 +231,7 @@
         Err(e) => {
             let before = &bytes[..e.valid_up_to()];
             let line = 1 + before.iter().filter(|b| **b == b'\n').count();
-            Err(Fault::new(line, "line", "", Problem::Encoding))
+            Err(Fault::new(line, "line", "", Problem::InvalidEncoding))
         }
     }
 }
@@ -234,35 +241,35 @@
     let numbered = text.lines().enumerate().map(|(i, line)| (i + 1, line));
     // Spreadsheets write the separator that they use into a first line of this form.
     let filled = numbered.filter(|(_, line)| !line.trim().is_empty());
-    let filled = filled.filter(|(n, line)| *n > 1 || !is_hint(line));
+    let filled = filled.filter(|(n, line)| *n > 1 || !is_separator_directive(line));
     let lines: Vec<_> = filled.collect();
     match lines
         .iter()
         .find(|(_, line)| line.matches('"').count() % 2 == 1)
     {
-        Some((n, line)) => Err(Fault::new(*n, "line", line, Problem::Quote)),
+        Some((n, line)) => Err(Fault::new(*n, "line", line, Problem::UnclosedQuote)),
         None => Ok(lines),
     }
 }
 
-fn is_hint(line: &str) -> bool {
+fn is_separator_directive(line: &str) -> bool {
     line.len() == 5 && line.to_ascii_lowercase().starts_with("sep=")
 }
 
 /// Finds the separator and the headings, wherever sorting put their row.
-fn locate(lines: &[(usize, &str)]) -> Result<(Vec<Record>, Columns), Vec<Fault>> {
+fn find_headings(lines: &[(usize, &str)]) -> Result<(Vec<Record>, Columns), Vec<Fault>> {
     for delimiter in DELIMITERS {
-        let mut records = split(lines, delimiter);
-        if let Some(at) = records.iter().position(|(_, cells)| is_head(cells)) {
+        let mut records = parse_records(lines, delimiter);
+        if let Some(at) = records.iter().position(|(_, cells)| is_heading_row(cells)) {
             let (number, head) = records.remove(at);
             records.retain(|(_, cells)| cells.iter().any(|cell| !cell.is_empty()));
             return headings(number, &head).map(|columns| (records, columns));
         }
     }
-    Err(vec![Fault::new(1, "", "", Problem::NoHeadings)])
+    Err(vec![Fault::new(1, "", "", Problem::HeadingsNotFound)])
 }
 
-fn is_head(cells: &StringRecord) -> bool {
+fn is_heading_row(cells: &StringRecord) -> bool {
     let named = |heading: &str| cells.iter().any(|cell| cell.eq_ignore_ascii_case(heading));
     HEADINGS.iter().all(|heading| named(heading))
 }
@@ -275,9 +282,9 @@
         let column = format!("column {}", i + 1);
         match columns[i] {
             None if cell.is_empty() => {}
-            None => faults.push(Fault::new(line, &column, cell, Problem::Heading)),
+            None => faults.push(Fault::new(line, &column, cell, Problem::UnknownHeading)),
             found if columns[..i].contains(&found) => {
-                faults.push(Fault::new(line, &column, cell, Problem::HeadingTwice));
+                faults.push(Fault::new(line, &column, cell, Problem::DuplicateHeading));
             }
             Some(_) => {}
         }
@@ -288,7 +295,7 @@
     }
 }
 
-fn split(lines: &[(usize, &str)], delimiter: u8) -> Vec<Record> {
+fn parse_records(lines: &[(usize, &str)], delimiter: u8) -> Vec<Record> {
     let mut builder = ReaderBuilder::new();
     builder
         .delimiter(delimiter)
--- a/crates/swiftcart-cli/src/journal.rs
+++ b/crates/swiftcart-cli/src/stream.rs
@@ -13,25 +13,25 @@
 use crate::{Error, Retry};
 
 /// The stream of publishes and checkpoints.
-pub const STREAM: &str = "config";
+pub const CONFIG_STREAM: &str = "config";
 
-const PAGE: u32 = 256;
-const RESTARTS: usize = 3;
+const PAGE_RECORDS: u32 = 256;
+const MAX_RESTARTS: usize = 3;
 
 /// Says what to remember while records are folded.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Keep {
+pub struct ReadOptions {
     /// The version whose table is wanted besides the current one.
     pub version: Option<Version>,
     /// The publish whose verdict is wanted.
-    pub id: Option<PublishId>,
-    /// How many decided publishes to keep.
-    pub decided: usize,
+    pub publish_id: Option<PublishId>,
+    /// How many decided publishes to options.
+    pub history_limit: usize,
 }
 
 /// Holds one publish and what became of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Decided {
+pub struct DecidedPublish {
     /// Its place in the stream.
     pub offset: Offset,
     /// When the platform took it, in milliseconds since the Unix epoch.
@@ -44,28 +44,28 @@
 
 /// Folds the stream up to its head and remembers what a command needs.
 #[derive(Debug)]
-pub struct Journal<'a> {
+pub struct StreamReader<'a> {
     platform: &'a Platform,
-    keep: Keep,
+    options: ReadOptions,
     limit: PageLimit,
     fold: Fold,
-    table: Option<Arc<Table>>,
-    own: Option<Decided>,
-    decided: VecDeque<Decided>,
+    requested_table: Option<Arc<Table>>,
+    requested_publish: Option<DecidedPublish>,
+    recent_publishes: VecDeque<DecidedPublish>,
 }
 
 /// Why reading stopped; a gap means that records expired before they were read.
 #[derive(Debug)]
-pub enum Stop {
+pub enum ReadError {
     /// The platform failed.
     Platform(PlatformError),
     /// The records at the position are gone.
     Gap,
     /// No later attempt can help.
-    Final(Error),
+    Fatal(Error),
 }
 
-impl<'a> Journal<'a> {
+impl<'a> StreamReader<'a> {
     /// Reads the stream to its head, trying again as `retry` allows.
     ///
     /// # Errors
@@ -73,20 +73,22 @@
     /// The platform stays out of reach, or the stream cannot be folded.
     pub async fn open(
         platform: &'a Platform,
-        keep: Keep,
+        options: ReadOptions,
         retry: &mut Retry,
     ) -> Result<Self, Error> {
         let mut restarts = 0;
         loop {
-            match Self::load(platform, keep).await {
-                Ok(journal) => return Ok(journal),
-                Err(Stop::Final(e)) => return Err(e),
-                Err(Stop::Gap) if restarts == RESTARTS => return Err(Error::Expired),
-                Err(Stop::Gap) => restarts += 1,
-                Err(Stop::Platform(e)) if !retry.wait(e.retry_after()).await => {
+            match Self::load(platform, options).await {
+                Ok(reader) => return Ok(reader),
+                Err(ReadError::Fatal(e)) => return Err(e),
+                Err(ReadError::Gap) if restarts == MAX_RESTARTS => {
+                    return Err(Error::RecordsExpired);
+                }
+                Err(ReadError::Gap) => restarts += 1,
+                Err(ReadError::Platform(e)) if !retry.wait(e.retry_after()).await => {
                     return Err(Error::Platform(platform.addr(), e));
                 }
-                Err(Stop::Platform(_)) => {}
+                Err(ReadError::Platform(_)) => {}
             }
         }
     }
@@ -95,8 +97,8 @@
     ///
     /// # Errors
     ///
-    /// The first failure; the journal stays at the last record that it folded.
-    pub async fn catch_up(&mut self, wait: Duration) -> Result<(), Stop> {
+    /// The first failure; the reader stays at the last record that it folded.
+    pub async fn catch_up(&mut self, wait: Duration) -> Result<(), ReadError> {
         let mut wait = wait;
         loop {
             let page = self.page(self.fold.position(), wait).await?;
@@ -107,55 +109,55 @@
                 return Ok(());
             }
             match page.entries.is_empty() {
-                _ if page.first > self.fold.position() => return Err(Stop::Gap),
-                true => return Err(Stop::Platform(PlatformError::Malformed)),
+                _ if page.first > self.fold.position() => return Err(ReadError::Gap),
+                true => return Err(ReadError::Platform(PlatformError::Malformed)),
                 false => {}
             }
             wait = Duration::ZERO;
         }
     }
 
-    /// Returns the fold at the journal's position.
+    /// Returns the fold at the reader's position.
     #[must_use]
     pub const fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Returns the table of the version to keep, when it was met.
+    /// Returns the table of the version to options, when it was met.
     #[must_use]
-    pub const fn kept(&self) -> Option<&Arc<Table>> {
-        self.table.as_ref()
+    pub const fn requested_table(&self) -> Option<&Arc<Table>> {
+        self.requested_table.as_ref()
     }
 
-    /// Returns the publish with the id to keep, as first decided.
+    /// Returns the publish with the id to options, as first decided.
     #[must_use]
-    pub const fn own(&self) -> Option<&Decided> {
-        self.own.as_ref()
+    pub const fn requested_publish(&self) -> Option<&DecidedPublish> {
+        self.requested_publish.as_ref()
     }
 
     /// Returns the last decided publishes, oldest first.
-    pub fn decided(&self) -> impl DoubleEndedIterator<Item = &Decided> {
-        self.decided.iter()
+    pub fn recent_publishes(&self) -> impl DoubleEndedIterator<Item = &DecidedPublish> {
+        self.recent_publishes.iter()
     }
 
-    async fn load(platform: &'a Platform, keep: Keep) -> Result<Self, Stop> {
-        let mut journal = Self {
+    async fn load(platform: &'a Platform, options: ReadOptions) -> Result<Self, ReadError> {
+        let mut reader = Self {
             platform,
-            keep,
-            limit: PageLimit::new(PAGE),
+            options,
+            limit: PageLimit::new(PAGE_RECORDS),
             fold: Fold::new(),
-            table: None,
-            own: None,
-            decided: VecDeque::new(),
+            requested_table: None,
+            requested_publish: None,
+            recent_publishes: VecDeque::new(),
         };
-        journal.adopt().await?;
-        journal.note_version();
-        journal.catch_up(Duration::ZERO).await?;
-        Ok(journal)
+        reader.start_at_checkpoint().await?;
+        reader.record_version();
+        reader.catch_up(Duration::ZERO).await?;
+        Ok(reader)
     }
 
-    /// Starts at the first checkpoint whose later records are all kept, if 0 is gone.
-    async fn adopt(&mut self) -> Result<(), Stop> {
+    /// Starts at the first checkpoint whose later records are all requested_table, if 0 is gone.
+    async fn start_at_checkpoint(&mut self) -> Result<(), ReadError> {
         let mut page = self.page(Offset(0), Duration::ZERO).await?;
         let first = page.first;
         if first == Offset(0) {
@@ -163,42 +165,44 @@
         }
         loop {
             for entry in &page.entries {
-                if let Some(fold) = adoptable(entry, first)? {
+                if let Some(fold) = usable_checkpoint(entry, first)? {
                     self.fold = fold;
                     return Ok(());
                 }
             }
             match page.entries.last().map(|entry| entry.offset.next()) {
                 Some(next) if next < page.next => page = self.page(next, Duration::ZERO).await?,
-                _ => return Err(Stop::Final(Error::NoCheckpoint(first))),
+                _ => return Err(ReadError::Fatal(Error::NoCheckpoint(first))),
             }
         }
     }
 
     /// Reads one page, in smaller pieces when it is too large.
-    async fn page(&mut self, from: Offset, wait: Duration) -> Result<Page, Stop> {
+    async fn page(&mut self, from: Offset, wait: Duration) -> Result<Page, ReadError> {
         loop {
             let limit = self.limit.records();
-            match self.platform.read(STREAM, from, limit, wait).await {
+            match self.platform.read(CONFIG_STREAM, from, limit, wait).await {
                 Err(e) if self.limit.shrink(&e) => {}
-                result => return result.map_err(Stop::Platform),
+                result => return result.map_err(ReadError::Platform),
             }
         }
     }
 
-    fn apply(&mut self, entry: &Entry) -> Result<(), Stop> {
+    fn apply(&mut self, entry: &Entry) -> Result<(), ReadError> {
         let verdict = match self.fold.apply(entry) {
-            Ok(Verdict::UnknownRule(rule)) => return Err(Stop::Final(Error::Rule(rule))),
+            Ok(Verdict::UnknownRule(rule)) => {
+                return Err(ReadError::Fatal(Error::UnknownRule(rule)));
+            }
             Ok(verdict) => verdict,
-            Err(_) => return Err(Stop::Gap),
+            Err(_) => return Err(ReadError::Gap),
         };
-        self.note_version();
+        self.record_version();
         if let Ok(Envelope {
             body: Body::Publish(publish),
             ..
         }) = Envelope::decode(&entry.body)
         {
-            self.note_publish(Decided {
+            self.record_publish(DecidedPublish {
                 offset: entry.offset,
                 at_ms: entry.at_ms,
                 verdict,
@@ -208,25 +212,25 @@
         Ok(())
     }
 
-    fn note_version(&mut self) {
-        if self.keep.version == Some(self.fold.version()) && self.table.is_none() {
-            self.table = Some(self.fold.table().clone());
+    fn record_version(&mut self) {
+        if self.options.version == Some(self.fold.version()) && self.requested_table.is_none() {
+            self.requested_table = Some(self.fold.table().clone());
         }
     }
 
-    fn note_publish(&mut self, decided: Decided) {
-        let own = self.keep.id == Some(decided.publish.id);
-        if own && self.own.is_none() {
-            self.own = Some(decided.clone());
+    fn record_publish(&mut self, decided: DecidedPublish) {
+        let is_requested = self.options.publish_id == Some(decided.publish.id);
+        if is_requested && self.requested_publish.is_none() {
+            self.requested_publish = Some(decided.clone());
         }
-        self.decided.push_back(decided);
-        if self.decided.len() > self.keep.decided {
-            self.decided.pop_front();
+        self.recent_publishes.push_back(decided);
+        if self.recent_publishes.len() > self.options.history_limit {
+            self.recent_publishes.pop_front();
         }
     }
 }
 
-impl Decided {
+impl DecidedPublish {
     /// Returns why the publish changed nothing, or `None` when it was accepted.
     #[must_use]
     pub const fn rejection(&self) -> Option<&Rejection> {
@@ -237,9 +241,9 @@
     }
 }
 
-/// Returns the state of a checkpoint whose later records are all kept.
-fn adoptable(entry: &Entry, first: Offset) -> Result<Option<Fold>, Stop> {
-    let rule = |rule| Err(Stop::Final(Error::Rule(rule)));
+/// Returns the state of a checkpoint whose later records are all requested_table.
+fn usable_checkpoint(entry: &Entry, first: Offset) -> Result<Option<Fold>, ReadError> {
+    let rule = |rule| Err(ReadError::Fatal(Error::UnknownRule(rule)));
     let checkpoint = match Envelope::decode(&entry.body).map(|envelope| envelope.body) {
         Ok(Body::Checkpoint(checkpoint)) => checkpoint,
         Ok(Body::Publish(_)) | Err(RecordError::Malformed(_)) => return Ok(None),
--- a/crates/swiftcart-cli/tests/accounts.rs
+++ b/crates/swiftcart-cli/tests/accounts.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{Shell, Told};
+use common::{CliOutput, TestEnv};
 use rstest::rstest;
 use serde_json::Value;
 use swiftcart_core::KeyHash;
 
-fn failed(code: i32, err: &str) -> Told {
-    Told {
+fn failed(code: i32, err: &str) -> CliOutput {
+    CliOutput {
         code: Some(code),
         out: String::new(),
         err: format!("swiftcart: {err}\n"),
@@ -16,8 +16,8 @@
 }
 
 /// Returns the accounts as scripts see them.
-fn accounts(shell: &Shell) -> Vec<Value> {
-    let list = shell.json("account list");
+fn accounts(env: &TestEnv) -> Vec<Value> {
+    let list = env.json("account list");
     list["accounts"].as_array().expect("a list").clone()
 }
 
@@ -27,52 +27,52 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_shown_once_and_never_written() {
-    let shell = Shell::new().await;
-    let added = shell.json("account add harbour --rate 20 --burst 40 --rank 1");
+    let env = TestEnv::new().await;
+    let added = env.json("account add harbour --rate 20 --burst 40 --rank 1");
     let key = added["key"].as_str().expect("a key").to_owned();
     assert_eq!(key.len(), 32);
-    let listed = accounts(&shell);
+    let listed = accounts(&env);
     assert_eq!(listed[0]["keys"], serde_json::json!([hash(&added["key"])]));
     assert_eq!(
         listed[0]["quota"],
         serde_json::json!({"rate": 20, "burst": 40})
     );
     assert_eq!(listed[0]["priority"], 1);
-    let records = shell.log.read("config", 0).expect("a stream");
+    let records = env.log.read("config", 0).expect("a stream");
     let written = format!("{records:?}");
     assert!(!written.contains(&key), "{written}");
-    assert!(!shell.run("account list").out.contains(&key));
-    assert!(!shell.run("history").out.contains(&key));
+    assert!(!env.run("account list").out.contains(&key));
+    assert!(!env.run("history").out.contains(&key));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rotated_account_keeps_its_old_key_until_that_is_revoked() {
-    let shell = Shell::new().await;
-    let first = shell.json("account add harbour");
-    let second = shell.json("account rotate harbour");
+    let env = TestEnv::new().await;
+    let first = env.json("account add harbour");
+    let second = env.json("account rotate harbour");
     assert_ne!(first["key"], second["key"]);
-    let keys = |shell: &Shell| accounts(shell)[0]["keys"].as_array().map_or(0, Vec::len);
-    assert_eq!(keys(&shell), 2);
+    let keys = |env: &TestEnv| accounts(env)[0]["keys"].as_array().map_or(0, Vec::len);
+    assert_eq!(keys(&env), 2);
     let digits = hash(&first["key"])[..8].to_owned();
     assert_eq!(
-        shell.run(&format!("account revoke harbour {digits}")).code,
+        env.run(&format!("account revoke harbour {digits}")).code,
         Some(0)
     );
-    let left = &accounts(&shell)[0]["keys"];
+    let left = &accounts(&env)[0]["keys"];
     assert_eq!(*left, serde_json::json!([hash(&second["key"])]));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn quota_and_homes_are_set_and_lifted() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour --rate 5");
-    shell.json("account homes harbour east west");
-    let listed = &accounts(&shell)[0];
+    let env = TestEnv::new().await;
+    env.json("account add harbour --rate 5");
+    env.json("account homes harbour east west");
+    let listed = &accounts(&env)[0];
     assert_eq!(listed["quota"], serde_json::json!({"rate": 5, "burst": 5}));
     assert_eq!(listed["homes"], serde_json::json!(["east", "west"]));
-    shell.json("account quota harbour");
-    shell.json("account homes harbour");
-    let listed = &accounts(&shell)[0];
+    env.json("account quota harbour");
+    env.json("account homes harbour");
+    let listed = &accounts(&env)[0];
     assert_eq!(
         (&listed["quota"], &listed["homes"]),
         (&Value::Null, &Value::Null)
@@ -81,11 +81,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_removed_account_takes_its_homes_along() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    shell.json("account homes harbour east");
-    assert_eq!(shell.run("account remove harbour").code, Some(0));
-    assert_eq!(accounts(&shell), Vec::<Value>::new());
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    env.json("account homes harbour east");
+    assert_eq!(env.run("account remove harbour").code, Some(0));
+    assert_eq!(accounts(&env), Vec::<Value>::new());
 }
 
 #[rstest]
@@ -119,27 +119,27 @@
 )]
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_is_published_for(#[case] words: &str, #[case] message: &str) {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    let records = shell.records();
-    assert_eq!(shell.run(words), failed(2, message));
-    assert_eq!(shell.records(), records);
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    let records = env.records();
+    assert_eq!(env.run(words), failed(2, message));
+    assert_eq!(env.records(), records);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_the_table_does_not_take_is_rejected_with_the_reason() {
-    let shell = Shell::new().await;
-    let told = shell.run("account add Harbour");
-    assert_eq!(told.code, Some(3), "{told:?}");
+    let env = TestEnv::new().await;
+    let output = env.run("account add Harbour");
+    assert_eq!(output.code, Some(3), "{output:?}");
     let expected = "rejected, nothing changed: account \"Harbour\": a name has 1 to 63 characters of a-z, 0-9 and -\n";
-    assert_eq!(told.err, expected);
+    assert_eq!(output.err, expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sheet_leaves_accounts_alone() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    shell.sheet("table.csv", 1, "service,booking,,,50,10,2000\n");
-    assert_eq!(shell.run("table publish table.csv --prune").code, Some(0));
-    assert_eq!(accounts(&shell).len(), 1);
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    env.sheet("table.csv", 1, "service,booking,,,50,10,2000\n");
+    assert_eq!(env.run("table publish table.csv --prune").code, Some(0));
+    assert_eq!(accounts(&env).len(), 1);
 }
--- a/crates/swiftcart-cli/tests/arguments.rs
+++ b/crates/swiftcart-cli/tests/arguments.rs
@@ -13,8 +13,8 @@
         .env_remove("USER")
         .output()
         .expect("the binary runs");
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
-    (out.status.code(), told)
+    let output = String::from_utf8_lossy(&out.stderr).into_owned();
+    (out.status.code(), output)
 }
 
 #[rstest]
--- a/crates/swiftcart-cli/tests/common/mod.rs
+++ b/crates/swiftcart-cli/tests/common/mod.rs
@@ -12,19 +12,19 @@
 
 /// The exit code and what was printed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct CliOutput {
     pub code: Option<i32>,
     pub out: String,
     pub err: String,
 }
 
 /// A log and an operator's directory.
-pub struct Shell {
+pub struct TestEnv {
     pub log: Log,
     dir: TempDir,
 }
 
-impl Shell {
+impl TestEnv {
     pub async fn new() -> Self {
         Self::with(LogSettings::default()).await
     }
@@ -59,13 +59,13 @@
             .expect("the binary runs")
     }
 
-    pub fn run(&self, words: &str) -> Told {
+    pub fn run(&self, words: &str) -> CliOutput {
         wait(self.spawn(words))
     }
 
     pub fn json(&self, words: &str) -> serde_json::Value {
-        let told = self.run(&format!("--json {words}"));
-        serde_json::from_str(&told.out).unwrap_or_else(|e| panic!("{e}: {told:?}"))
+        let output = self.run(&format!("--json {words}"));
+        serde_json::from_str(&output.out).unwrap_or_else(|e| panic!("{e}: {output:?}"))
     }
 
     /// Returns how many records the stream of publishes got.
@@ -74,13 +74,13 @@
     }
 }
 
-pub fn wait(child: Child) -> Told {
+pub fn wait(child: Child) -> CliOutput {
     let Output {
         status,
         stdout,
         stderr,
     } = child.wait_with_output().expect("the binary ends");
-    Told {
+    CliOutput {
         code: status.code(),
         out: String::from_utf8_lossy(&stdout).into_owned(),
         err: String::from_utf8_lossy(&stderr).into_owned(),
@@ -88,7 +88,7 @@
 }
 
 /// Cuts ids out, which are drawn at random.
-pub fn masked(text: &str) -> String {
+pub fn mask_ids(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n']);
     let mask = |word: &str| {
         let id = word.trim_end();
--- a/crates/swiftcart-cli/tests/explain.rs
+++ b/crates/swiftcart-cli/tests/explain.rs
@@ -58,7 +58,7 @@
 #[case::refused(
     "refused",
     "not-run: overloaded: The guard expects the wait in its queue to be too long. \
-     The caller was told to come back after 403 ms."
+     The caller was message to come back after 403 ms."
 )]
 #[case::lost(
     "lost",
@@ -87,19 +87,19 @@
         "1120 ingress answer",
     ];
     assert_eq!(events(&trace.lines), lines);
-    let inputs = trace.lines[0].inputs();
-    assert!(inputs.starts_with("service=booking instance=i-1 reason=overloaded running=12"));
+    let details = trace.lines[0].details();
+    assert!(details.starts_with("service=booking instance=i-1 reason=overloaded running=12"));
 }
 
 #[rstest]
 fn changes_of_belief_around_it_are_shown_at_the_nodes_that_it_touched() {
     let trace = RequestTrace::read("refused", &logs().files).expect("a trace");
-    let around = [
+    let context = [
         "900 ingress applied",
         "1000 ingress domain-cut",
         "1099 guard platform-down",
     ];
-    assert_eq!(events(&trace.around), around);
+    assert_eq!(events(&trace.context), context);
     let text = trace.text();
     assert!(text.contains("error=the connection to the platform ended before its answer"));
     assert!(text.ends_with(&trace.verdict()));
@@ -118,8 +118,8 @@
 #[rstest]
 #[case::unknown_request("nobody", "has a line of the request \"nobody\"")]
 #[case::part_of_an_id("refuse", "has a line of the request \"refuse\"")]
-fn an_unknown_request_is_an_error_that_says_what_to_give(#[case] id: &str, #[case] told: &str) {
+fn an_unknown_request_is_an_error_that_says_what_to_give(#[case] id: &str, #[case] message: &str) {
     let error = RequestTrace::read(id, &logs().files).expect_err("no trace");
-    assert!(matches!(error, Error::NoRequest(..)));
-    assert!(error.to_string().contains(told), "{error}");
+    assert!(matches!(error, Error::RequestNotFound(..)));
+    assert!(error.to_string().contains(message), "{error}");
 }
--- a/crates/swiftcart-cli/tests/publish.rs
+++ b/crates/swiftcart-cli/tests/publish.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use common::{Shell, Told, masked, wait};
+use common::{CliOutput, TestEnv, mask_ids, wait};
 use rstest::rstest;
 use swiftcart_core::{Body, Entry, Envelope, Fold, Offset};
 use swiftcart_standin::{LogFaults, LogSettings, Outage};
@@ -17,73 +17,85 @@
 const BOOKING: &str = "service,booking,,,50,10,2000\nroute,booking,/book,100,,,\n";
 const SENSOR: &str = "service,sensor,,,0,10,500\nroute,sensor,/moisture,100,,,\n";
 
-fn done(out: &str) -> Told {
-    Told {
+fn done(out: &str) -> CliOutput {
+    CliOutput {
         code: Some(0),
         out: format!("{out}\n"),
         err: String::new(),
     }
 }
 
-fn failed(code: i32, err: &str) -> Told {
-    Told {
+fn failed(code: i32, err: &str) -> CliOutput {
+    CliOutput {
         code: Some(code),
         out: String::new(),
         err: format!("{err}\n"),
     }
 }
 
-fn mask(told: &Told) -> Told {
-    Told {
-        code: told.code,
-        out: masked(&told.out),
-        err: masked(&told.err),
+fn mask_output(output: &CliOutput) -> CliOutput {
+    CliOutput {
+        code: output.code,
+        out: mask_ids(&output.out),
+        err: mask_ids(&output.err),
     }
 }
 
-async fn shell(rows: &str) -> Shell {
-    let shell = Shell::new().await;
-    shell.sheet("first.csv", 0, rows);
-    let told = shell.run("table publish first.csv --author ana");
-    assert_eq!(told.code, Some(0), "{told:?}");
-    shell
+async fn env_with(rows: &str) -> TestEnv {
+    let env = TestEnv::new().await;
+    env.sheet("first.csv", 0, rows);
+    let output = env.run("table publish first.csv --author ana");
+    assert_eq!(output.code, Some(0), "{output:?}");
+    env
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_published_sheet_is_pulled_as_it_was_and_publishing_it_again_does_nothing() {
-    let shell = Shell::new().await;
-    shell.sheet("table.csv", 0, BOOKING);
-    let told = shell.run("table publish table.csv");
-    assert_eq!(mask(&told), done("accepted as version 1: 2 rows, id ID"));
-    let told = shell.run("table pull -o table.csv");
+    let env = TestEnv::new().await;
+    env.sheet("table.csv", 0, BOOKING);
+    let output = env.run("table publish table.csv");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 1: 2 rows, id ID")
+    );
+    let output = env.run("table pull -o table.csv");
     let exists = "swiftcart: table.csv exists; give --force to overwrite it";
-    assert_eq!(told, failed(2, exists));
-    let told = shell.run("table pull -o table.csv --force");
-    assert_eq!(told, done("wrote version 1, 2 rows, to table.csv"));
-    let text = fs::read_to_string(shell.path("table.csv")).expect("a file");
+    assert_eq!(output, failed(2, exists));
+    let output = env.run("table pull -o table.csv --force");
+    assert_eq!(output, done("wrote version 1, 2 rows, to table.csv"));
+    let text = fs::read_to_string(env.path("table.csv")).expect("a file");
     assert_eq!(text, format!("{}base,1,,,,,\n{BOOKING}", common::HEAD));
-    let told = shell.run("table publish table.csv");
+    let output = env.run("table publish table.csv");
     let unchanged = "nothing to change: the table reads so already as of version 1";
-    assert_eq!(told, done(unchanged));
-    assert_eq!(shell.records(), 1);
+    assert_eq!(output, done(unchanged));
+    assert_eq!(env.records(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sheet_of_one_service_leaves_the_others_alone() {
-    let shell = shell(BOOKING).await;
-    shell.sheet("sensor.csv", 1, SENSOR);
-    let told = shell.run("table diff sensor.csv");
+    let env = env_with(BOOKING).await;
+    env.sheet("sensor.csv", 1, SENSOR);
+    let output = env.run("table diff sensor.csv");
     let diff = "change  row                          before  after\n\
         added   service sensor               -       rate 0, concurrency 10, timeout_ms 500\n\
         added   route /moisture -> sensor    -       weight 100\n\n2 rows against version 1";
     let squeezed = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
-    assert_eq!((told.code, squeezed(&told.out)), (Some(0), squeezed(diff)));
-    let told = shell.run("table publish sensor.csv");
-    assert_eq!(mask(&told), done("accepted as version 2: 2 rows, id ID"));
-    let told = shell.run("table pull");
+    assert_eq!(
+        (output.code, squeezed(&output.out)),
+        (Some(0), squeezed(diff))
+    );
+    let output = env.run("table publish sensor.csv");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 2: 2 rows, id ID")
+    );
+    let output = env.run("table pull");
     let rows = "service,booking,,,50,10,2000\nservice,sensor,,,0,10,500\n\
         route,booking,/book,100,,,\nroute,sensor,/moisture,100,,,";
-    assert_eq!(told, done(&format!("{}base,2,,,,,\n{rows}", common::HEAD)));
+    assert_eq!(
+        output,
+        done(&format!("{}base,2,,,,,\n{rows}", common::HEAD))
+    );
 }
 
 #[rstest]
@@ -113,10 +125,10 @@
     #[case] result: &str,
     #[case] changes: &str,
 ) {
-    let shell = shell(&format!("{BOOKING}{SENSOR}")).await;
-    shell.sheet("edit.csv", 1, rows);
+    let env = env_with(&format!("{BOOKING}{SENSOR}")).await;
+    env.sheet("edit.csv", 1, rows);
     let words = format!("edit.csv {options}");
-    let diff = shell.json(&format!("table diff {}", words.trim()));
+    let diff = env.json(&format!("table diff {}", words.trim()));
     let list = diff["changes"].as_array().expect("a list").iter();
     let named = list.map(|change| {
         let text = |key: &str| change[key].as_str().unwrap_or_default().to_owned();
@@ -126,52 +138,55 @@
     let named: Vec<_> = named.collect();
     let expected: Vec<serde_json::Value> = serde_json::from_str(changes).expect("JSON");
     assert_eq!(named, expected);
-    let published = shell.json(&format!("table publish {}", words.trim()));
+    let published = env.json(&format!("table publish {}", words.trim()));
     assert_eq!(published["result"], result);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_second_of_two_operators_is_told_which_rows_lost_to_whom() {
-    let shell = shell(BOOKING).await;
-    shell.sheet(
+    let env = env_with(BOOKING).await;
+    env.sheet(
         "rosa.csv",
         1,
         "service,booking,,,60,10,2000\nroute,booking,/book,90,,,\n",
     );
-    shell.sheet(
+    env.sheet(
         "luis.csv",
         1,
         "service,booking,,,70,10,2000\nroute,booking,/book,100,,,\n",
     );
-    let told = shell.run("table publish luis.csv --author luis");
-    assert_eq!(mask(&told), done("accepted as version 2: 1 row, id ID"));
-    let told = shell.run("table publish rosa.csv --author rosa");
+    let output = env.run("table publish luis.csv --author luis");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 2: 1 row, id ID")
+    );
+    let output = env.run("table publish rosa.csv --author rosa");
     let lost = "rejected, nothing changed:\
         \n  service booking was changed by luis in version 2\
         \npull the table again and repeat your edits of these rows";
-    assert_eq!(told, failed(3, lost));
+    assert_eq!(output, failed(3, lost));
 }
 
 /// Passes bytes on to the log, but holds appends until two have come.
-async fn gate(log: SocketAddr) -> SocketAddr {
+async fn hold_first_append(log: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("a bound port");
     let (arrived, _) = watch::channel(0);
     tokio::spawn(async move {
         while let Ok((caller, _)) = listener.accept().await {
-            tokio::spawn(pass(caller, log, arrived.clone()));
+            tokio::spawn(forward(caller, log, arrived.clone()));
         }
     });
     addr
 }
 
-async fn pass(caller: TcpStream, log: SocketAddr, arrived: watch::Sender<u32>) {
-    let (mut asked, mut told) = caller.into_split();
-    let upstream = TcpStream::connect(log).await.expect("the log");
-    let (mut answers, mut asks) = upstream.into_split();
-    tokio::spawn(async move { tokio::io::copy(&mut answers, &mut told).await });
+async fn forward(caller: TcpStream, log: SocketAddr, arrived: watch::Sender<u32>) {
+    let (mut requests, mut responses) = caller.into_split();
+    let connection = TcpStream::connect(log).await.expect("the log");
+    let (mut server_responses, mut server_requests) = connection.into_split();
+    tokio::spawn(async move { tokio::io::copy(&mut server_responses, &mut responses).await });
     let mut buf = vec![0; 64 * 1024];
-    while let Ok(n @ 1..) = asked.read(&mut buf).await {
+    while let Ok(n @ 1..) = requests.read(&mut buf).await {
         if buf.starts_with(b"POST") {
             arrived.send_modify(|count| *count += 1);
             let mut arrived = arrived.subscribe();
@@ -180,7 +195,7 @@
                 .await
                 .expect("a sender");
         }
-        asks.write_all(&buf[..n]).await.ok();
+        server_requests.write_all(&buf[..n]).await.ok();
     }
 }
 
@@ -188,14 +203,14 @@
 /// to the first append is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_two_racing_operators_one_is_accepted_also_when_an_answer_is_lost() {
-    let shell = shell(BOOKING).await;
-    shell.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
-    shell.sheet("luis.csv", 1, "service,booking,,,70,10,2000\n");
-    shell.log.set_faults(LogFaults::new().with_lose_answers(1));
-    let gate = gate(shell.log.addr()).await;
-    let words = |name| format!("table publish {name}.csv --author {name} --platform {gate}");
-    let (rosa, luis) = (shell.spawn(&words("rosa")), shell.spawn(&words("luis")));
-    let (rosa, luis) = (mask(&wait(rosa)), mask(&wait(luis)));
+    let env = env_with(BOOKING).await;
+    env.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
+    env.sheet("luis.csv", 1, "service,booking,,,70,10,2000\n");
+    env.log.set_faults(LogFaults::new().with_lose_answers(1));
+    let proxy = hold_first_append(env.log.addr()).await;
+    let words = |name| format!("table publish {name}.csv --author {name} --platform {proxy}");
+    let (rosa, luis) = (env.spawn(&words("rosa")), env.spawn(&words("luis")));
+    let (rosa, luis) = (mask_output(&wait(rosa)), mask_output(&wait(luis)));
     let (winner, loser, author) = match rosa.code {
         Some(0) => (rosa, luis, "rosa"),
         _ => (luis, rosa, "luis"),
@@ -207,30 +222,36 @@
         \npull the table again and repeat your edits of these rows"
     );
     assert_eq!(loser, failed(3, &lost));
-    assert_eq!((shell.log.faults().lose_answers, shell.records()), (0, 3));
+    assert_eq!((env.log.faults().lose_answers, env.records()), (0, 3));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_is_settled_without_a_second_record() {
-    let shell = Shell::new().await;
-    shell.log.set_faults(LogFaults::new().with_lose_answers(1));
-    shell.sheet("table.csv", 0, BOOKING);
-    let told = shell.run("table publish table.csv");
-    assert_eq!(mask(&told), done("accepted as version 1: 2 rows, id ID"));
-    assert_eq!(shell.records(), 1);
+    let env = TestEnv::new().await;
+    env.log.set_faults(LogFaults::new().with_lose_answers(1));
+    env.sheet("table.csv", 0, BOOKING);
+    let output = env.run("table publish table.csv");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 1: 2 rows, id ID")
+    );
+    assert_eq!(env.records(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_append_that_takes_effect_after_its_timeout_is_accepted_once() {
-    let shell = Shell::new().await;
-    shell.log.set_faults(LogFaults::new().with_late_ms(1500));
-    shell.sheet("table.csv", 0, BOOKING);
-    let told = shell.run("table publish table.csv --timeout 3");
-    assert_eq!(mask(&told), done("accepted as version 1: 2 rows, id ID"));
-    while shell.records() < 2 {
+    let env = TestEnv::new().await;
+    env.log.set_faults(LogFaults::new().with_late_ms(1500));
+    env.sheet("table.csv", 0, BOOKING);
+    let output = env.run("table publish table.csv --timeout 3");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 1: 2 rows, id ID")
+    );
+    while env.records() < 2 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let verdicts = shell.json("history");
+    let verdicts = env.json("history");
     let list = verdicts["publishes"].as_array().expect("a list").iter();
     let versions: Vec<_> = list.map(|publish| publish["version"].clone()).collect();
     assert_eq!(versions, [serde_json::Value::Null, 1.into()]);
@@ -238,26 +259,26 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_outcome_is_settled_by_the_same_id() {
-    let shell = Shell::new().await;
-    shell.log.set_faults(LogFaults::new().with_late_ms(60_000));
-    shell.sheet("table.csv", 0, BOOKING);
-    let told = shell.run("table publish table.csv --timeout 1 --id 5ca1ab1e");
+    let env = TestEnv::new().await;
+    env.log.set_faults(LogFaults::new().with_late_ms(60_000));
+    env.sheet("table.csv", 0, BOOKING);
+    let output = env.run("table publish table.csv --timeout 1 --id 5ca1ab1e");
     let unknown = "swiftcart: outcome unknown (the platform did not answer in time): run the same \
         command again with --id 0000000000000000000000005ca1ab1e to settle it; that publishes at \
         most once";
-    assert_eq!(told, failed(5, unknown));
-    shell.log.set_faults(LogFaults::new());
+    assert_eq!(output, failed(5, unknown));
+    env.log.set_faults(LogFaults::new());
     let accepted = "accepted as version 1: 2 rows, id 0000000000000000000000005ca1ab1e";
     for _ in 0..2 {
-        let told = shell.run("table publish table.csv --id 5ca1ab1e");
-        assert_eq!(told, done(accepted));
+        let output = env.run("table publish table.csv --id 5ca1ab1e");
+        assert_eq!(output, done(accepted));
     }
-    assert_eq!(shell.records(), 1);
-    shell.sheet("table.csv", 0, SENSOR);
-    let told = shell.run("table publish table.csv --id 5ca1ab1e");
+    assert_eq!(env.records(), 1);
+    env.sheet("table.csv", 0, SENSOR);
+    let output = env.run("table publish table.csv --id 5ca1ab1e");
     let reused = "swiftcart: --id 0000000000000000000000005ca1ab1e was used for a publish with \
         other edits; leave --id out for a new publish";
-    assert_eq!(told, failed(2, reused));
+    assert_eq!(output, failed(2, reused));
 }
 
 #[rstest]
@@ -268,14 +289,14 @@
 )]
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_publishes_nothing_and_says_so(#[case] outage: Outage, #[case] cause: &str) {
-    let shell = Shell::new().await;
-    shell.log.set_faults(LogFaults::new().with_outage(outage));
-    shell.sheet("table.csv", 0, BOOKING);
-    let told = shell.run("table publish table.csv --timeout 1");
-    let addr = shell.log.addr();
+    let env = TestEnv::new().await;
+    env.log.set_faults(LogFaults::new().with_outage(outage));
+    env.sheet("table.csv", 0, BOOKING);
+    let output = env.run("table publish table.csv --timeout 1");
+    let addr = env.log.addr();
     let err = format!("swiftcart: platform {addr}: {cause}; nothing was changed, try again later");
-    assert_eq!(told, failed(4, &err));
-    assert_eq!(shell.records(), 0);
+    assert_eq!(output, failed(4, &err));
+    assert_eq!(env.records(), 0);
 }
 
 #[rstest]
@@ -306,15 +327,15 @@
     #[case] code: i32,
     #[case] err: &str,
 ) {
-    let shell = shell(BOOKING).await;
-    shell.sheet("edit.csv", base, rows);
-    assert_eq!(shell.run("table publish edit.csv"), failed(code, err));
-    assert_eq!(shell.records(), 1);
+    let env = env_with(BOOKING).await;
+    env.sheet("edit.csv", base, rows);
+    assert_eq!(env.run("table publish edit.csv"), failed(code, err));
+    assert_eq!(env.records(), 1);
 }
 
 /// Folds the records from `offset` on, as a reader that stayed at the head did.
-fn follow(fold: &mut Fold, shell: &Shell, offset: u64) {
-    let page = shell.log.read("config", offset).expect("a stream");
+fn fold_records(fold: &mut Fold, env: &TestEnv, offset: u64) {
+    let page = env.log.read("config", offset).expect("a stream");
     for record in page.records {
         let entry = Entry {
             offset: Offset(record.offset),
@@ -325,60 +346,62 @@
     }
 }
 
-fn checkpoint(shell: &Shell, fold: &Fold) {
+fn append_checkpoint(env: &TestEnv, fold: &Fold) {
     let checkpoint = Envelope::new(Body::Checkpoint(fold.checkpoint()));
-    shell
-        .log
+    env.log
         .append("config", &checkpoint.encode())
         .expect("room");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_start_expired_is_read_from_its_checkpoint() {
-    let shell = Shell::with(LogSettings::default().with_records(4)).await;
+    let env = TestEnv::with(LogSettings::default().with_records(4)).await;
     let mut fold = Fold::new();
     for base in 0..3 {
-        shell.sheet(
+        env.sheet(
             "table.csv",
             base,
             &format!("service,booking,,,{},10,2000\n", base + 1),
         );
-        let told = shell.run("table publish table.csv");
-        assert_eq!(told.code, Some(0), "{told:?}");
+        let output = env.run("table publish table.csv");
+        assert_eq!(output.code, Some(0), "{output:?}");
     }
     // The records after the first checkpoint are not all kept, so that it starts no reader.
-    checkpoint(&shell, &fold);
-    follow(&mut fold, &shell, 0);
-    checkpoint(&shell, &fold);
-    shell.sheet("table.csv", 3, "service,booking,,,9,10,2000\n");
-    let told = shell.run("table publish table.csv");
-    assert_eq!(mask(&told), done("accepted as version 6: 1 row, id ID"));
-    let told = shell.run("table pull --version 3");
+    append_checkpoint(&env, &fold);
+    fold_records(&mut fold, &env, 0);
+    append_checkpoint(&env, &fold);
+    env.sheet("table.csv", 3, "service,booking,,,9,10,2000\n");
+    let output = env.run("table publish table.csv");
+    assert_eq!(
+        mask_output(&output),
+        done("accepted as version 6: 1 row, id ID")
+    );
+    let output = env.run("table pull --version 3");
     let pulled = format!("{}base,3,,,,,\nservice,booking,,,3,10,2000", common::HEAD);
-    assert_eq!(told, done(&pulled));
+    assert_eq!(output, done(&pulled));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_with_more_than_a_page_of_large_records_is_read_in_smaller_pages() {
-    let shell = shell(BOOKING).await;
+    let env = env_with(BOOKING).await;
     // Each byte takes two in JSON, which the log does not count.
     let large = "\"".repeat(250 * 1024);
     for _ in 0..18 {
-        shell.log.append("config", &large).expect("room");
+        env.log.append("config", &large).expect("room");
     }
-    let told = shell.run("table pull -o table.csv");
-    assert_eq!(told, done("wrote version 1, 2 rows, to table.csv"));
+    let output = env.run("table pull -o table.csv");
+    assert_eq!(output, done("wrote version 1, 2 rows, to table.csv"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_without_start_and_checkpoint_is_no_table() {
-    let shell = Shell::with(LogSettings::default().with_records(1)).await;
+    let env = TestEnv::with(LogSettings::default().with_records(1)).await;
     for _ in 0..2 {
-        shell.log.append("config", "hello").expect("room");
+        env.log.append("config", "hello").expect("room");
     }
-    let told = shell.run("table pull");
+    let output = env.run("table pull");
     let err = "swiftcart: records before offset 1 have expired and no checkpoint covers them";
-    assert_eq!(told, failed(1, err));
+    assert_eq!(output, failed(1, err));
 }
 
 #[rstest]
@@ -391,19 +414,19 @@
     )
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn records_that_are_not_ours(#[case] body: &str, #[case] expected: Told) {
-    let shell = shell(BOOKING).await;
-    shell.log.append("config", body).expect("room");
-    assert_eq!(shell.run("table pull -o table.csv"), expected);
+async fn records_that_are_not_ours(#[case] body: &str, #[case] expected: CliOutput) {
+    let env = env_with(BOOKING).await;
+    env.log.append("config", body).expect("room");
+    assert_eq!(env.run("table pull -o table.csv"), expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn history_shows_versions_authors_and_rejections() {
-    let shell = shell(BOOKING).await;
-    shell.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
-    let publish = shell.json("table publish rosa.csv");
+    let env = env_with(BOOKING).await;
+    env.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
+    let publish = env.json("table publish rosa.csv");
     // A publish that another tool appended without looking first.
-    let lost = Envelope::decode(&shell.log.read("config", 1).expect("a stream").records[0].body);
+    let lost = Envelope::decode(&env.log.read("config", 1).expect("a stream").records[0].body);
     let Ok(Body::Publish(mut lost)) = lost.map(|envelope| envelope.body) else {
         panic!("the tool appends publishes");
     };
@@ -411,8 +434,8 @@
     lost.id.0 ^= 1;
     lost.author = "luis".into();
     let body = Envelope::new(Body::Publish(lost)).encode();
-    shell.log.append("config", &body).expect("room");
-    let told = shell.run("history --limit 2");
+    env.log.append("config", &body).expect("room");
+    let output = env.run("history --limit 2");
     let cells = |line: &str| {
         let (version, rest) = line.split_at(9);
         format!(
@@ -421,11 +444,11 @@
             rest[20..].split_whitespace().collect::<Vec<_>>().join(" ")
         )
     };
-    let lines: Vec<_> = told.out.lines().skip(1).map(cells).collect();
+    let lines: Vec<_> = output.out.lines().skip(1).map(cells).collect();
     let expected = [
         "- luis rejected: service booking was changed by rosa in version 2; pull and edit again \
          service booking",
         "2 rosa accepted service booking",
     ];
-    assert_eq!(lines, expected, "{}", told.out);
+    assert_eq!(lines, expected, "{}", output.out);
 }
--- a/crates/swiftcart-cli/tests/sheet.rs
+++ b/crates/swiftcart-cli/tests/sheet.rs
@@ -218,6 +218,6 @@
         .expect("the binary runs");
     let path = file.display().to_string();
     let expected = format!("swiftcart: FILE:{message}\n").replace("FILE", &path);
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert_eq!((out.status.code(), told), (Some(2), expected));
+    let output = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert_eq!((out.status.code(), output), (Some(2), expected));
 }
--- a/crates/swiftcart-cli/tests/status.rs
+++ b/crates/swiftcart-cli/tests/status.rs
@@ -9,7 +9,7 @@
 
 use axum::routing::get;
 use axum::{Json, Router};
-use common::{Shell, Told, masked, wait};
+use common::{CliOutput, TestEnv, mask_ids, wait};
 use serde_json::{Value, json};
 use swiftcart_core::{
     Backend, FailureDomain, Incarnation, Liveness, Member, NodeId, Readiness, ServiceName,
@@ -25,10 +25,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let me = member(id, listener.local_addr().expect("a bound port"));
     let current = Arc::new(AtomicU64::new(version));
-    let (shown, told) = (current.clone(), me.clone());
+    let (served_version, served_member) = (current.clone(), me.clone());
     let state = move || {
-        let version = shown.load(Ordering::SeqCst);
-        std::future::ready(Json(state(&told, version)))
+        let version = served_version.load(Ordering::SeqCst);
+        std::future::ready(Json(state(&served_member, version)))
     };
     let members: Vec<_> = others.into_iter().chain([me.clone()]).collect();
     let router = Router::new()
@@ -70,31 +70,31 @@
 
 /// Returns an address on which nothing listens.
 /// Nothing listens here; a port that was free once may be another test's by now.
-fn nowhere() -> SocketAddr {
+fn closed_addr() -> SocketAddr {
     SocketAddr::from(([127, 255, 255, 254], 1))
 }
 
-async fn published() -> Shell {
-    let shell = Shell::new().await;
-    shell.sheet("first.csv", 0, "service,booking,,,50,10,2000\n");
-    assert_eq!(shell.run("table publish first.csv").code, Some(0));
-    shell
+async fn published() -> TestEnv {
+    let env = TestEnv::new().await;
+    env.sheet("first.csv", 0, "service,booking,,,50,10,2000\n");
+    assert_eq!(env.run("table publish first.csv").code, Some(0));
+    env
 }
 
-fn squeezed(text: &str) -> Vec<String> {
+fn collapse_spaces(text: &str) -> Vec<String> {
     let words = |line: &str| line.split_whitespace().collect::<Vec<_>>().join(" ");
     text.lines().map(words).collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn status_names_versions_stragglers_and_nodes_out_of_reach() {
-    let shell = published().await;
-    let cut = member(SUR, nowhere());
-    let mut dead = member(DEAD, nowhere());
+    let env = published().await;
+    let cut = member(SUR, closed_addr());
+    let mut dead = member(DEAD, closed_addr());
     dead.liveness = Liveness::Dead;
     dead.backend = None;
     let (norte, version) = node(NORTE, 1, vec![cut, dead]).await;
-    let words = format!("--node {} --node {} status", nowhere(), norte.admin);
+    let words = format!("--node {} --node {} status", closed_addr(), norte.admin);
     let expected = [
         "node domain service liveness version ready note",
         "127.0.0.1:7101 norte booking alive 1 yes",
@@ -104,13 +104,13 @@
         "1 of 2 live nodes are at version 1",
         "stragglers: 127.0.0.1:7102 (sur) unreachable",
     ];
-    let told = shell.run(&words);
+    let output = env.run(&words);
     assert_eq!(
-        (told.code, squeezed(&told.out)),
+        (output.code, collapse_spaces(&output.out)),
         (Some(0), expected.map(String::from).to_vec())
     );
     version.store(0, Ordering::SeqCst);
-    let json = shell.json(&words);
+    let json = env.json(&words);
     let stragglers = json!([
         {"node": NORTE, "domain": "norte", "version": 0},
         {"node": SUR, "domain": "sur", "version": null, "error": "unreachable"},
@@ -124,11 +124,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_of_another_node_is_not_taken_for_the_members_own() {
-    let shell = published().await;
+    let env = published().await;
     let (sur, _) = node(SUR, 1, Vec::new()).await;
     let replaced = member(DEAD, sur.admin);
     let (norte, _) = node(NORTE, 1, vec![sur, replaced]).await;
-    let json = shell.json(&format!("--node {} status", norte.admin));
+    let json = env.json(&format!("--node {} status", norte.admin));
     let error = "answers otherwise than a node of this release";
     let stragglers = json!([{"node": DEAD, "domain": "sur", "version": null, "error": error}]);
     assert_eq!(json["stragglers"], stragglers);
@@ -136,11 +136,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn waiting_ends_when_the_last_live_node_has_the_version() {
-    let shell = published().await;
+    let env = published().await;
     let (sur, version) = node(SUR, 0, Vec::new()).await;
     let (norte, _) = node(NORTE, 1, vec![sur]).await;
     let words = format!("--node {} table publish first.csv --wait", norte.admin);
-    let mut child = shell.spawn(&words);
+    let mut child = env.spawn(&words);
     let mut err = BufReader::new(child.stderr.take().expect("a pipe"));
     let mut line = String::new();
     err.read_line(&mut line).expect("what was published");
@@ -151,9 +151,9 @@
     let waiting = "version 1: 1 of 2 live nodes, waiting for 127.0.0.1:7102 (sur) has version 0\n";
     assert_eq!(line, waiting);
     version.store(1, Ordering::SeqCst);
-    let told = wait(child);
+    let output = wait(child);
     let out = "version 1 is in force on all live nodes\n";
-    assert_eq!((told.code, told.out.as_str()), (Some(0), out));
+    assert_eq!((output.code, output.out.as_str()), (Some(0), out));
     line.clear();
     err.read_line(&mut line).expect("a line of progress");
     assert_eq!(line, "version 1: 2 of 2 live nodes\n");
@@ -161,13 +161,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wait_that_times_out_names_the_stragglers() {
-    let shell = published().await;
-    let cut = member(SUR, nowhere());
+    let env = published().await;
+    let cut = member(SUR, closed_addr());
     let (norte, _) = node(NORTE, 0, vec![cut]).await;
-    shell.sheet("edit.csv", 1, "service,booking,,,60,10,2000\n");
+    env.sheet("edit.csv", 1, "service,booking,,,60,10,2000\n");
     let words = format!("--node {} table publish edit.csv --wait 1", norte.admin);
-    let told = shell.run(&words);
-    let expected = Told {
+    let output = env.run(&words);
+    let expected = CliOutput {
         code: Some(6),
         out: "version 2 is accepted but not yet in force on:\n  \
             127.0.0.1:7101 (norte) has version 0\n  127.0.0.1:7102 (sur) unreachable\n"
@@ -176,20 +176,20 @@
             127.0.0.1:7102 (sur) unreachable\n"
             .into(),
     };
-    let masked = Told {
-        code: told.code,
-        out: masked(&told.out),
-        err: masked(&told.err),
+    let masked_output = CliOutput {
+        code: output.code,
+        out: mask_ids(&output.out),
+        err: mask_ids(&output.err),
     };
-    assert_eq!(masked, expected);
+    assert_eq!(masked_output, expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wait_that_no_node_answers_is_not_called_done() {
-    let shell = published().await;
-    let words = format!("--node {} table publish first.csv --wait=1", nowhere());
-    let told = shell.run(&words);
-    assert_eq!(told.code, Some(6), "{told:?}");
-    let told = shell.run(&format!("--node {} status", nowhere()));
-    assert_eq!(told.code, Some(1), "{told:?}");
+    let env = published().await;
+    let words = format!("--node {} table publish first.csv --wait=1", closed_addr());
+    let output = env.run(&words);
+    assert_eq!(output.code, Some(6), "{output:?}");
+    let output = env.run(&format!("--node {} status", closed_addr()));
+    assert_eq!(output.code, Some(1), "{output:?}");
 }
