--- a/crates/swiftcart-cli/src/account.rs
+++ b/crates/swiftcart-cli/src/account.rs
@@ -1,4 +1,4 @@
-//! Changes of client accounts: what each asks of the current table.
+//! Changes of client accounts and the edits that they make.
 
 use std::fmt;
 
@@ -11,76 +11,75 @@
 
 use crate::Error;
 
-/// The fewest digits of a key's hash that name the key.
+/// Minimum number of hexadecimal digits of a key's hash that select the key.
 pub const MIN_HASH_DIGITS: usize = 4;
 
 quick_error! {
-    /// Tells why a change of an account makes no sense for the current table.
+    /// Reason why an account change does not apply to the current table.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AccountError {
-        /// The account is there already.
-        AlreadyExists(name: AccountName) {
-            display("account {name} is there already; change it with account rotate, revoke, quota or homes")
+        /// The account exists already.
+        Exists(name: AccountName) {
+            display("account {name} already exists; change it with account rotate, revoke, quota or homes")
         }
-        /// The account is not there.
+        /// The account does not exist.
         NotFound(name: AccountName) {
             display("the table has no account {name}; see account list")
         }
-        /// No key has such a hash.
+        /// No key of the account has a hash that begins with the digits.
         KeyNotFound(name: AccountName, digits: String) {
             display("account {name} has no key whose hash begins with {digits}; see account list")
         }
-        /// No one knows yet whether the change was taken.
+        /// The platform may or may not have appended the change.
         OutcomeUnknown(name: AccountName, detail: String) {
-            display("outcome unknown ({detail}): look with account list what became of {name}; a key that was not shown cannot be used, revoke it there")
+            display("outcome unknown ({detail}): check account {name} with account list and revoke any key that was not shown")
         }
-        /// Several keys have such a hash.
+        /// Several keys of the account have a hash that begins with the digits.
         AmbiguousKey(name: AccountName, digits: String) {
             display("several keys of account {name} have hashes that begin with {digits}; give more digits")
         }
     }
 }
 
-/// An API key as it is handed to a customer; it is shown once and kept nowhere.
+/// API key of a client account in plain text. The key is shown once and never stored.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ApiKey(String);
 
-/// What an operator asks of a client account.
+/// Change of a client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AccountChange {
-    /// Adds it, with a first key.
+    /// Adds the account with a first key.
     Add(AccountName, Account),
-    /// Gives it another key; the others stay until they are revoked.
+    /// Adds a key to the account. The other keys stay valid until they are revoked.
     Rotate(AccountName),
-    /// Takes away the key whose hash begins with these digits.
+    /// Revokes the key whose hash begins with the digits.
     Revoke(AccountName, String),
-    /// Sets what it may send; `None` lifts the limit.
+    /// Sets the request quota; `None` removes it.
     Quota(AccountName, Option<Quota>),
-    /// Sets the regions in which its requests are run; none lifts the bound.
+    /// Sets the regions that may run the account's requests; an empty set allows all regions.
     Homes(AccountName, Homes),
-    /// Removes it with all its keys.
+    /// Removes the account with all its keys.
     Remove(AccountName),
 }
 
 impl ApiKey {
-    /// Draws a key of 128 random bits from the system.
+    /// Generates a key of 128 random bits from the operating system.
     ///
     /// # Errors
-    ///
-    /// [`Error::Random`] when the system gives none.
+    /// [`Error::Random`] if the operating system provides no random numbers.
     pub fn generate() -> Result<Self, Error> {
         let mut bytes = [0; 16];
         OsRng.try_fill_bytes(&mut bytes)?;
         Ok(Self(format!("{:032x}", u128::from_be_bytes(bytes))))
     }
 
-    /// Returns the key itself.
+    /// Returns the key in plain text.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Returns the hash that nodes keep.
+    /// Returns the hash of the key, which is what the table stores.
     #[must_use]
     pub fn hash(&self) -> KeyHash {
         KeyHash::of(self.0.as_bytes())
@@ -94,7 +93,7 @@
 }
 
 impl AccountChange {
-    /// Returns the account.
+    /// Returns the name of the account.
     #[must_use]
     pub const fn name(&self) -> &AccountName {
         match self {
@@ -107,13 +106,16 @@
         }
     }
 
-    /// Tells whether the change brings a new key.
+    /// Returns `true` if the change adds a key.
     #[must_use]
     pub const fn needs_key(&self) -> bool {
         matches!(self, Self::Add(..) | Self::Rotate(_))
     }
 
-    /// Returns the edits that the change makes of `table`, with the hash of a new key where it wants one.
+    /// Returns the edits that apply the change to `table`.
+    ///
+    /// `key` is the hash of the new key; it is used only if [`needs_key`](Self::needs_key) is
+    /// `true`.
     ///
     /// # Examples
     ///
@@ -127,8 +129,7 @@
     /// ```
     ///
     /// # Errors
-    ///
-    /// [`AccountError`] when the table and the change do not fit.
+    /// [`AccountError`] if the change does not apply to the table.
     pub fn edits(&self, table: &Table, key: KeyHash) -> Result<Vec<Edit>, AccountError> {
         let name = self.name();
         let found = table.accounts().find(|(found, _)| *found == name);
@@ -140,7 +141,7 @@
         };
         let account = match self {
             Self::Add(..) if found.is_some() => {
-                return Err(AccountError::AlreadyExists(name.clone()));
+                return Err(AccountError::Exists(name.clone()));
             }
             Self::Add(_, account) => account.clone().with_key(key),
             Self::Rotate(_) => existing()?.with_key(key),
@@ -171,7 +172,7 @@
     }
 }
 
-/// Returns what an operator sees of an account: no key, only hashes.
+/// Returns the cells of an account for the operator. Keys appear as shortened hashes only.
 #[must_use]
 pub fn account_cells(table: &Table, name: &AccountName, account: &Account) -> [String; 5] {
     let none = || "-".to_owned();
@@ -198,7 +199,7 @@
     ]
 }
 
-/// Returns the first digits of a key's hash.
+/// Returns the first digits of a key's hash, twice as many as are needed to select the key.
 fn short_hash(key: KeyHash) -> String {
     key.to_string().chars().take(2 * MIN_HASH_DIGITS).collect()
 }
--- a/crates/swiftcart-cli/src/admin.rs
+++ b/crates/swiftcart-cli/src/admin.rs
@@ -1,4 +1,4 @@
-//! Asks nodes on their admin addresses.
+//! HTTP client for the admin addresses of nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,38 +19,38 @@
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 quick_error! {
-    /// Tells why a node gave no answer.
+    /// Failure of a request to a node's admin address.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
     pub enum AdminError {
-        /// The node cannot be reached, or not in time.
+        /// The node cannot be reached or did not answer in time.
         Unreachable {
             display("unreachable")
         }
-        /// The answer is another one than a node gives.
+        /// The response is not that of a node of this release.
         Malformed {
-            display("answers otherwise than a node of this release")
+            display("gave an unexpected response")
         }
     }
 }
 
-/// Holds what a node says of itself; fields of later releases are skipped.
+/// State that a node reports of itself. Unknown fields, which later releases may add, are ignored.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct NodeState {
-    /// The node.
+    /// Id of the node.
     pub id: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: FailureDomain,
-    /// The version that it applied.
+    /// Version of the table that the node has applied.
     pub version: Version,
-    /// Whether it takes requests.
+    /// `true` if the node accepts requests.
     pub ready: bool,
-    /// Why it does not.
+    /// Explanation of `ready`, if the node gives one.
     pub reason: Option<String>,
-    /// The rule of the record before which it stands still.
+    /// Rule of the record at which the node has stalled, since it does not know the rule.
     pub stalled_rule: Option<u16>,
 }
 
-/// Asks nodes; a clone shares its connections.
+/// Client for the admin addresses. Clones share their connections.
 #[derive(Debug, Clone)]
 pub struct AdminClient {
     client: Client<HttpConnector, Empty<Bytes>>,
@@ -63,7 +63,7 @@
 }
 
 impl AdminClient {
-    /// Creates a client; it connects when first used.
+    /// Creates a client that connects on the first request.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
@@ -74,20 +74,18 @@
         Self { client }
     }
 
-    /// Asks the node at `addr` for all members that it knows.
+    /// Fetches the membership list of the node at `addr`.
     ///
     /// # Errors
-    ///
-    /// The node gave no answer.
+    /// [`AdminError`] if the node gave no valid answer.
     pub async fn members(&self, addr: SocketAddr) -> Result<Vec<Member>, AdminError> {
         self.query(addr, "/v1/members").await
     }
 
-    /// Asks the node at `addr` for its own state.
+    /// Fetches the state of the node at `addr`.
     ///
     /// # Errors
-    ///
-    /// The node gave no answer.
+    /// [`AdminError`] if the node gave no valid answer.
     pub async fn state(&self, addr: SocketAddr) -> Result<NodeState, AdminError> {
         self.query(addr, "/v1/state").await
     }
--- a/crates/swiftcart-cli/src/args.rs
+++ b/crates/swiftcart-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parser.
 
 mod accounts;
 mod help;
@@ -15,48 +15,48 @@
 use crate::{AccountChange, Error, MAX_NODES, Settings};
 use value::{ADDR_HINT, FORMAT_HINT, NODE_HINT, file, limit, publish_id, seconds, value, version};
 
-/// The time that `--wait` waits unless it is given a number of seconds.
+/// Default time limit of `--wait`.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(30);
 
-/// The number of publishes that `history` shows unless it is given one.
+/// Default number of publishes that `history` shows.
 pub const DEFAULT_HISTORY_LIMIT: usize = 20;
 
-/// The most publishes that `history` shows.
+/// Maximum number of publishes that `history` shows.
 pub const MAX_HISTORY_LIMIT: usize = 10_000;
 
-/// Holds the whole command line.
+/// Parsed command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invocation {
-    /// The settings file with the command line's options laid over it.
+    /// Settings of the settings file, overridden by the options of the command line.
     pub settings: Settings,
-    /// Whether to print JSON instead of text.
+    /// Print JSON instead of text.
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     pub command: Command,
 }
 
-/// What the operator asks for.
+/// Command with its options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Print this help.
+    /// Print this help text.
     Help(String),
     /// Print the program's version.
     Version,
-    /// Write the table as a sheet.
+    /// Write a table as a sheet or as JSON.
     Pull(PullOptions),
-    /// Check a sheet without the platform.
+    /// Check a sheet without contacting the platform.
     Check(PathBuf),
-    /// Compare a sheet with a version.
+    /// Compare a sheet with a version of the table.
     Diff(DiffOptions),
     /// Publish a sheet.
     Publish(PublishOptions),
-    /// Show the last publishes; this many.
+    /// Show this number of latest publishes.
     History(usize),
-    /// Show which nodes have which version.
+    /// Show the version of each node.
     Status,
-    /// Tell from log files what became of a request.
+    /// Trace a request through the nodes' log files.
     Explain(ExplainOptions),
-    /// Show the client accounts.
+    /// List the client accounts.
     Accounts,
     /// Change a client account.
     Account(AccountChange),
@@ -65,64 +65,64 @@
 /// Options of `explain`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExplainOptions {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// The log files of the nodes.
+    /// Log files of the nodes.
     pub files: Vec<PathBuf>,
 }
 
 /// Options of `table pull`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PullOptions {
-    /// The version to write, or the current one.
+    /// Version to write, by default the current one.
     pub version: Option<Version>,
-    /// The form to write.
+    /// Output format.
     pub format: Format,
-    /// The file to write, or standard output.
+    /// Output file, by default standard output.
     pub output: Option<PathBuf>,
-    /// Whether to overwrite the file.
+    /// Overwrite an existing file.
     pub force: bool,
 }
 
 /// Options of `table diff`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DiffOptions {
-    /// The sheet.
+    /// Path of the sheet.
     pub file: PathBuf,
-    /// The version to compare with, or the current one.
+    /// Version to compare with, by default the current one.
     pub against: Option<Version>,
-    /// Which rows of the sheet count.
+    /// Selection of rows.
     pub scope: Scope,
 }
 
 /// Options of `table publish`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishOptions {
-    /// The sheet.
+    /// Path of the sheet.
     pub file: PathBuf,
-    /// The id, to settle an earlier publish; drawn at random otherwise.
+    /// Id of an earlier publish with unknown outcome, by default a new random id.
     pub id: Option<PublishId>,
-    /// The version that the sheet was made from, in place of the base row.
+    /// Base version of the sheet, which overrides its base row.
     pub base: Option<Version>,
-    /// How long to wait until the version is in force everywhere.
+    /// Time limit for all live nodes to have the version; `None` does not wait.
     pub wait: Option<Duration>,
-    /// Which rows of the sheet count.
+    /// Selection of rows.
     pub scope: Scope,
 }
 
-/// Says which rows of a sheet count and whether missing ones are removed.
+/// Selection of the rows to publish or to compare.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Scope {
-    /// The services to look at; all that the sheet names when empty.
+    /// Services whose rows are selected. An empty set selects all services of the sheet.
     pub only: BTreeSet<ServiceName>,
-    /// Whether rows of these services that the sheet lacks are removed.
+    /// Remove the rows of these services that are not in the sheet.
     pub prune: bool,
 }
 
-/// The form of a pulled table.
+/// Output format of `table pull`.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Format {
-    /// A sheet for a spreadsheet.
+    /// CSV sheet for a spreadsheet.
     #[default]
     Csv,
     /// JSON for scripts.
@@ -130,21 +130,21 @@
 }
 
 impl Invocation {
-    /// Reads the command line, without the program's name, and the settings file it names.
+    /// Parses the arguments, without the program's name, and reads the settings file that they
+    /// name.
     ///
     /// # Errors
-    ///
-    /// The command line or the settings file is not valid.
+    /// [`Error`] if the command line or the settings file is not valid.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
         let mut global_options = help::globals();
         global_options
             .optflag("V", "version", "")
             .parsing_style(ParsingStyle::StopAtFirstFree);
-        let globals = global_options.parse(args)?;
-        let words: Vec<_> = globals.free.iter().map(String::as_str).collect();
+        let global = global_options.parse(args)?;
+        let words: Vec<_> = global.free.iter().map(String::as_str).collect();
         let (command, rest) = match words[..] {
-            _ if globals.opt_present("version") => return Ok(Self::plain(Command::Version)),
-            [] if globals.opt_present("help") => {
+            _ if global.opt_present("version") => return Ok(Self::plain(Command::Version)),
+            [] if global.opt_present("help") => {
                 return Ok(Self::plain(Command::Help(help::all())));
             }
             [] => return Err(Error::MissingArgument("the command")),
@@ -168,10 +168,10 @@
         };
         let matches = command
             .options()
-            .parse(join_wait_value(&globals.free[rest..]))?;
-        match globals.opt_present("help") || matches.opt_present("help") {
+            .parse(join_wait_value(&global.free[rest..]))?;
+        match global.opt_present("help") || matches.opt_present("help") {
             true => Ok(Self::plain(Command::Help(command.help()))),
-            false => Self::build(command, &globals, &matches),
+            false => Self::build(command, &global, &matches),
         }
     }
 
@@ -183,9 +183,9 @@
         }
     }
 
-    fn build(name: help::Name, globals: &Matches, matches: &Matches) -> Result<Self, Error> {
-        let settings = settings(globals, matches)?;
-        let json = globals.opt_present("json") || matches.opt_present("json");
+    fn build(name: help::Name, global: &Matches, matches: &Matches) -> Result<Self, Error> {
+        let settings = settings(global, matches)?;
+        let json = global.opt_present("json") || matches.opt_present("json");
         let command = match name {
             help::Name::Pull => Command::Pull(pull(matches, json)?),
             help::Name::Check => Command::Check(file(matches)?),
@@ -207,7 +207,7 @@
     }
 }
 
-/// Joins `--wait 60`, which the parser takes only as `--wait=60`.
+/// Joins `--wait 60` to `--wait=60`, the only form that `getopts` accepts for an optional value.
 fn join_wait_value(args: &[String]) -> Vec<String> {
     let is_number = |arg: &String| arg.parse::<u64>().is_ok();
     let mut joined: Vec<String> = Vec::new();
@@ -220,9 +220,9 @@
     joined
 }
 
-/// Lays the command line's options over the settings file.
-fn settings(globals: &Matches, matches: &Matches) -> Result<Settings, Error> {
-    let either = |name: &str| matches.opt_str(name).or_else(|| globals.opt_str(name));
+/// Reads the settings file and applies the options of the command line over it.
+fn settings(global: &Matches, matches: &Matches) -> Result<Settings, Error> {
+    let either = |name: &str| matches.opt_str(name).or_else(|| global.opt_str(name));
     let mut settings = match either("settings") {
         Some(path) => Settings::load(path.as_ref())?,
         None => Settings::default(),
@@ -236,7 +236,7 @@
     if matches.opt_defined("author") {
         settings.author = matches.opt_str("author").or(settings.author);
     }
-    let names = [globals.opt_strs("node"), matches.opt_strs("node")].concat();
+    let names = [global.opt_strs("node"), matches.opt_strs("node")].concat();
     if names.len() > MAX_NODES {
         return Err(Error::InvalidValue(
             "node",
@@ -309,18 +309,28 @@
     }
 }
 
-/// Adds the options that every command has.
+/// Adds the options that all commands accept.
 fn add_globals(options: &mut Options) -> &mut Options {
     options
-        .optopt("p", "platform", "the platform's log", "IP:PORT")
-        .optmulti("n", "node", "a node's admin address; repeatable", "IP:PORT")
+        .optopt("p", "platform", "address of the platform's log", "IP:PORT")
+        .optmulti(
+            "n",
+            "node",
+            "admin address of a node; repeatable",
+            "IP:PORT",
+        )
         .optopt(
             "s",
             "settings",
             "JSON file with platform, nodes, author, timeout_ms",
             "FILE",
         )
-        .optopt("", "timeout", "time for the platform to answer", "SECS")
+        .optopt(
+            "",
+            "timeout",
+            "time limit for calls to the platform",
+            "SECS",
+        )
         .optflag("j", "json", "print JSON for scripts")
         .optflag("h", "help", "print this help")
 }
--- a/crates/swiftcart-cli/src/args/accounts.rs
+++ b/crates/swiftcart-cli/src/args/accounts.rs
@@ -1,4 +1,4 @@
-//! The options of the commands for client accounts.
+//! Options and help texts of the commands for client accounts.
 
 use getopts::{Matches, Options};
 use swiftcart_core::{Account, AccountName, Homes, Priority, Quota, Region};
@@ -7,16 +7,16 @@
 use super::value::value;
 use crate::{AccountChange, Error, MIN_HASH_DIGITS};
 
-const RATE_HINT: &str = "write requests a second from 1 to 4294967295";
+const RATE_HINT: &str = "write requests per second from 1 to 4294967295";
 const BURST_HINT: &str = "write requests from 1 to 4294967295";
-const RANK_HINT: &str = "write a rank from 0 to 255, 0 goes first";
-const KEY_HINT: &str = "write the first digits of a hash that account list shows, at least 4";
+const RANK_HINT: &str = "write a rank from 0 to 255; 0 is the highest priority";
+const KEY_HINT: &str = "write at least 4 leading digits of a hash that account list shows";
 
 const LIST: &str = "\
 Usage: swiftcart account list [OPTIONS]
 
-Shows the client accounts of the current table. Keys are shown by the first
-digits of their hashes.";
+Lists the client accounts of the current table. Keys appear as the first digits
+of their hashes.";
 
 const ADD: &str = "\
 Usage: swiftcart account add [OPTIONS] NAME
@@ -26,32 +26,32 @@
 const ROTATE: &str = "\
 Usage: swiftcart account rotate [OPTIONS] NAME
 
-Gives a client account another key, which is shown once. The other keys stay
-good until they are revoked.";
+Adds a key to a client account and shows it once. The other keys stay valid
+until they are revoked.";
 
 const REVOKE: &str = "\
 Usage: swiftcart account revoke [OPTIONS] NAME KEY
 
-Takes away the key whose hash begins with the digits KEY.";
+Revokes the key whose hash begins with the digits KEY.";
 
 const QUOTA: &str = "\
 Usage: swiftcart account quota [OPTIONS] NAME
 
-Sets what a client account may send through all nodes together; without --rate
-the limit is lifted.";
+Sets the request quota of a client account over all nodes; without --rate, the
+quota is removed.";
 
 const HOMES: &str = "\
 Usage: swiftcart account homes [OPTIONS] NAME [REGION]...
 
-Sets the regions in which the requests of a client account are run; without a
-region they are run everywhere.";
+Sets the regions that may run the requests of a client account; without REGION,
+all regions may.";
 
 const REMOVE: &str = "\
 Usage: swiftcart account remove [OPTIONS] NAME
 
 Removes a client account with all its keys.";
 
-/// Names a command for accounts.
+/// Command for client accounts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Name {
     List,
@@ -64,7 +64,7 @@
 }
 
 impl Name {
-    /// Returns the command that `word` names.
+    /// Returns the command with the name `word`.
     pub(super) fn of(word: &str) -> Option<Self> {
         match word {
             "list" => Some(Self::List),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns how many arguments the command takes at most.
+    /// Returns the maximum number of positional arguments of the command.
     pub(super) const fn arguments(self) -> usize {
         match self {
             Self::List => 0,
@@ -88,18 +88,23 @@
         }
     }
 
-    /// Adds the options that the command takes besides those of all.
+    /// Adds the options of the command, without the global options.
     pub(super) fn add_options(self, options: &mut Options) {
         if self != Self::List {
-            options.optopt("", "author", "who publishes (default: $USER)", "NAME");
+            options.optopt(
+                "",
+                "author",
+                "author of the publish (default: $USER)",
+                "NAME",
+            );
         }
         if matches!(self, Self::Add | Self::Quota) {
             options
-                .optopt("", "rate", "requests a second over all nodes", "N")
+                .optopt("", "rate", "requests per second over all nodes", "N")
                 .optopt(
                     "",
                     "burst",
-                    "requests at once after a pause (default: the rate)",
+                    "burst size in requests (default: the rate)",
                     "N",
                 );
         }
@@ -107,13 +112,13 @@
             options.optopt(
                 "",
                 "rank",
-                "rank of its requests, in place of their routes'",
+                "rank of its requests; overrides the rank of their routes",
                 "N",
             );
         }
     }
 
-    /// Returns the command's help, without its options.
+    /// Returns the help text of the command, without its options.
     pub(super) const fn brief(self) -> &'static str {
         match self {
             Self::List => LIST,
@@ -127,7 +132,7 @@
     }
 }
 
-/// Returns what the command line asks for.
+/// Builds the command from its parsed arguments.
 pub(super) fn command(name: Name, matches: &Matches) -> Result<Command, Error> {
     let change = match name {
         Name::List => return Ok(Command::Accounts),
@@ -165,7 +170,7 @@
     let (rate, burst) = (number("rate", RATE_HINT)?, number("burst", BURST_HINT)?);
     match (rate, burst) {
         (None, None) => Ok(None),
-        (None, Some(_)) => Err(Error::MissingArgument("--rate, to which --burst belongs,")),
+        (None, Some(_)) => Err(Error::MissingArgument("--rate, which --burst requires,")),
         (Some(rate), burst) => Ok(Some(Quota {
             rate,
             burst: burst.unwrap_or(rate),
--- a/crates/swiftcart-cli/src/args/help.rs
+++ b/crates/swiftcart-cli/src/args/help.rs
@@ -1,10 +1,10 @@
-//! The options of each command and the texts that explain them.
+//! Options and help texts of the commands.
 
 use getopts::Options;
 
 use super::accounts;
 
-/// Names a command that has options of its own.
+/// Command with its own options.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Name {
     Pull,
@@ -25,42 +25,42 @@
     table check     check a sheet without the platform
     table diff      show what publishing a sheet would change
     table publish   publish a sheet
-    history         show the last publishes, rejected ones too
-    status          show which nodes have which version
-    explain         tell from the nodes' logs what became of a request
-    account list    show the client accounts
-    account add     add one, with a first key
-    account rotate  give one another key
-    account revoke  take a key away
-    account quota   set what one may send
-    account homes   set the regions in which its requests are run
-    account remove  remove one with all its keys
+    history         show the last publishes, including rejected ones
+    status          show the version of each node
+    explain         trace a request through the nodes' logs
+    account list    list the client accounts
+    account add     add an account with a first key
+    account rotate  add a key to an account
+    account revoke  revoke a key of an account
+    account quota   set the request quota of an account
+    account homes   set the regions that may run its requests
+    account remove  remove an account with all its keys
 
 Exit codes:
     0  done
-    1  another failure
-    2  the command line, the settings or the sheet is wrong
+    1  other failure
+    2  the command line, the settings or the sheet is invalid
     3  the publish was rejected; nothing changed
-    4  the platform is out of reach; nothing was published
+    4  the platform is unreachable; nothing was published
     5  outcome unknown; run the same command again with the printed --id
-    6  accepted, but nodes still lacked the version when the wait was over";
+    6  accepted, but some live nodes did not have the version in time";
 
 const PULL: &str = "\
 Usage: swiftcart table pull [OPTIONS]
 
-Writes the table as a sheet. The version that it was made from stands in the
-row of kind base; keep that row, rows may be sorted.";
+Writes the table as a sheet. The row of kind base records the version of the
+table; keep this row. Rows may be sorted.";
 
 const CHECK: &str = "\
 Usage: swiftcart table check FILE
 
 Checks a sheet without the platform and names each fault by line and column.
-What depends on rows outside the sheet is only noted.";
+Faults that depend on rows outside the sheet are only printed as notes.";
 
 const SCOPE: &str = "\
-Rows that the sheet lacks stay as they are, so a sheet may name only some
-services. Remove rows by kind remove-service or remove-route, or give --prune
-to remove the rows that the sheet lacks of the services that it names.";
+Rows that are not in the sheet are left unchanged, so a sheet may contain only
+some services. To remove rows, use the kinds remove-service and remove-route, or
+--prune, which removes all rows of the sheet's services that are not in it.";
 
 const DIFF: &str = "\
 Usage: swiftcart table diff [OPTIONS] FILE
@@ -70,28 +70,30 @@
 const PUBLISH: &str = "\
 Usage: swiftcart table publish [OPTIONS] FILE
 
-Publishes the rows that differ from the sheet's base version, together or not
-at all. Rows that someone else changed since then are told and nothing changes.";
+Publishes all rows that differ from the sheet's base version, or none of them.
+If another publish has changed one of these rows since that version, this one
+is rejected and the conflicting rows are listed.";
 
 const HISTORY: &str = "\
 Usage: swiftcart history [OPTIONS]
 
-Shows the last publishes that the log keeps, rejected ones too.";
+Shows the last publishes that the log keeps, including rejected ones.";
 
 const STATUS: &str = "\
 Usage: swiftcart status [OPTIONS]
 
-Asks a node for all members and each member for its version.";
+Asks a node for the membership list and each member for its version.";
 
 const EXPLAIN: &str = "\
 Usage: swiftcart explain [OPTIONS] ID FILE...
 
-Joins the lines of the request ID in the nodes' log files, in order, with what
-decided each step, what these nodes came to believe meanwhile, and the outcome.
-A word before a line names its node; otherwise the file's name does.";
+Prints the lines of the request ID from the nodes' log files in order of time,
+with the details of each step, other events on these nodes around that time, and
+the outcome. The last word before a log line names its node; without one, the
+file name does.";
 
 impl Name {
-    /// Returns how many arguments the command takes at most.
+    /// Returns the maximum number of positional arguments of the command.
     pub(super) const fn arguments(self) -> usize {
         match self {
             Self::Pull | Self::History | Self::Status => 0,
@@ -101,13 +103,18 @@
         }
     }
 
-    /// Returns the options that the command takes.
+    /// Returns the options of the command, including the global options.
     pub(super) fn options(self) -> Options {
         let mut options = Options::new();
         match self {
             Self::Pull => {
                 options
-                    .optopt("", "version", "the version to write", "N")
+                    .optopt(
+                        "",
+                        "version",
+                        "version to write (default: the current version)",
+                        "N",
+                    )
                     .optopt("", "format", "csv (default) or json", "FORMAT")
                     .optopt("o", "output", "write to this file", "FILE")
                     .optflag("", "force", "overwrite the file");
@@ -118,33 +125,48 @@
                 options.optopt(
                     "",
                     "against",
-                    "compare with this version, not the current one",
+                    "version to compare with (default: the current version)",
                     "N",
                 );
                 add_scope(&mut options);
             }
             Self::Publish => {
                 options
-                    .optopt("", "author", "who publishes (default: $USER)", "NAME")
-                    .optopt("", "id", "settle the earlier publish with this id", "HEX")
-                    .optopt("", "base", "the version that the sheet was made from", "N")
+                    .optopt(
+                        "",
+                        "author",
+                        "author of the publish (default: $USER)",
+                        "NAME",
+                    )
+                    .optopt(
+                        "",
+                        "id",
+                        "id of an earlier publish with unknown outcome",
+                        "HEX",
+                    )
+                    .optopt(
+                        "",
+                        "base",
+                        "base version of the sheet (default: its base row)",
+                        "N",
+                    )
                     .optflagopt(
                         "w",
                         "wait",
-                        "wait until all live nodes have it (default: 30 s)",
+                        "wait until all live nodes have the version (default: 30 s)",
                         "SECS",
                     );
                 add_scope(&mut options);
             }
             Self::History => {
-                options.optopt("", "limit", "how many publishes (default: 20)", "N");
+                options.optopt("", "limit", "number of publishes (default: 20)", "N");
             }
         }
         super::add_globals(&mut options);
         options
     }
 
-    /// Returns the command's help.
+    /// Returns the help text of the command.
     pub(super) fn help(self) -> String {
         let brief = match self {
             Self::Pull => PULL.into(),
@@ -160,14 +182,14 @@
     }
 }
 
-/// Returns the options that may stand before the command.
+/// Returns the options that are accepted before the command.
 pub(super) fn globals() -> Options {
     let mut options = Options::new();
     super::add_globals(&mut options);
     options
 }
 
-/// Returns the help of the whole program.
+/// Returns the help text of the program.
 pub(super) fn all() -> String {
     let mut options = globals();
     options.optflag("V", "version", "print the program's version");
@@ -179,12 +201,12 @@
         .optmulti(
             "",
             "only",
-            "look only at this service's rows; repeatable",
+            "use only the rows of this service; repeatable",
             "SERVICE",
         )
         .optflag(
             "",
             "prune",
-            "remove rows that the sheet lacks of its services",
+            "remove rows of the selected services that are not in the sheet",
         );
 }
--- a/crates/swiftcart-cli/src/args/value.rs
+++ b/crates/swiftcart-cli/src/args/value.rs
@@ -1,4 +1,4 @@
-//! Reads the values of options.
+//! Parsers for option values.
 
 use std::path::PathBuf;
 use std::str::FromStr;
@@ -12,10 +12,10 @@
 
 pub(super) const ADDR_HINT: &str = "write IP:PORT, for example 127.0.0.1:7000";
 pub(super) const NODE_HINT: &str = "name at most 64 nodes as IP:PORT, for example 127.0.0.1:7002";
-const VERSION_HINT: &str = "write a version's number, for example 12";
+const VERSION_HINT: &str = "write a version number, for example 12";
 const LIMIT_HINT: &str = "write a number from 1 to 10000";
-const ID_HINT: &str = "write 1 to 32 hexadecimal digits, as an earlier publish printed them";
-const SECONDS_HINT: &str = "write seconds from 1 to 3600";
+const ID_HINT: &str = "write 1 to 32 hexadecimal digits, as printed by an earlier publish";
+const SECONDS_HINT: &str = "write a number of seconds from 1 to 3600";
 pub(super) const FORMAT_HINT: &str = "write csv or json";
 
 pub(super) fn limit(matches: &Matches) -> Result<usize, Error> {
--- a/crates/swiftcart-cli/src/error.rs
+++ b/crates/swiftcart-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Every failure of a command, and the exit code that it leads to.
+//! Errors of commands and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 
 use crate::{AccountError, Exit, Fault, SettingsError};
 
-/// Faults of a sheet that a message names before it only counts the rest.
+/// Maximum number of sheet faults that a message lists; it only counts the rest.
 const MAX_LISTED_FAULTS: usize = 50;
 
 quick_error! {
-    /// Tells why a command failed and what to do.
+    /// Failure of a command. The message says what to do about it.
     #[derive(Debug)]
     pub enum Error {
-        /// An option is unknown, incomplete or given twice.
+        /// An option is unknown, lacks its value or is given twice.
         Option(e: getopts::Fail) {
             from()
             display("{e}; see swiftcart --help")
@@ -25,7 +25,7 @@
         }
         /// The command is unknown.
         UnknownCommand(words: String) {
-            display("there is no command {words:?}; see swiftcart --help")
+            display("unknown command {words:?}; see swiftcart --help")
         }
         /// An argument is missing.
         MissingArgument(what: &'static str) {
@@ -33,17 +33,17 @@
         }
         /// There are more arguments than the command takes.
         ExtraArgument(argument: String) {
-            display("the argument {argument:?} is one too many; see --help of the command")
+            display("unexpected argument {argument:?}; see --help of the command")
         }
-        /// An option's value cannot be understood.
+        /// The value of an option is not valid.
         InvalidValue(option: &'static str, value: String, hint: &'static str) {
             display("--{option}: {value:?} is not valid; {hint}")
         }
-        /// A needed setting is neither on the command line nor in the settings.
+        /// A required setting is neither on the command line nor in the settings file.
         MissingSetting(what: &'static str, hint: &'static str) {
             display("{what} is not set; {hint}")
         }
-        /// The settings file is wrong.
+        /// The settings file is not valid.
         Settings(e: SettingsError) {
             from()
             display("{e}")
@@ -54,36 +54,36 @@
             display("{}: {e}", path.display())
             source(e)
         }
-        /// The file to write exists.
+        /// The output file exists already.
         FileExists(path: PathBuf) {
-            display("{} exists; give --force to overwrite it", path.display())
+            display("{} already exists; use --force to overwrite it", path.display())
         }
         /// The file is too large to be a sheet.
         FileTooLarge(path: PathBuf, limit: u64) {
-            display("{}: over {limit} bytes, which no valid table needs", path.display())
+            display("{}: larger than {limit} bytes, the limit for a sheet", path.display())
         }
-        /// Cells of the sheet are wrong.
+        /// The sheet has invalid cells.
         Sheet(path: PathBuf, faults: Vec<Fault>) {
             display("{}", format_faults(path, faults))
         }
-        /// The sheet does not say which version it was made from.
+        /// The sheet has no base version.
         MissingBase(path: PathBuf) {
             display("{}: no row of kind base; pull the table again or give --base N", path.display())
         }
-        /// A service given by `--only` is in neither the sheet nor the base.
+        /// A service given by `--only` is in neither the sheet nor the base version.
         UnknownService(name: ServiceName) {
             display("--only: neither the sheet nor the table has a service {name:?}; correct the name", name = name.as_str())
         }
-        /// The version was never accepted, or the log no longer keeps it.
+        /// The version was never accepted, or its records have expired.
         UnknownVersion(version: Version, current: Version) {
             display("version {version} was not accepted or is no longer kept; the current version is {current}")
         }
-        /// The platform is out of reach; nothing was published.
+        /// The platform is unreachable; nothing was published.
         Platform(addr: SocketAddr, e: PlatformError) {
             display("platform {addr}: {e}; nothing was changed, try again later")
             source(e)
         }
-        /// The oldest records are gone and no checkpoint replaces them.
+        /// The oldest records have expired and no checkpoint covers them.
         NoCheckpoint(first: Offset) {
             display("records before offset {first} have expired and no checkpoint covers them")
         }
@@ -91,45 +91,45 @@
         RecordsExpired {
             display("records expire faster than they can be read; try again")
         }
-        /// The log follows a later rule.
+        /// The log has a record of a rule that this release does not know.
         UnknownRule(rule: u16) {
             display("the log has records of rule {rule}, which this release does not know; upgrade swiftcart")
         }
         /// The publish does not fit into one record.
         PublishTooLarge(bytes: usize, limit: usize) {
-            display("the publish has {bytes} bytes, over {limit}; publish fewer services at once with --only")
+            display("the publish has {bytes} bytes, more than the limit of {limit}; publish fewer services at once with --only")
         }
-        /// No one knows yet whether the publish was taken.
+        /// The platform may or may not have appended the publish.
         OutcomeUnknown(id: PublishId, e: PlatformError) {
-            display("outcome unknown ({e}): run the same command again with --id {id} to settle it; that publishes at most once")
+            display("outcome unknown ({e}): run the same command again with --id {id} to resolve it; the sheet is published at most once")
             source(e)
         }
-        /// The id was used for other edits.
+        /// The id belongs to a publish with other edits.
         IdReused(id: PublishId) {
             display("--id {id} was used for a publish with other edits; leave --id out for a new publish")
         }
-        /// The operating system gives no random numbers.
+        /// The operating system provides no random numbers.
         Random(e: rand::rand_core::OsError) {
             from()
-            display("no random id could be drawn ({e}); choose one with --id HEX")
+            display("could not generate a random id ({e}); choose one with --id HEX")
             source(e)
         }
-        /// No node told its members.
+        /// No node answered the request for its membership list.
         NodesUnreachable(tried: Vec<SocketAddr>) {
-            display("none of the nodes {tried:?} answers; give another one by --node IP:PORT")
+            display("none of the nodes {tried:?} answered; name another node with --node IP:PORT")
         }
-        /// No log file names the request.
+        /// No log file has a line of the request.
         RequestNotFound(id: String, files: usize) {
             display("none of the {files} files has a line of the request {id:?}; \
                 give the logs of all nodes from the time of the request, and the id as the caller sent it")
         }
-        /// The change does not fit the current table.
+        /// The account change does not apply to the current table.
         Account(e: AccountError) {
             from()
             display("{e}")
             source(e)
         }
-        /// The runtime did not start.
+        /// The async runtime could not be started.
         Runtime(e: io::Error) {
             display("the runtime did not start: {e}")
             source(e)
--- a/crates/swiftcart-cli/src/exit.rs
+++ b/crates/swiftcart-cli/src/exit.rs
@@ -1,22 +1,22 @@
-//! The exit codes that scripts rely on.
+//! Exit codes for scripts.
 
-/// Tells a script how the command ended.
+/// Outcome of a command as an exit code.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exit {
-    /// The command did what it was asked.
+    /// The command succeeded.
     #[default]
     Done,
-    /// A failure that no other code names.
+    /// The command failed for a reason that no other code covers.
     Failed,
-    /// The command line, the settings or the sheet is wrong; nothing was published.
+    /// The command line, the settings or the sheet is invalid; nothing was published.
     Usage,
     /// The publish was rejected; nothing changed.
     Rejected,
-    /// The platform was out of reach; nothing was published.
+    /// The platform was unreachable; nothing was published.
     Unreachable,
-    /// The publish may have been taken; the same command with the same id settles it.
+    /// The publish may have been accepted; running the same command with the same id resolves this.
     Unknown,
-    /// The publish was accepted, but nodes still lacked it when the wait was over.
+    /// The publish was accepted, but some live nodes did not have it when the wait ended.
     Stragglers,
 }
 
--- a/crates/swiftcart-cli/src/explain.rs
+++ b/crates/swiftcart-cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! Tells from the logs of many nodes what became of one request.
+//! Trace of one request, joined from the logs of several nodes.
 
 mod line;
 
@@ -12,23 +12,23 @@
 use crate::{Error, render};
 pub use line::LogLine;
 
-/// How long before the request's first line a change of belief is shown, in milliseconds: a
-/// member that fails is known everywhere within about 3 s.
+/// Time before the request's first line from which context lines are shown, in milliseconds. All
+/// nodes detect a failed member within about 3 s.
 const CONTEXT_BEFORE_MS: u64 = 3000;
 
-/// How long after the request's last line a change of belief is shown, in milliseconds.
+/// Time after the request's last line up to which context lines are shown, in milliseconds.
 const CONTEXT_AFTER_MS: u64 = 500;
 
-/// Lines about changes of belief that are shown at most, the latest ones.
+/// Maximum number of context lines; the latest lines are kept.
 const MAX_CONTEXT_LINES: usize = 60;
 
-/// What a node writes for a value that is not there.
+/// Text that a node logs for an absent value.
 const NO_VALUE: &str = "None";
 
-/// Longest line that is read, in bytes; a node writes far shorter ones.
+/// Maximum length of a line, in bytes. The lines of a node are far shorter.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
 
-/// Holds what the logs say of one request.
+/// Log lines of one request and of the nodes that handled it.
 ///
 /// # Examples
 ///
@@ -43,11 +43,11 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestTrace {
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// The lines that name the request, in order of their times.
+    /// Lines of the request, in order of time.
     pub lines: Vec<LogLine>,
-    /// What the nodes of these lines came to believe context that time.
+    /// Other events on the same nodes around the time of the request, in order of time.
     pub context: Vec<LogLine>,
 }
 
@@ -69,8 +69,8 @@
     /// Reads the trace of the request `id` from log files.
     ///
     /// # Errors
-    ///
-    /// [`Error::File`] when a file cannot be read, [`Error::RequestNotFound`] when none names it.
+    /// [`Error::File`] if a file cannot be read, [`Error::RequestNotFound`] if no file has a line
+    /// of the request.
     pub fn read(id: &str, files: &[PathBuf]) -> Result<Self, Error> {
         let mut lines = Vec::new();
         for file in files {
@@ -99,7 +99,7 @@
         Ok(Self::new(id, lines, context))
     }
 
-    /// Returns what became of the request in one sentence.
+    /// Returns the outcome of the request in one sentence.
     #[must_use]
     pub fn verdict(&self) -> String {
         let answers = self.lines.iter().rev();
@@ -120,7 +120,7 @@
             .iter()
             .map(|line| trace_row(line, first))
             .collect();
-        let headings = ["ms", "node", "event", "what decided it"];
+        let headings = ["ms", "node", "event", "details"];
         let mut text = format!("request {}\n\n", self.id);
         text += &render::grid(headings, rows);
         if !self.context.is_empty() {
@@ -129,13 +129,13 @@
                 .iter()
                 .map(|line| trace_row(line, first))
                 .collect();
-            text += "\n\naround it, at the same nodes:\n\n";
+            text += "\n\nother events on the same nodes around that time:\n\n";
             text += &render::grid(headings, rows);
         }
         text + &format!("\n\n{}", self.verdict())
     }
 
-    /// Returns the trace for scripts.
+    /// Returns the trace as JSON for scripts.
     #[must_use]
     pub fn json(&self) -> Value {
         json!({
@@ -147,7 +147,7 @@
     }
 }
 
-/// Calls `visit` for each line of a node in the file.
+/// Calls `visit` for each line of the file that a node wrote.
 fn scan(path: &Path, mut visit: impl FnMut(LogLine)) -> Result<(), Error> {
     let failed = |e| Error::File(path.into(), e);
     let name = path.file_stem().unwrap_or(path.as_os_str());
@@ -176,7 +176,7 @@
     ]
 }
 
-/// Says what an answer's line means.
+/// Describes the outcome that a line with event `answer` logs.
 fn describe_answer(line: &LogLine) -> String {
     let tries = line.value("tries").unwrap_or("1");
     match (line.value("status"), line.value("reason")) {
@@ -199,5 +199,7 @@
 
 fn meaning(reason: &str) -> &'static str {
     let known = Reason::ALL.iter().find(|known| known.as_str() == reason);
-    known.map_or("a reason of another release", |known| known.meaning())
+    known.map_or("an unknown reason, logged by another release", |known| {
+        known.meaning()
+    })
 }
--- a/crates/swiftcart-cli/src/explain/line.rs
+++ b/crates/swiftcart-cli/src/explain/line.rs
@@ -1,42 +1,42 @@
-//! One line of a node's log.
+//! Lines of a node's log.
 
 use serde::Serialize;
 
-/// What each line of a node begins with: the time.
+/// Key of the time, with which each log line of a node begins.
 const TIME_PREFIX: &str = "at=";
 
-/// The events that are about one request; all others are about what a node believes.
+/// Events that concern one request. All other events concern the node's view of the mesh.
 const REQUEST_EVENTS: [&str; 3] = ["answer", "try", "guard"];
 
-/// The keys that every line has.
+/// Keys that are left out of [`LogLine::details`].
 const COMMON_KEYS: [&str; 4] = ["level", "at", "event", "id"];
 
-/// Holds one line of a node's log.
+/// Line of a node's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LogLine {
-    /// The node: what stands before the line, or else the file's name.
+    /// Name of the node: the last word before the line, or else the name of the file.
     pub node: String,
-    /// When it was written, in Unix milliseconds by that node's clock.
+    /// Time of the line, in milliseconds since the Unix epoch by the node's clock.
     pub at_ms: u64,
-    /// What happened.
+    /// Event that the line logs.
     pub event: String,
-    /// All keys and values, in the order of the line.
+    /// Keys and values in the order of the line.
     pub pairs: Vec<Pair>,
 }
 
-/// Holds one key with its value.
+/// Key and value of a log line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Pair {
-    /// The key.
+    /// Key as logged.
     pub key: String,
-    /// The value.
+    /// Value without quotes.
     pub value: String,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it is not one of a node.
-    ///
-    /// What a collector of logs puts before the line names the node; without that, `file` does.
+    /// Parses a line, or returns `None` if a node did not write it.
+    /// The prefix that a log collector puts before the line names the node. Without a prefix,
+    /// `file` is the name of the node.
     ///
     /// # Examples
     ///
@@ -79,13 +79,13 @@
         Some(&pair.value)
     }
 
-    /// Tells whether the line is about one request.
+    /// Returns `true` if the line concerns one request.
     #[must_use]
     pub fn is_request_event(&self) -> bool {
         REQUEST_EVENTS.contains(&self.event.as_str())
     }
 
-    /// Returns the keys and values that are not common to all lines.
+    /// Returns the keys and values that are specific to the event, as `key=value`.
     #[must_use]
     pub fn details(&self) -> String {
         let is_request = self.is_request_event();
@@ -93,7 +93,7 @@
             "id" => !is_request,
             key => !COMMON_KEYS.contains(&key),
         };
-        // A node writes the pairs of an event in reverse.
+        // A node logs the pairs of an event in reverse order.
         let texts = self.pairs.iter().rev().filter(own);
         let texts: Vec<_> = texts
             .map(|pair| format!("{}={}", pair.key, pair.value))
@@ -102,7 +102,7 @@
     }
 }
 
-/// Returns where a node's own part of a line begins.
+/// Returns the position at which the part of the line that the node wrote begins.
 fn line_start(text: &str) -> Option<usize> {
     let is_first_key = |at: &usize| {
         text[..*at]
@@ -114,7 +114,7 @@
     places.into_iter().find(is_first_key)
 }
 
-/// Returns the last word before a line that can name a node.
+/// Returns the last word of the prefix that has a letter and so can be a node's name.
 fn node_name(before: &str) -> Option<&str> {
     let words = before.split_whitespace().rev();
     let is_name = |word: &&str| word.chars().any(char::is_alphabetic);
--- a/crates/swiftcart-cli/src/fleet.rs
+++ b/crates/swiftcart-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Which nodes have which version.
+//! Versions of all nodes of the mesh.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,61 +11,61 @@
 
 use crate::{AdminClient, AdminError, Error, NodeState};
 
-/// Nodes that are reply at the same time.
+/// Maximum number of nodes that are queried at the same time.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// The most members that are reply.
+/// Maximum number of members that are queried.
 const MAX_MEMBERS: usize = 20_000;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Holds the members that one node knows and what each says of itself.
+/// Members that one node knows, with the state that each reports.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Fleet {
-    /// The nodes, by failure domain and address.
+    /// Nodes sorted by failure domain and id.
     pub nodes: Vec<Node>,
 }
 
-/// Holds what is known of one node.
+/// Member of the mesh and its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Node {
-    /// What the other node told.
+    /// Entry of the node in the membership list of the queried node.
     pub member: Member,
-    /// What the node itself tells.
+    /// Answer of the node itself.
     pub answer: Answer,
 }
 
-/// What a node says of itself.
+/// Result of querying a node for its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// It was not reply, since it is dead or has left.
+    /// The node was not queried, since it is dead or has left.
     NotQueried,
-    /// It gave no answer.
+    /// The query failed.
     Failed(AdminError),
-    /// Its state.
+    /// State that the node reports.
     State(NodeState),
 }
 
-/// Names a live node that lacks a version.
+/// Live node that is not known to have a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Straggler {
-    /// The node.
+    /// Id of the node.
     pub node: NodeId,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub domain: String,
-    /// The version that it has, unless it gave no answer.
+    /// Version that the node has, or `None` if it gave no answer.
     pub version: Option<Version>,
-    /// Why there is no version.
+    /// Reason why there is no version.
     #[serde(serialize_with = "as_text", skip_serializing_if = "Option::is_none")]
     pub error: Option<AdminError>,
 }
 
 impl Fleet {
-    /// Asks the first of `nodes` that answers for the members, and each member for its state.
+    /// Fetches the membership list from the first of `nodes` that answers, then the state of each
+    /// live member.
     ///
     /// # Errors
-    ///
-    /// [`Error::NodesUnreachable`] when none of the nodes answers.
+    /// [`Error::NodesUnreachable`] if none of the nodes answers.
     pub async fn query(admin: &AdminClient, nodes: &[SocketAddr]) -> Result<Self, Error> {
         for addr in nodes {
             if let Ok(mut members) = admin.members(*addr).await {
@@ -78,12 +78,12 @@
         Err(Error::NodesUnreachable(nodes.into()))
     }
 
-    /// Iterates over the nodes that are neither dead nor gone.
+    /// Returns an iterator over the nodes that are alive or suspect.
     pub fn live(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|node| is_live(&node.member))
     }
 
-    /// Returns the greatest version that a node has.
+    /// Returns the highest version that a node reports.
     #[must_use]
     pub fn head(&self) -> Version {
         let versions = self.nodes.iter().filter_map(Node::version);
@@ -101,7 +101,7 @@
 }
 
 impl Node {
-    /// Returns the version that the node has, if it told.
+    /// Returns the version that the node reports, if it answered.
     #[must_use]
     pub const fn version(&self) -> Option<Version> {
         match &self.answer {
@@ -123,10 +123,9 @@
     }
 }
 
-/// Asks again and again until every live node has `version` or the time is over.
-///
-/// Calls `progress` with the live nodes and the stragglers after each round, and
-/// returns the last round's stragglers: `None` when no node answered.
+/// Polls the nodes until every live node has `version` or the time limit is reached.
+/// Calls `progress` with the number of live nodes and the stragglers after each round. Returns the
+/// stragglers of the last round, or `None` if no node answered in it.
 pub async fn wait_for_version(
     admin: &AdminClient,
     nodes: &[SocketAddr],
@@ -138,7 +137,7 @@
     loop {
         let next = Instant::now() + POLL_INTERVAL;
         let fleet = Fleet::query(admin, nodes).await.ok();
-        // A node that knows no live one, not even itself, tells nothing about the others.
+        // A membership list without any live node says nothing about the other nodes.
         let fleet = fleet.filter(|fleet| fleet.live().next().is_some());
         let round = fleet.map(|fleet| {
             let behind = fleet.stragglers(version);
@@ -183,7 +182,7 @@
     nodes.collect()
 }
 
-/// Keeps an answer only when it is the member's own.
+/// Returns the answer, rejecting the state of any node other than `member`.
 fn verified_answer(member: &Member, reply: Option<Result<NodeState, AdminError>>) -> Answer {
     match reply {
         None if is_live(member) => Answer::Failed(AdminError::Unreachable),
--- a/crates/swiftcart-cli/src/lib.rs
+++ b/crates/swiftcart-cli/src/lib.rs
@@ -1,10 +1,9 @@
-//! The operators' command-line tool of swiftcart.
-//!
-//! Operators pull the table as a sheet, edit it in a spreadsheet, check and publish
-//! it, and see who published what and which nodes have it. The platform's log is the
-//! only judge: this tool folds the same records as every node.
+//! Command-line tool `swiftcart` for operators.
+//! Operators pull the table as a CSV sheet, edit it in a spreadsheet, then check and publish it.
+//! They can list the publishes with their authors, and the version of each node. The platform's log
+//! is the only source of truth: this tool folds the same records as every node does.
 
-// One macro declares all variants of the error, one recursion for each.
+// The macro that declares the error type recurses once for each variant.
 #![recursion_limit = "256"]
 
 mod account;
--- a/crates/swiftcart-cli/src/main.rs
+++ b/crates/swiftcart-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs `swiftcart`: prints the command's report and exits with its code.
+//! Entry point of `swiftcart`: prints the command's report and exits with its code.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -36,7 +36,8 @@
     runtime.block_on(run(invocation))
 }
 
-/// Prints a line; a reader that went away changes nothing about what was done.
+/// Prints `text` and returns the exit code. A closed pipe does not change the code, since the
+/// command has already run.
 fn print(out: &mut impl Write, text: &str, exit: Exit) -> Exit {
     match writeln!(out, "{text}").and_then(|()| out.flush()) {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe && exit == Exit::Done => Exit::Failed,
--- a/crates/swiftcart-cli/src/plan.rs
+++ b/crates/swiftcart-cli/src/plan.rs
@@ -1,4 +1,4 @@
-//! What publishing a sheet would change.
+//! Computation of the edits that publishing a sheet makes.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,9 @@
 
 use crate::{Error, Scope, Sheet, SheetLine, service_of};
 
-/// Returns the edits that lead from `base` to what `sheet` asks for, in key order.
-///
-/// Rows that the sheet lacks stay as they are, so that an operator can move one
-/// service at a time; only [`Scope::prune`] removes them.
+/// Returns the edits that turn the rows of `base` into the rows of `sheet`, in key order.
+/// Rows that are not in the sheet are left unchanged, so that an operator can edit one service at a
+/// time. Only [`Scope::prune`] removes them.
 ///
 /// # Examples
 ///
@@ -25,8 +24,7 @@
 /// ```
 ///
 /// # Errors
-///
-/// [`Error::UnknownService`] for a service of the scope that neither side has.
+/// [`Error::UnknownService`] if neither the sheet nor the base has a service of [`Scope::only`].
 pub fn plan(sheet: &Sheet, base: &Table, scope: &Scope) -> Result<Vec<Edit>, Error> {
     let named: BTreeSet<_> = sheet.lines.keys().filter_map(service_of).collect();
     let existing: BTreeSet<_> = base.0.keys().filter_map(service_of).collect();
--- a/crates/swiftcart-cli/src/publish.rs
+++ b/crates/swiftcart-cli/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a sheet once, whatever becomes of the platform's answers.
+//! Publishing with at-most-once effect, also when answers of the platform are late or lost.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,33 +16,33 @@
     StreamReader, plan,
 };
 
-/// How long one read waits for the record that was just appended.
+/// Long-poll time of one read for the record that was just appended.
 const POLL_WAIT: Duration = Duration::from_secs(1);
 
-/// Tells what became of a publish.
+/// Publish and its decision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Published {
-    /// Names the publish; a repeat with it is harmless.
+    /// Id of the publish. Appending the publish again with this id has no effect.
     pub id: PublishId,
-    /// The rows that it changes.
+    /// Rows that the publish changes.
     pub edits: Vec<Edit>,
-    /// The decision.
+    /// Decision on the publish.
     pub decision: Decision,
 }
 
-/// What became of a publish.
+/// Outcome of a publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// The table reads so already, as of this version; nothing was appended.
+    /// The table has these rows already as of this version; nothing was appended.
     Unchanged(Version),
-    /// It is in force as this version.
+    /// The publish was accepted as this version.
     Accepted(Version),
-    /// Nothing changed.
+    /// The publish was rejected; the table is unchanged.
     Rejected(Rejection),
 }
 
 impl Decision {
-    /// Returns the version that holds what was asked for.
+    /// Returns the version that has the requested rows, or `None` if the publish was rejected.
     #[must_use]
     pub const fn version(&self) -> Option<Version> {
         match self {
@@ -52,12 +52,11 @@
     }
 }
 
-/// Publishes `sheet` as `author` asks, and reads the log until the decision is known.
+/// Publishes `sheet` for `author` and reads the log until the decision is known.
 ///
 /// # Errors
-///
-/// [`Error::Platform`] when surely nothing was published, [`Error::OutcomeUnknown`] when
-/// the publish may have been taken, and whatever is wrong with the sheet.
+/// [`Error::Platform`] if nothing was published, [`Error::OutcomeUnknown`] if the publish may have
+/// been appended, and errors in the sheet.
 pub async fn publish(
     platform: &Platform,
     sheet: &Sheet,
@@ -104,11 +103,10 @@
     })
 }
 
-/// Publishes what `edits` makes of the current table, as `author`.
+/// Publishes the edits that `edits` returns for the current table, for `author`.
 ///
 /// # Errors
-///
-/// The same as [`publish`], and what `edits` returns.
+/// The same errors as [`publish`], and the error of `edits`.
 pub async fn publish_edits(
     platform: &Platform,
     author: &str,
@@ -133,7 +131,7 @@
     })
 }
 
-/// Returns the version that the sheet was made from.
+/// Returns the base version: the explicit one, or else that of the sheet.
 pub(crate) fn base_version(
     file: &Path,
     sheet: &Sheet,
@@ -144,7 +142,7 @@
         .ok_or_else(|| Error::MissingBase(file.into()))
 }
 
-/// Returns the decision on the id, when the log has one.
+/// Returns the decision on the publish `id`, if the log has one.
 fn decision_on(reader: &StreamReader<'_>, id: PublishId) -> Option<Decision> {
     match reader.requested_publish().map(|found| &found.verdict) {
         Some(Verdict::Accepted(version)) => Some(Decision::Accepted(*version)),
@@ -159,7 +157,7 @@
     }
 }
 
-/// Returns the edits that were published with the id, unless others are asked for now.
+/// Returns the edits that were published with `id`, or an error if `edits` differ from these.
 fn published_edits(
     reader: &StreamReader<'_>,
     id: PublishId,
@@ -177,7 +175,8 @@
     }
 }
 
-/// Decides what the log already decides, so that a lost publish costs no append.
+/// Returns the decision if it is certain before the append, so that a publish that would be
+/// rejected is not appended.
 fn predict(reader: &StreamReader<'_>, publish: &Publish) -> Option<Decision> {
     let fold = reader.fold();
     let held = |edit: &Edit| fold.table().0.get(&edit.key) == edit.row.as_ref();
@@ -199,7 +198,7 @@
     Envelope::new(Body::Publish(publish.clone())).encode()
 }
 
-/// Appends the publish until the log shows a decision on its id.
+/// Appends the publish, with retries, until the log has a decision on its id.
 async fn append_until_decided(
     platform: &Platform,
     mut reader: StreamReader<'_>,
@@ -233,7 +232,7 @@
     }
 }
 
-/// Tells whether the platform will refuse the same append always.
+/// Returns `true` if the platform refuses this append on every attempt.
 const fn is_permanent(failure: &PlatformError) -> bool {
     matches!(
         failure,
@@ -241,7 +240,8 @@
     )
 }
 
-/// Looks once for a decision on the id; a platform out of reach shows none.
+/// Reads the log once and returns the decision on `id`, if any. An unreachable platform is not an
+/// error.
 async fn check_decision(
     reader: &mut StreamReader<'_>,
     id: PublishId,
@@ -252,7 +252,7 @@
     }
 }
 
-/// Reads up to the record that was appended, where the decision is.
+/// Reads the log up to the appended record at `offset`, which carries the decision.
 async fn read_decision(
     mut reader: StreamReader<'_>,
     id: PublishId,
@@ -263,7 +263,7 @@
         let failure = match reader.catch_up(POLL_WAIT).await {
             Ok(()) => PlatformError::Timeout,
             Err(ReadError::Platform(e)) => e,
-            // The record was taken; it is the reader that lost track.
+            // The record was appended, but records before it expired before they were read.
             Err(ReadError::Gap) => return Err(Error::OutcomeUnknown(id, PlatformError::Malformed)),
             Err(ReadError::Fatal(e)) => return Err(e),
         };
--- a/crates/swiftcart-cli/src/render.rs
+++ b/crates/swiftcart-cli/src/render.rs
@@ -1,4 +1,4 @@
-//! Tables for people, and rows and times as text.
+//! Rendering of tables, rows and times as text or JSON.
 
 use comfy_table::{ContentArrangement, Table as Grid, presets};
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 
 const DAY_MS: u64 = 86_400_000;
 
-/// Lays `rows` out below `headings`, without lines around the cells.
+/// Formats `rows` in aligned columns below `headings`, without borders.
 #[must_use]
 pub fn grid<const N: usize>(headings: [&str; N], rows: Vec<[String; N]>) -> String {
     let mut grid = Grid::new();
@@ -18,7 +18,7 @@
     lines.join("\n")
 }
 
-/// Returns a number of rows as text.
+/// Returns the row count `n` with its unit.
 #[must_use]
 pub fn rows(n: usize) -> String {
     match n {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns a row's content as a person reads it.
+/// Returns the content of a row as text for people, `-` for no row.
 #[must_use]
 pub fn content(row: Option<&Row>) -> String {
     match row {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns the rows that `edits` change in `base`, one a line.
+/// Returns the rows that `edits` change in `base` as text, one row per line.
 #[must_use]
 pub fn changes(base: &Table, edits: &[Edit]) -> String {
     let rows = edits.iter().map(|edit| {
@@ -69,7 +69,7 @@
     grid(["change", "row", "before", "after"], rows.collect())
 }
 
-/// Returns the rows that `edits` change in `base`, for scripts.
+/// Returns the rows that `edits` change in `base` as JSON objects.
 #[must_use]
 pub fn changes_json(base: &Table, edits: &[Edit]) -> Vec<Value> {
     let rows = edits.iter().map(|edit| {
@@ -83,7 +83,7 @@
     rows.collect()
 }
 
-/// Returns a row as a flat object with the sheet's headings as keys.
+/// Returns a row as a flat JSON object with the sheet's headings as keys.
 #[must_use]
 pub fn row_json(key: &RowKey, row: Option<&Row>) -> Value {
     let mut json = match key {
@@ -104,7 +104,7 @@
     json
 }
 
-/// Returns a time in milliseconds since the Unix epoch as UTC, `2026-12-02 14:30:05`.
+/// Formats a time in milliseconds since the Unix epoch as UTC, such as `2026-12-02 14:30:05`.
 ///
 /// # Examples
 ///
@@ -119,7 +119,7 @@
     format!("{year:04}-{month:02}-{day:02} {h:02}:{m:02}:{s:02}")
 }
 
-/// Returns year, month and day of a day since the epoch (Hinnant's `civil_from_days`).
+/// Converts days since the Unix epoch to year, month and day (Hinnant's `civil_from_days`).
 const fn civil_date(days: u64) -> (u64, u64, u64) {
     let shifted = days + 719_468;
     let era = shifted / 146_097;
--- a/crates/swiftcart-cli/src/report.rs
+++ b/crates/swiftcart-cli/src/report.rs
@@ -1,22 +1,22 @@
-//! What a command prints: text for people or JSON for scripts.
+//! Output of a command: text for people or JSON for scripts.
 
 use serde_json::{Value, json};
 
 use crate::{Error, Exit};
 
-/// Holds what a command prints and its exit code.
+/// Output and exit code of a command.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Report {
-    /// For people.
+    /// Output as text for people.
     pub text: String,
-    /// For scripts.
+    /// Output as JSON for scripts.
     pub json: Value,
-    /// How the command ended.
+    /// Exit code of the command.
     pub exit: Exit,
 }
 
 impl Report {
-    /// Creates the report of a command that did what it was asked.
+    /// Creates the report of a command that succeeded.
     #[must_use]
     pub const fn new(text: String, json: Value) -> Self {
         Self {
--- a/crates/swiftcart-cli/src/retry.rs
+++ b/crates/swiftcart-cli/src/retry.rs
@@ -1,4 +1,4 @@
-//! When to try the platform again, within the time that the operator gives.
+//! Retries of calls to the platform within the operator's time limit.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const INITIAL_DELAY: Duration = Duration::from_millis(100);
 const MAX_DELAY: Duration = Duration::from_secs(2);
 
-/// Spaces attempts out, with jitter, until a deadline.
+/// Exponential backoff with jitter up to a deadline.
 #[derive(Debug)]
 pub struct Retry {
     deadline: Instant,
@@ -18,7 +18,7 @@
 }
 
 impl Retry {
-    /// Creates the schedule of attempts within `limit` from now.
+    /// Creates a backoff whose deadline is `limit` from now.
     #[must_use]
     pub fn new(limit: Duration, rng: SmallRng) -> Self {
         Self {
@@ -28,7 +28,9 @@
         }
     }
 
-    /// Waits for the next attempt, at least `min_delay`; false when the deadline comes first.
+    /// Waits until the next attempt, for at least `min_delay`.
+    ///
+    /// Returns `false` without waiting if the deadline would pass first.
     pub async fn wait(&mut self, min_delay: Option<Duration>) -> bool {
         let jittered = self.delay.mul_f64(self.rng.random_range(0.5..1.0));
         let delay = jittered.max(min_delay.unwrap_or_default());
--- a/crates/swiftcart-cli/src/run.rs
+++ b/crates/swiftcart-cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a command.
+//! Execution of commands.
 
 mod account;
 mod publishing;
@@ -20,13 +20,13 @@
     ReadOptions, Report, RequestTrace, Retry, Settings, Sheet, StreamReader, render,
 };
 
-/// The largest sheet that is read, in bytes.
+/// Maximum size of a sheet, in bytes. No valid table needs more.
 pub const MAX_SHEET_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Calls without an answer that fit into the time for a command, at least.
+/// Number of calls that can time out within the time limit of a command.
 const MIN_TIMED_OUT_CALLS: u32 = 3;
 
-/// The time that status gives the platform.
+/// Time limit of the `status` command for calls to the platform.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 const NO_PLATFORM: &str = "give --platform IP:PORT or a settings file with platform";
@@ -36,8 +36,7 @@
 /// Runs the command and returns what to print.
 ///
 /// # Errors
-///
-/// The command failed; [`Error::exit`] tells how.
+/// [`Error`] if the command fails; [`Error::exit`] returns the exit code.
 pub async fn run(invocation: &Invocation) -> Result<Report, Error> {
     let settings = &invocation.settings;
     match &invocation.command {
@@ -124,7 +123,7 @@
     let fleet = Fleet::query(&AdminClient::new(), nodes).await?;
     let log = match settings.platform {
         Some(_) => log_head(settings.clone()).await.map_err(|e| e.to_string()),
-        None => Err("no platform is given".into()),
+        None => Err("no platform is set".into()),
     };
     let head = log
         .as_ref()
@@ -139,7 +138,7 @@
     let at_head = live - behind.len();
     text += &format!("\n\n{at_head} of {live} live nodes are at version {head}");
     if let Err(reason) = &log {
-        text += &format!("\nthe head is the greatest version of a node: {reason}");
+        text += &format!("\nthe head is the highest version that a node reports: {reason}");
     }
     if !behind.is_empty() {
         let names: Vec<_> = behind.iter().map(publishing::describe_straggler).collect();
@@ -156,7 +155,9 @@
     Ok(Report::new(text, json))
 }
 
-/// Returns the log's version; status is options most when the platform is down, so it is quick.
+/// Returns the version at the head of the log.
+///
+/// The time limit is short, since `status` must also answer quickly when the platform is down.
 async fn log_head(mut settings: Settings) -> Result<Version, Error> {
     settings.timeout = STATUS_TIMEOUT.min(settings.timeout);
     let platform = platform(&settings)?;
@@ -176,7 +177,7 @@
             if state.ready { "yes" } else { "no" },
             match (state.stalled_rule, &state.reason) {
                 (Some(rule), _) => format!("stalled: the log has rule {rule}, upgrade the node"),
-                // A ready node's reason only repeats that it is ready.
+                // The reason of a ready node only repeats that the node is ready.
                 (None, _) if state.ready => String::new(),
                 (None, reason) => reason.clone().unwrap_or_default(),
             },
@@ -221,7 +222,7 @@
 fn platform(settings: &Settings) -> Result<Platform, Error> {
     let addr = settings.platform;
     let addr = addr.ok_or(Error::MissingSetting("the platform", NO_PLATFORM))?;
-    // One call without an answer leaves time to look for what became of it.
+    // After one call times out, there is time left to read its outcome from the log.
     let timeout = DEFAULT_TIMEOUT.min(settings.timeout / MIN_TIMED_OUT_CALLS);
     Ok(Platform::new(addr).with_timeout(timeout))
 }
@@ -233,7 +234,7 @@
     }
 }
 
-/// Returns who publishes.
+/// Returns the author of publishes, by default the user name.
 fn author(settings: &Settings) -> Result<String, Error> {
     let user = || std::env::var("USER").ok().filter(|user| !user.is_empty());
     let author = settings.author.clone().or_else(user);
@@ -248,7 +249,7 @@
     Ok(Retry::new(settings.timeout, rng()?))
 }
 
-/// Reads a sheet of bounded size.
+/// Reads a sheet of at most [`MAX_SHEET_BYTES`].
 fn sheet(file: &Path) -> Result<Sheet, Error> {
     let file_error = |e: io::Error| Error::File(file.into(), e);
     let mut bytes = Vec::new();
@@ -261,7 +262,7 @@
     }
 }
 
-/// Writes a line of progress; a closed standard error is no reason to stop.
+/// Writes a progress line to standard error. A closed standard error is ignored.
 fn progress(line: &str) {
     writeln!(io::stderr(), "{line}").ok();
 }
--- a/crates/swiftcart-cli/src/run/account.rs
+++ b/crates/swiftcart-cli/src/run/account.rs
@@ -1,4 +1,4 @@
-//! Runs the commands that show and change client accounts.
+//! Execution of the commands for client accounts.
 
 use serde_json::json;
 use swiftcart_core::{KeyHash, Table};
@@ -9,7 +9,7 @@
     Settings, StreamReader, account_cells, publish_edits, render,
 };
 
-/// Shows the accounts of the current table.
+/// Lists the accounts of the current table.
 pub(super) async fn list(settings: &Settings) -> Result<Report, Error> {
     let platform = platform(settings)?;
     let reader =
@@ -26,7 +26,7 @@
     ))
 }
 
-/// Publishes a change of an account, and shows its new key once.
+/// Publishes an account change. The report of a new key is the only place where the key is shown.
 pub(super) async fn change(settings: &Settings, change: &AccountChange) -> Result<Report, Error> {
     let author = author(settings)?;
     let key = change.needs_key().then(ApiKey::generate).transpose()?;
@@ -49,14 +49,14 @@
     let name = change.name();
     match &published.decision {
         Decision::Unchanged(version) => Report::new(
-            format!("nothing to change: account {name} is so already as of version {version}"),
+            format!("nothing to change: account {name} is already in this state as of version {version}"),
             json!({ "result": "unchanged", "version": version }),
         ),
         Decision::Accepted(version) => {
             let text = format!("accepted as version {version}: account {name}");
             let text = match key {
                 Some(key) => format!(
-                    "{text}\nkey {}\nIt is shown this once; nodes keep its hash {} only.",
+                    "{text}\nkey {}\nThe key is shown only once; nodes store only its hash {}.",
                     key.reveal(),
                     key.hash()
                 ),
--- a/crates/swiftcart-cli/src/run/publishing.rs
+++ b/crates/swiftcart-cli/src/run/publishing.rs
@@ -1,4 +1,4 @@
-//! Runs the publish command and tells what became of it.
+//! Execution of the command `table publish` and its report.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     Straggler, publish as publish_sheet, render, wait_for_version,
 };
 
-/// Stragglers that a line of progress names.
+/// Maximum number of stragglers that a progress line names.
 const MAX_NAMED_STRAGGLERS: usize = 5;
 
-/// Publishes a sheet and, if asked, waits until it is in force everywhere.
+/// Publishes a sheet and, with `--wait`, waits until all live nodes have its version.
 pub(super) async fn publish(
     settings: &Settings,
     options: &PublishOptions,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Describes a straggler in a few words.
+/// Describes a straggler by node, failure domain and version or error.
 pub(super) fn describe_straggler(straggler: &Straggler) -> String {
     let Straggler { node, domain, .. } = straggler;
     match (straggler.version, straggler.error) {
@@ -51,7 +51,7 @@
     let file = options.file.display();
     match &published.decision {
         Decision::Unchanged(version) => Report::new(
-            format!("nothing to change: the table reads so already as of version {version}"),
+            format!("nothing to change: the table already has these rows as of version {version}"),
             json!({ "result": "unchanged", "version": version }),
         ),
         Decision::Accepted(version) => Report::new(
@@ -76,7 +76,7 @@
     }
 }
 
-/// Names what each lost row lost to, or the cell of each fault.
+/// Returns the lines that name each conflicting row or each invalid cell.
 fn rejection_lines(rejection: &Rejection, sheet: &Sheet, file: &str) -> String {
     let lines: Vec<_> = match rejection {
         Rejection::Conflict(lost) => {
@@ -99,7 +99,7 @@
     limit: Duration,
     report: Report,
 ) -> Result<Report, Error> {
-    // An operator who stops waiting knows already what was accepted.
+    // The outcome is printed first, so that an operator who interrupts the wait has seen it.
     progress(&report.text);
     let mut shown = None;
     let show = |live: usize, behind: &[Straggler]| {
@@ -131,7 +131,7 @@
             )
         }
         None => (
-            format!("no node answered; see status for who has version {version}"),
+            format!("no node answered; run status to see which nodes have version {version}"),
             Exit::Stragglers,
         ),
     };
--- a/crates/swiftcart-cli/src/run/table.rs
+++ b/crates/swiftcart-cli/src/run/table.rs
@@ -1,4 +1,4 @@
-//! Runs the commands that read tables and sheets: pull, check and diff.
+//! Execution of the commands `table pull`, `table check` and `table diff`.
 
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
@@ -13,7 +13,7 @@
     StreamReader, plan, render, write,
 };
 
-/// Writes the table of a version as a sheet or as JSON.
+/// Writes the table of a version as a CSV sheet or as JSON.
 pub(super) async fn pull(
     settings: &Settings,
     pull: &PullOptions,
@@ -36,7 +36,7 @@
         Format::Json => format!("{json:#}\n"),
     };
     let Some(path) = &pull.output else {
-        // What asks for a form gets it, also with --json.
+        // `--format csv` takes precedence over `--json`; the CSV text is then wrapped in JSON.
         let json = match pull.format {
             Format::Csv if as_json => json!({ "base": version, "csv": text }),
             Format::Csv | Format::Json => json,
@@ -54,7 +54,7 @@
     Ok(Report::new(text, json))
 }
 
-/// Checks a sheet without the platform.
+/// Checks a sheet without contacting the platform.
 pub(super) fn check(file: &Path) -> Result<Report, Error> {
     let sheet = sheet(file)?;
     let (faults, notes) = sheet.check();
@@ -65,13 +65,13 @@
     let note = |fault: &Fault| {
         let path = file.display();
         format!(
-            "{path}:{fault}\n  only if the current table does not have it: publish checks that\n"
+            "{path}:{fault}\n  applies only if the current table does not have it; publish checks this\n"
         )
     };
     let notes_text: String = notes.iter().map(note).collect();
     let base = match sheet.base {
         Some(version) => format!("made from version {version}"),
-        None => "without a base row: publish needs --base N".into(),
+        None => "no base row, so publish needs --base N".into(),
     };
     let counted = render::rows(rows);
     let text = format!("{notes_text}{}: {counted}, {base}", file.display());
@@ -79,7 +79,7 @@
     Ok(Report::new(text, json).with_exit(Exit::Done))
 }
 
-/// Shows what publishing a sheet would change.
+/// Shows the changes that publishing a sheet would make.
 pub(super) async fn diff(settings: &Settings, diff: &DiffOptions) -> Result<Report, Error> {
     let sheet = sheet(&diff.file)?;
     let read_options = ReadOptions {
@@ -102,7 +102,7 @@
     Ok(Report::new(text, json))
 }
 
-/// Returns the table of `version`, or the current one.
+/// Returns the table of `version`, or the current table by default.
 fn select_table<'a>(
     reader: &'a StreamReader<'_>,
     version: Option<Version>,
@@ -115,7 +115,8 @@
     }
 }
 
-/// Writes a file; an operator's edits are not overwritten by accident.
+/// Writes a file. An existing file is overwritten only with `force`, to protect an operator's
+/// edits.
 fn save(path: &Path, text: &str, force: bool) -> Result<(), Error> {
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(true);
--- a/crates/swiftcart-cli/src/settings.rs
+++ b/crates/swiftcart-cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: where the platform and the nodes are, and who publishes.
+//! Settings file with the addresses of the platform and the nodes and the author's name.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use quick_error::quick_error;
 use serde_json::{Map, Value};
 
-/// The time for a command's dealings with the platform unless it is set.
+/// Default time limit for all calls of a command to the platform.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The most nodes that the settings or the command line may name.
+/// Maximum number of nodes in the settings or on the command line.
 pub const MAX_NODES: usize = 64;
 
 const MAX_BYTES: usize = 64 * 1024;
@@ -22,30 +22,30 @@
 const AUTHOR_HINT: &str = "write your name in quotes, for example \"rosa\"";
 const TIMEOUT_HINT: &str = "write milliseconds from 1 to 3600000, for example 15000";
 
-/// Says where the platform and the nodes are, and who publishes.
+/// Addresses of the platform and the nodes, author's name and time limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The platform's log.
+    /// Address of the platform's log.
     pub platform: Option<SocketAddr>,
-    /// AdminClient addresses of some nodes; each knows all others.
+    /// Admin addresses of some nodes. Each node knows all other members.
     pub nodes: Vec<SocketAddr>,
-    /// Who publishes, for the history.
+    /// Author of publishes, as shown in the history.
     pub author: Option<String>,
-    /// The time for a command's dealings with the platform.
+    /// Time limit for all calls of a command to the platform.
     pub timeout: Duration,
 }
 
 quick_error! {
-    /// Tells what is invalid with a settings file.
+    /// Error in a settings file.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SettingsError {
         /// The file cannot be read.
         Read(path: PathBuf, detail: String) {
             display("{}: {detail}", path.display())
         }
-        /// The file is larger than settings can be.
+        /// The file exceeds the size limit.
         Large(path: PathBuf) {
-            display("{}: over {MAX_BYTES} bytes; give a settings file", path.display())
+            display("{}: larger than {MAX_BYTES} bytes, the limit for a settings file", path.display())
         }
         /// The file is not a JSON object.
         Syntax(path: PathBuf, detail: String) {
@@ -55,7 +55,7 @@
         Key(path: PathBuf, key: String) {
             display("{}: {key}: unknown key; use {KNOWN_KEYS}", path.display())
         }
-        /// The value is invalid for its key.
+        /// The value is not valid for its key.
         Value(path: PathBuf, key: &'static str, value: String, hint: &'static str) {
             display("{}: {key}: {value} is not valid; {hint}", path.display())
         }
@@ -74,11 +74,11 @@
 }
 
 impl Settings {
-    /// Reads the file at `path`.
+    /// Reads and parses the settings file at `path`.
     ///
     /// # Errors
-    ///
-    /// The file cannot be read, or any error of [`parse`](Self::parse).
+    /// [`SettingsError::Read`] if the file cannot be read, and the errors of
+    /// [`parse`](Self::parse).
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         match fs::read(path) {
             Ok(bytes) => Self::parse(path, &bytes),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Checks the content of the file at `path`; the path only goes into errors.
+    /// Parses the content of the settings file at `path`, which is used in error messages only.
     ///
     /// # Examples
     ///
@@ -104,8 +104,7 @@
     /// ```
     ///
     /// # Errors
-    ///
-    /// The first key or value that is not valid, and its hint.
+    /// [`SettingsError`] for the first key or value that is not valid.
     pub fn parse(path: &Path, bytes: &[u8]) -> Result<Self, SettingsError> {
         if bytes.len() > MAX_BYTES {
             return Err(SettingsError::Large(path.into()));
@@ -143,7 +142,7 @@
     }
 }
 
-/// What is invalid, before it is known where.
+/// Invalid key or value, without the path of the file.
 enum InvalidSetting {
     Key,
     Value(&'static str, &'static str),
--- a/crates/swiftcart-cli/src/sheet.rs
+++ b/crates/swiftcart-cli/src/sheet.rs
@@ -1,8 +1,7 @@
-//! The table as operators edit it in a spreadsheet (CSV).
-//!
-//! A sheet survives what spreadsheets do to it: sorted rows and columns, quoted
-//! cells, a byte order mark, CRLF, semicolons or tabs between cells, and empty
-//! trailing cells. The version that it was made from travels in a row of its own.
+//! CSV sheet of a table, which operators edit in a spreadsheet.
+//! The parser accepts the changes that spreadsheets make when they save a sheet: sorted rows and
+//! columns, quoted cells, a byte order mark, CRLF, semicolons or tabs as separators, and empty
+//! trailing cells. A row of kind `base` records the version that the sheet was made from.
 
 mod fault;
 mod read;
@@ -15,7 +14,7 @@
 pub use fault::*;
 pub use write::*;
 
-/// The headings of the columns, in the order in which they are written.
+/// Column headings in the order in which they are written.
 pub const HEADINGS: [&str; 7] = [
     "kind",
     "service",
@@ -26,25 +25,25 @@
     "timeout_ms",
 ];
 
-/// Holds what a sheet asks for.
+/// Parsed sheet.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Sheet {
-    /// The version that the sheet was made from.
+    /// Version that the sheet was made from.
     pub base: Option<Version>,
-    /// The rows by key.
+    /// Lines of the sheet by row key.
     pub lines: BTreeMap<RowKey, SheetLine>,
 }
 
-/// Holds one row of a sheet and where it stands.
+/// Row of a sheet with its line number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SheetLine {
-    /// The line in the file, counted from 1.
+    /// Line number in the file, counted from 1.
     pub number: usize,
-    /// The row's content, or `None` to remove it from the table.
+    /// Content of the row, or `None` to remove the row from the table.
     pub row: Option<Row>,
 }
 
-/// What a row of a sheet is, as its first cell says.
+/// Kind of a row, given by its cell in the column `kind`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Kind {
     Base,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Returns the headings of the cells that a row of this kind fills.
+    /// Returns the headings of the cells that a row of this kind must fill.
     const fn cells(self) -> &'static [&'static str] {
         match self {
             Self::Base | Self::RemoveService => &["service"],
@@ -84,7 +83,7 @@
     }
 }
 
-/// Returns the service that a row belongs to; `None` for rows that a sheet does not hold.
+/// Returns the service that a row belongs to, or `None` for rows that sheets do not contain.
 #[must_use]
 pub const fn service_of(key: &RowKey) -> Option<&ServiceName> {
     match key {
--- a/crates/swiftcart-cli/src/sheet/fault.rs
+++ b/crates/swiftcart-cli/src/sheet/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a cell, where it is, and how to mend it.
+//! Faults in sheets: the position of the cell, the problem and its remedy.
 
 use quick_error::quick_error;
 use serde::{Serialize, Serializer};
@@ -7,7 +7,7 @@
 use super::Sheet;
 
 quick_error! {
-    /// Tells what is wrong with a cell.
+    /// Problem of a cell. The message includes the remedy.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Problem {
         /// The file is not UTF-8 text.
@@ -18,45 +18,45 @@
         UnclosedQuote {
             display("has a line break or an unclosed quote; remove it")
         }
-        /// No row holds the headings.
+        /// No row contains all headings.
         HeadingsNotFound {
             display("no row has all headings; start the sheet with {}", super::HEADINGS.join(","))
         }
-        /// A heading stands twice.
+        /// Two columns have the same heading.
         DuplicateHeading {
-            display("stands twice; remove one of the columns")
+            display("is a duplicate heading; remove one of the columns")
         }
         /// A heading is not known.
         UnknownHeading {
-            display("is no heading; clear the column or use {}", super::HEADINGS.join(","))
+            display("is not a known heading; clear the column or use {}", super::HEADINGS.join(","))
         }
-        /// A filled cell has no heading above it.
+        /// A filled cell is in a column without a heading.
         MissingHeading {
             display("has no heading; clear the cell")
         }
-        /// The first cell names no kind.
+        /// The row has an unknown kind.
         UnknownKind {
-            display("is no kind; write base, service, route, remove-service or remove-route")
+            display("is not a known kind; write base, service, route, remove-service or remove-route")
         }
-        /// A needed cell is empty.
+        /// A required cell is empty.
         EmptyCell(hint: &'static str) {
             display("is empty; {hint}")
         }
-        /// A cell is filled that does not belong to the row's kind.
+        /// A cell is filled that the row's kind does not use.
         UnexpectedValue(kind: &'static str) {
             display("does not belong to a row of kind {kind}; clear the cell")
         }
-        /// A number is not plain digits.
+        /// A number has characters other than digits or is too large.
         InvalidNumber {
-            display("is not a whole number up to 4294967295; write digits only, for example 1000")
+            display("is not a whole number up to 4294967295; write only digits, for example 1000")
         }
-        /// A version is not plain digits.
+        /// A version is not a number.
         InvalidVersion {
             display("is not a version; pull the table again to get the right one")
         }
-        /// The row stands twice.
+        /// Two lines have the same row key.
         DuplicateRow(line: usize) {
-            display("names a row that line {line} names too; remove one of them")
+            display("duplicates the row on line {line}; remove one of them")
         }
         /// The row breaks a rule of the table.
         InvalidRow(violation: Violation) {
@@ -65,16 +65,16 @@
     }
 }
 
-/// Names a wrong cell by line and heading.
+/// Invalid cell with its position and problem.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// The line in the file, counted from 1; 0 is the file as a whole.
+    /// Line number in the file, counted from 1; 0 stands for the whole file.
     pub line: usize,
-    /// The heading of the cell's column, or its number.
+    /// Heading of the cell's column, or its number if the column has no known heading.
     pub column: String,
-    /// What the cell holds.
+    /// Content of the cell.
     pub value: String,
-    /// What is wrong and how to mend it.
+    /// Problem and its remedy.
     #[serde(serialize_with = "as_text")]
     pub problem: Problem,
 }
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Finds the cell of `sheet` that breaks a rule; 0 is its line when it stands in no cell.
+    /// Creates a fault for the cell of `sheet` that breaks a rule. The line is 0 if no cell of the
+    /// sheet does.
     #[must_use]
     pub fn of(violation: &Violation, sheet: &Sheet) -> Self {
         let (key, column, value) = cell(violation);
@@ -124,7 +125,7 @@
     ser.collect_str(problem)
 }
 
-/// Returns the row, the heading and the content of the cell that breaks the rule.
+/// Returns the row key, the heading and the content of the cell that breaks the rule.
 fn cell(violation: &Violation) -> (Option<RowKey>, &'static str, String) {
     let service = |name: &ServiceName| Some(RowKey::Service(name.clone()));
     let route = |prefix: &String, name: &ServiceName| {
@@ -159,8 +160,8 @@
     }
 }
 
-/// Returns the first line that may be the cause: with the violation's prefix, or of the
-/// service that a route outside the sheet lacks.
+/// Returns the first line that may be the cause, or 0: a route with the prefix of the violation, or
+/// the service that a route outside the sheet requires.
 fn first_line(violation: &Violation, sheet: &Sheet) -> usize {
     let is_cause = |key: &RowKey| match (violation, key) {
         (Violation::Prefix(wanted) | Violation::NoWeight(wanted), RowKey::Route(prefix, _)) => {
--- a/crates/swiftcart-cli/src/sheet/read.rs
+++ b/crates/swiftcart-cli/src/sheet/read.rs
@@ -1,21 +1,21 @@
-//! Reads a sheet, whatever a spreadsheet did to it.
+//! Parser for sheets that were saved by a spreadsheet.
 
 use csv::{ReaderBuilder, StringRecord};
 use swiftcart_core::{Limits, Row, RowKey, ServiceName, Table, Version, Violation, check};
 
 use super::{Fault, HEADINGS, Kind, Problem, Sheet, SheetLine};
 
-/// The separators that spreadsheets write, by locale.
+/// Separators that spreadsheets write, depending on the locale.
 const DELIMITERS: [u8; 3] = [b',', b';', b'\t'];
 
-/// A line of the file and its cells.
+/// Line number and the cells of the line.
 type Record = (usize, StringRecord);
 
-/// The heading of each column; `None` where a column has none.
+/// Heading of each column, or `None` for a column without one.
 type Columns = Vec<Option<&'static str>>;
 
 impl Sheet {
-    /// Reads a sheet from the bytes of a CSV file.
+    /// Parses a sheet from the bytes of a CSV file.
     ///
     /// # Examples
     ///
@@ -30,8 +30,7 @@
     /// ```
     ///
     /// # Errors
-    ///
-    /// Every fault of the sheet, in the order of its lines.
+    /// All faults of the sheet, sorted by line and column.
     pub fn parse(bytes: &[u8]) -> Result<Self, Vec<Fault>> {
         let text = decode(bytes).map_err(|fault| vec![fault])?;
         let lines = lines(&text).map_err(|fault| vec![fault])?;
@@ -52,10 +51,9 @@
         }
     }
 
-    /// Returns the faults that no other table can mend, and the notes that depend on it.
-    ///
-    /// A sheet may name only some services, so a route to a service outside it, or a
-    /// prefix without weight, may be right once it is laid over the current table.
+    /// Returns the faults that are certain, and as notes those that depend on the current table.
+    /// A sheet may contain only some services. A route to a service outside the sheet, or a prefix
+    /// without weight, may therefore be valid once the sheet is applied to the current table.
     #[must_use]
     pub fn check(&self) -> (Vec<Fault>, Vec<Fault>) {
         let rows = self.lines.iter();
@@ -77,7 +75,7 @@
     }
 }
 
-/// Holds the sheet while it is read.
+/// State of the parser.
 struct SheetParser {
     columns: Columns,
     sheet: Sheet,
@@ -150,7 +148,7 @@
         }
     }
 
-    /// Finds filled cells below no heading.
+    /// Reports filled cells in columns without a heading.
     fn check_headings(&mut self, number: usize, record: &StringRecord) {
         for (i, value) in record.iter().enumerate() {
             match self.columns.get(i) {
@@ -164,7 +162,7 @@
         }
     }
 
-    /// Finds needed cells that are empty and filled cells that the kind does not have.
+    /// Reports required cells that are empty and filled cells that the kind does not use.
     fn check_filled(&mut self, number: usize, record: &StringRecord, kind: Kind) {
         for column in &HEADINGS[1..] {
             let value = self.cell(record, column);
@@ -189,7 +187,7 @@
         let digits = value.bytes().all(|b| b.is_ascii_digit());
         match value.parse() {
             Ok(n) if digits => n,
-            // An empty cell is told already.
+            // An empty cell has been reported already.
             _ if value.is_empty() => 0,
             _ => {
                 self.fault(number, column, &value, Problem::InvalidNumber);
@@ -209,7 +207,7 @@
     }
 }
 
-/// Returns where a column stands, those without a heading last.
+/// Returns the sort position of a column. Columns without a known heading come last.
 fn column_order(column: &str) -> usize {
     let known = HEADINGS.iter().position(|heading| *heading == column);
     known.unwrap_or(HEADINGS.len())
@@ -217,7 +215,7 @@
 
 const fn empty_cell_hint(column: &str) -> &'static str {
     match column.as_bytes() {
-        b"service" => "write the service's name, or the version in a row of kind base",
+        b"service" => "write the name of the service, or the version in a row of kind base",
         b"prefix" => "write the path prefix, for example /book",
         b"weight" => "write a weight, 0 for no requests",
         _ => "write a number, 0 for no limit",
@@ -236,10 +234,10 @@
     }
 }
 
-/// Returns the filled lines with their numbers; a cell never holds a line break.
+/// Returns the non-blank lines with their numbers. A cell with a line break is a fault.
 fn lines(text: &str) -> Result<Vec<(usize, &str)>, Fault> {
     let numbered = text.lines().enumerate().map(|(i, line)| (i + 1, line));
-    // Spreadsheets write the separator that they use into a first line of this form.
+    // Spreadsheets write their separator into the first line, as `sep=;`.
     let filled = numbered.filter(|(_, line)| !line.trim().is_empty());
     let filled = filled.filter(|(n, line)| *n > 1 || !is_separator_directive(line));
     let lines: Vec<_> = filled.collect();
@@ -256,7 +254,7 @@
     line.len() == 5 && line.to_ascii_lowercase().starts_with("sep=")
 }
 
-/// Finds the separator and the headings, wherever sorting put their row.
+/// Finds the separator and the row of headings, which sorting may have moved to any line.
 fn find_headings(lines: &[(usize, &str)]) -> Result<(Vec<Record>, Columns), Vec<Fault>> {
     for delimiter in DELIMITERS {
         let mut records = parse_records(lines, delimiter);
@@ -304,7 +302,7 @@
     let parse = |line: &str| {
         let mut record = StringRecord::new();
         let mut reader = builder.from_reader(line.as_bytes());
-        // Text held in memory neither fails to be read nor has rows of uneven length.
+        // Reading one record from memory has no I/O errors and no second row of another length.
         reader.read_record(&mut record).ok();
         record
     };
--- a/crates/swiftcart-cli/src/sheet/write.rs
+++ b/crates/swiftcart-cli/src/sheet/write.rs
@@ -1,10 +1,10 @@
-//! Writes a table as a sheet.
+//! Writer for sheets.
 
 use swiftcart_core::{Limits, Row, RowKey, Table, Version};
 
 use super::{HEADINGS, Kind};
 
-/// Returns `table` as CSV with the headings first and its version in a row of kind `base`.
+/// Formats `table` as CSV, with the headings first and its version in a row of kind `base`.
 ///
 /// # Examples
 ///
@@ -34,7 +34,8 @@
     lines.concat()
 }
 
-/// Returns the cells of a service or route; client accounts have a command of their own.
+/// Returns the cells of a service or route. Client accounts are edited with `swiftcart account`
+/// instead.
 fn cells(key: &RowKey, row: &Row) -> Option<[String; 7]> {
     match (key, row) {
         (RowKey::Route(prefix, name), Row::Route(weight)) => {
@@ -66,7 +67,7 @@
     cells
 }
 
-/// Joins cells, quoted where CSV asks for it.
+/// Joins cells to a line, with quotes where CSV requires them.
 fn line(cells: &[String; 7]) -> String {
     let quoted =
         cells.each_ref().map(
--- a/crates/swiftcart-cli/src/stream.rs
+++ b/crates/swiftcart-cli/src/stream.rs
@@ -1,4 +1,4 @@
-//! The configuration stream as the operator's tool reads it.
+//! Reader of the configuration stream.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,37 +12,37 @@
 
 use crate::{Error, Retry};
 
-/// The stream of publishes and checkpoints.
+/// Name of the stream of publishes and checkpoints.
 pub const CONFIG_STREAM: &str = "config";
 
 const PAGE_RECORDS: u32 = 256;
 const MAX_RESTARTS: usize = 3;
 
-/// Says what to remember while records are folded.
+/// Selects the data that a [`StreamReader`] keeps while it folds records.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ReadOptions {
-    /// The version whose table is wanted besides the current one.
+    /// Version whose table to keep, besides the current table.
     pub version: Option<Version>,
-    /// The publish whose verdict is wanted.
+    /// Id of the publish whose verdict to keep.
     pub publish_id: Option<PublishId>,
-    /// How many decided publishes to options.
+    /// Number of latest publishes to keep.
     pub history_limit: usize,
 }
 
-/// Holds one publish and what became of it.
+/// Publish and its verdict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecidedPublish {
-    /// Its place in the stream.
+    /// Offset of the publish in the stream.
     pub offset: Offset,
-    /// When the platform took it, in milliseconds since the Unix epoch.
+    /// Time of the append at the platform, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The decision.
+    /// Verdict on the publish.
     pub verdict: Verdict,
-    /// What was asked for.
+    /// Publish as it was appended.
     pub publish: Publish,
 }
 
-/// Folds the stream up to its head and remembers what a command needs.
+/// Reader that folds the stream up to its head and keeps the data that a command needs.
 #[derive(Debug)]
 pub struct StreamReader<'a> {
     platform: &'a Platform,
@@ -54,23 +54,23 @@
     recent_publishes: VecDeque<DecidedPublish>,
 }
 
-/// Why reading stopped; a gap means that records expired before they were read.
+/// Failure to read the stream.
 #[derive(Debug)]
 pub enum ReadError {
     /// The platform failed.
     Platform(PlatformError),
-    /// The records at the position are gone.
+    /// The records at the reader's position expired before they were read.
     Gap,
-    /// No later attempt can help.
+    /// The error is permanent; a retry fails again.
     Fatal(Error),
 }
 
 impl<'a> StreamReader<'a> {
-    /// Reads the stream to its head, trying again as `retry` allows.
+    /// Reads the stream up to its head, with retries as `retry` allows.
     ///
     /// # Errors
-    ///
-    /// The platform stays out of reach, or the stream cannot be folded.
+    /// [`Error::Platform`] if the platform stays unreachable, and other errors if the stream cannot
+    /// be folded.
     pub async fn open(
         platform: &'a Platform,
         options: ReadOptions,
@@ -93,11 +93,10 @@
         }
     }
 
-    /// Reads on to the head; when it is there, waits up to `wait` for another record.
+    /// Reads up to the head. At the head, waits up to `wait` for another record.
     ///
     /// # Errors
-    ///
-    /// The first failure; the reader stays at the last record that it folded.
+    /// The first [`ReadError`]. The reader stays at the last record that it folded.
     pub async fn catch_up(&mut self, wait: Duration) -> Result<(), ReadError> {
         let mut wait = wait;
         loop {
@@ -117,25 +116,25 @@
         }
     }
 
-    /// Returns the fold at the reader's position.
+    /// Returns the state of the fold at the reader's position.
     #[must_use]
     pub const fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Returns the table of the version to options, when it was met.
+    /// Returns the table of [`ReadOptions::version`], if the reader has passed that version.
     #[must_use]
     pub const fn requested_table(&self) -> Option<&Arc<Table>> {
         self.requested_table.as_ref()
     }
 
-    /// Returns the publish with the id to options, as first decided.
+    /// Returns the first publish with [`ReadOptions::publish_id`], if the reader has passed it.
     #[must_use]
     pub const fn requested_publish(&self) -> Option<&DecidedPublish> {
         self.requested_publish.as_ref()
     }
 
-    /// Returns the last decided publishes, oldest first.
+    /// Returns an iterator over the latest publishes, oldest first.
     pub fn recent_publishes(&self) -> impl DoubleEndedIterator<Item = &DecidedPublish> {
         self.recent_publishes.iter()
     }
@@ -156,7 +155,8 @@
         Ok(reader)
     }
 
-    /// Starts at the first checkpoint whose later records are all requested_table, if 0 is gone.
+    /// Starts at the first checkpoint after which no record has expired, if the record at offset 0
+    /// has expired.
     async fn start_at_checkpoint(&mut self) -> Result<(), ReadError> {
         let mut page = self.page(Offset(0), Duration::ZERO).await?;
         let first = page.first;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Reads one page, in smaller pieces when it is too large.
+    /// Reads one page, with a smaller record limit if the page is too large.
     async fn page(&mut self, from: Offset, wait: Duration) -> Result<Page, ReadError> {
         loop {
             let limit = self.limit.records();
@@ -231,7 +231,7 @@
 }
 
 impl DecidedPublish {
-    /// Returns why the publish changed nothing, or `None` when it was accepted.
+    /// Returns the rejection, or `None` if the publish was not rejected.
     #[must_use]
     pub const fn rejection(&self) -> Option<&Rejection> {
         match &self.verdict {
@@ -241,7 +241,7 @@
     }
 }
 
-/// Returns the state of a checkpoint whose later records are all requested_table.
+/// Returns the state of the checkpoint in `entry`, if no record after its position has expired.
 fn usable_checkpoint(entry: &Entry, first: Offset) -> Result<Option<Fold>, ReadError> {
     let rule = |rule| Err(ReadError::Fatal(Error::UnknownRule(rule)));
     let checkpoint = match Envelope::decode(&entry.body).map(|envelope| envelope.body) {
--- a/crates/swiftcart-cli/tests/accounts.rs
+++ b/crates/swiftcart-cli/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: keys that are shown once, quotas, homes, and operators who race.
+//! Commands for client accounts: API keys, quotas, homes and rejected changes.
 
 mod common;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Returns the accounts as scripts see them.
+/// Returns the accounts as JSON.
 fn accounts(env: &TestEnv) -> Vec<Value> {
     let list = env.json("account list");
     list["accounts"].as_array().expect("a list").clone()
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_shown_once_and_never_written() {
+async fn a_new_key_is_shown_once_and_stored_only_as_hash() {
     let env = TestEnv::new().await;
     let added = env.json("account add harbour --rate 20 --burst 40 --rank 1");
     let key = added["key"].as_str().expect("a key").to_owned();
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rotated_account_keeps_its_old_key_until_that_is_revoked() {
+async fn rotation_keeps_the_old_key_until_it_is_revoked() {
     let env = TestEnv::new().await;
     let first = env.json("account add harbour");
     let second = env.json("account rotate harbour");
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn quota_and_homes_are_set_and_lifted() {
+async fn quota_and_homes_are_set_and_removed() {
     let env = TestEnv::new().await;
     env.json("account add harbour --rate 5");
     env.json("account homes harbour east west");
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_removed_account_takes_its_homes_along() {
+async fn removing_an_account_removes_its_homes() {
     let env = TestEnv::new().await;
     env.json("account add harbour");
     env.json("account homes harbour east");
@@ -89,36 +89,36 @@
 }
 
 #[rstest]
-#[case::one_that_is_there(
+#[case::existing_account(
     "account add harbour",
-    "account harbour is there already; change it with account rotate, revoke, quota or homes"
+    "account harbour already exists; change it with account rotate, revoke, quota or homes"
 )]
-#[case::one_that_is_not(
+#[case::unknown_account(
     "account rotate valley",
     "the table has no account valley; see account list"
 )]
-#[case::a_key_of_nobody(
+#[case::unknown_key(
     "account revoke harbour 0000000000000000000000000000000f",
     "account harbour has no key whose hash begins with 0000000000000000000000000000000f; see account list"
 )]
-#[case::no_digits(
+#[case::too_few_digits(
     "account revoke harbour abc",
-    "--KEY: \"abc\" is not valid; write the first digits of a hash that account list shows, at least 4"
+    "--KEY: \"abc\" is not valid; write at least 4 leading digits of a hash that account list shows"
 )]
-#[case::a_burst_alone(
+#[case::burst_without_rate(
     "account quota harbour --burst 5",
-    "--rate, to which --burst belongs, is missing; see --help of the command"
+    "--rate, which --burst requires, is missing; see --help of the command"
 )]
-#[case::no_name(
+#[case::missing_name(
     "account add",
     "the account's name is missing; see --help of the command"
 )]
-#[case::an_unknown_command(
+#[case::unknown_command(
     "account rename harbour",
-    "there is no command \"account rename\"; see swiftcart --help"
+    "unknown command \"account rename\"; see swiftcart --help"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_published_for(#[case] words: &str, #[case] message: &str) {
+async fn an_invalid_account_command_publishes_nothing(#[case] words: &str, #[case] message: &str) {
     let env = TestEnv::new().await;
     env.json("account add harbour");
     let records = env.records();
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_table_does_not_take_is_rejected_with_the_reason() {
+async fn an_invalid_account_name_is_rejected_with_the_reason() {
     let env = TestEnv::new().await;
     let output = env.run("account add Harbour");
     assert_eq!(output.code, Some(3), "{output:?}");
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sheet_leaves_accounts_alone() {
+async fn publishing_a_sheet_with_prune_keeps_accounts() {
     let env = TestEnv::new().await;
     env.json("account add harbour");
     env.sheet("table.csv", 1, "service,booking,,,50,10,2000\n");
--- a/crates/swiftcart-cli/tests/arguments.rs
+++ b/crates/swiftcart-cli/tests/arguments.rs
@@ -1,4 +1,4 @@
-//! Command lines and settings files that are not valid, with the whole message.
+//! Error messages and exit codes for invalid command lines and settings files.
 
 use std::fs;
 use std::path::Path;
@@ -18,21 +18,18 @@
 }
 
 #[rstest]
-#[case::nothing("", "the command is missing; see --help of the command")]
-#[case::unknown_command("tables", "there is no command \"tables\"; see swiftcart --help")]
-#[case::unknown_table_command(
-    "table push",
-    "there is no command \"table push\"; see swiftcart --help"
-)]
+#[case::no_command("", "the command is missing; see --help of the command")]
+#[case::unknown_command("tables", "unknown command \"tables\"; see swiftcart --help")]
+#[case::unknown_table_command("table push", "unknown command \"table push\"; see swiftcart --help")]
 #[case::unknown_option("status --fast", "Unrecognized option: 'fast'; see swiftcart --help")]
 #[case::option_of_another_command(
     "status --prune",
     "Unrecognized option: 'prune'; see swiftcart --help"
 )]
-#[case::no_file("table publish", "the file is missing; see --help of the command")]
-#[case::two_files(
+#[case::missing_file("table publish", "the file is missing; see --help of the command")]
+#[case::extra_argument(
     "table check a.csv b.csv",
-    "the argument \"b.csv\" is one too many; see --help of the command"
+    "unexpected argument \"b.csv\"; see --help of the command"
 )]
 #[case::explain_without_an_id("explain", "the request's id is missing; see --help of the command")]
 #[case::explain_without_a_file(
@@ -45,11 +42,11 @@
 )]
 #[case::bad_version(
     "table pull --version v2",
-    "--version: \"v2\" is not valid; write a version's number, for example 12"
+    "--version: \"v2\" is not valid; write a version number, for example 12"
 )]
 #[case::bad_id(
     "table publish a.csv --id +1",
-    "--id: \"+1\" is not valid; write 1 to 32 hexadecimal digits, as an earlier publish printed them"
+    "--id: \"+1\" is not valid; write 1 to 32 hexadecimal digits, as printed by an earlier publish"
 )]
 #[case::bad_format(
     "table pull --format xls",
@@ -61,7 +58,7 @@
 )]
 #[case::bad_wait(
     "table publish a.csv --wait=soon",
-    "--wait: \"soon\" is not valid; write seconds from 1 to 3600"
+    "--wait: \"soon\" is not valid; write a number of seconds from 1 to 3600"
 )]
 #[case::no_platform(
     "history",
@@ -77,7 +74,7 @@
 )]
 #[case::wait_too_long(
     "table publish a.csv --wait 4000",
-    "--wait: \"4000\" is not valid; write seconds from 1 to 3600"
+    "--wait: \"4000\" is not valid; write a number of seconds from 1 to 3600"
 )]
 #[case::wait_without_node(
     "table publish a.csv --author ana --wait",
@@ -87,18 +84,21 @@
     "-s none.json status",
     "none.json: No such file or directory (os error 2)"
 )]
-fn a_bad_command_line_is_told_with_its_cure(#[case] words: &str, #[case] message: &str) {
+fn an_invalid_command_line_reports_the_error_and_a_hint(
+    #[case] words: &str,
+    #[case] message: &str,
+) {
     let dir = tempfile::tempdir().expect("a directory");
     let expected = (Some(2), format!("swiftcart: {message}\n"));
     assert_eq!(run(dir.path(), words), expected);
 }
 
 #[rstest]
-#[case::no_json(
+#[case::incomplete_json(
     "{",
     "EOF while parsing an object at line 1 column 1; write a JSON object"
 )]
-#[case::no_object(
+#[case::not_an_object(
     "[]",
     "invalid type: sequence, expected a map at line 1 column 0; write a JSON object"
 )]
@@ -118,11 +118,14 @@
     r#"{"author": " "}"#,
     "author: \" \" is not valid; write your name in quotes, for example \"rosa\""
 )]
-#[case::long_timeout(
+#[case::timeout_too_long(
     r#"{"timeout_ms": 3600001}"#,
     "timeout_ms: 3600001 is not valid; write milliseconds from 1 to 3600000, for example 15000"
 )]
-fn a_bad_settings_file_is_told_by_key_value_and_cure(#[case] json: &str, #[case] message: &str) {
+fn an_invalid_settings_file_reports_key_value_and_a_hint(
+    #[case] json: &str,
+    #[case] message: &str,
+) {
     let dir = tempfile::tempdir().expect("a directory");
     fs::write(dir.path().join("swiftcart.json"), json).expect("a file");
     let expected = (Some(2), format!("swiftcart: swiftcart.json: {message}\n"));
--- a/crates/swiftcart-cli/tests/common/mod.rs
+++ b/crates/swiftcart-cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real binary against a log in this process.
+//! Test environment that runs the `swiftcart` binary against an in-process log.
 #![allow(dead_code)]
 
 use std::fs;
@@ -10,7 +10,7 @@
 
 pub const HEAD: &str = "kind,service,prefix,weight,rate,concurrency,timeout_ms\n";
 
-/// The exit code and what was printed.
+/// Exit code and output of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CliOutput {
     pub code: Option<i32>,
@@ -18,7 +18,7 @@
     pub err: String,
 }
 
-/// A log and an operator's directory.
+/// Log and working directory for the commands of a test.
 pub struct TestEnv {
     pub log: Log,
     dir: TempDir,
@@ -40,13 +40,13 @@
         self.dir.path().join(name)
     }
 
-    /// Writes a sheet with this base and these rows.
+    /// Writes a sheet with the given base version and rows.
     pub fn sheet(&self, name: &str, base: u64, rows: &str) {
         let text = format!("{HEAD}base,{base},,,,,\n{rows}");
         fs::write(self.path(name), text).expect("a file");
     }
 
-    /// Starts the tool with words that are split at spaces.
+    /// Starts `swiftcart` with the arguments in `words`, which are separated by spaces.
     pub fn spawn(&self, words: &str) -> Child {
         Command::new(env!("CARGO_BIN_EXE_swiftcart"))
             .args(["--platform", &self.log.addr().to_string()])
@@ -68,7 +68,7 @@
         serde_json::from_str(&output.out).unwrap_or_else(|e| panic!("{e}: {output:?}"))
     }
 
-    /// Returns how many records the stream of publishes got.
+    /// Returns the number of records that were appended to the configuration stream.
     pub fn records(&self) -> u64 {
         self.log.read("config", 0).expect("a stream").next
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Cuts ids out, which are drawn at random.
+/// Replaces publish ids, which are random, by `ID`.
 pub fn mask_ids(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n']);
     let mask = |word: &str| {
--- a/crates/swiftcart-cli/tests/explain.rs
+++ b/crates/swiftcart-cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! What the tool makes of the logs of several nodes.
+//! Traces of requests from the logs of several nodes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use swiftcart_cli::{Error, LogLine, RequestTrace};
 use tempfile::TempDir;
 
-/// The ingress: one request refused, one lost, one without an answer yet.
+/// Log of the ingress, with one request refused, one lost, one served and one without an answer.
 const INGRESS: &str = "\
 at=900 level=INFO digest=3da0 version=12 event=applied
 at=1000 level=WARN domain=sur event=domain-cut
@@ -19,7 +19,7 @@
 at=9000 level=INFO liveness=Dead id=10.1.0.22:7000 event=member
 ";
 
-/// The guard, and lines that are none.
+/// Log of the guard, with lines that no node wrote.
 const GUARD: &str = "\
 no line of a node
 at=soon event=guard id=refused
@@ -27,7 +27,7 @@
 at=1099 level=WARN error=\"the connection to the platform ended before its answer\" event=platform-down
 ";
 
-/// The other nodes, which do not know these requests.
+/// Log of a node that handled none of the requests.
 const OTHER: &str = "at=1100 level=INFO reason= phase=ready event=phase\n";
 
 struct Logs {
@@ -58,7 +58,7 @@
 #[case::refused(
     "refused",
     "not-run: overloaded: The guard expects the wait in its queue to be too long. \
-     The caller was message to come back after 403 ms."
+     The caller was told to come back after 403 ms."
 )]
 #[case::lost(
     "lost",
@@ -68,18 +68,18 @@
     "served",
     "done: the backend server beside 10.1.0.23:7000 answered 200, tries: 2"
 )]
-#[case::without_an_answer(
+#[case::unanswered(
     "open",
     "no node logged an answer: the line was left out (event=left-out), the node ended before it, \
      or its log is not among the files"
 )]
-fn the_last_answer_decides_the_verdict(#[case] id: &str, #[case] verdict: &str) {
+fn the_verdict_follows_from_the_last_answer(#[case] id: &str, #[case] verdict: &str) {
     let trace = RequestTrace::read(id, &logs().files).expect("a trace");
     assert_eq!(trace.verdict(), verdict);
 }
 
 #[rstest]
-fn lines_of_a_request_are_joined_in_order_over_the_nodes() {
+fn lines_of_a_request_are_merged_over_the_nodes_in_order_of_time() {
     let trace = RequestTrace::read("refused", &logs().files).expect("a trace");
     let lines = [
         "1098 guard guard",
@@ -92,7 +92,7 @@
 }
 
 #[rstest]
-fn changes_of_belief_around_it_are_shown_at_the_nodes_that_it_touched() {
+fn other_events_around_the_request_are_shown_for_its_nodes_only() {
     let trace = RequestTrace::read("refused", &logs().files).expect("a trace");
     let context = [
         "900 ingress applied",
@@ -106,7 +106,7 @@
 }
 
 #[rstest]
-fn a_word_before_the_line_names_the_node() {
+fn the_word_before_a_line_names_the_node() {
     let dir = tempfile::tempdir().expect("a folder");
     let path = dir.path().join("all.log");
     let text = "   1.2345 norte-1 at=10 level=INFO reason=timeout id=a event=guard\n";
@@ -118,7 +118,7 @@
 #[rstest]
 #[case::unknown_request("nobody", "has a line of the request \"nobody\"")]
 #[case::part_of_an_id("refuse", "has a line of the request \"refuse\"")]
-fn an_unknown_request_is_an_error_that_says_what_to_give(#[case] id: &str, #[case] message: &str) {
+fn an_unknown_request_id_is_reported_as_an_error(#[case] id: &str, #[case] message: &str) {
     let error = RequestTrace::read(id, &logs().files).expect_err("no trace");
     assert!(matches!(error, Error::RequestNotFound(..)));
     assert!(error.to_string().contains(message), "{error}");
--- a/crates/swiftcart-cli/tests/publish.rs
+++ b/crates/swiftcart-cli/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: racing operators, lost and late answers, outages, and partial tables.
+//! Publishing with concurrent operators, lost and late answers, outages and partial sheets.
 
 mod common;
 
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_published_sheet_is_pulled_as_it_was_and_publishing_it_again_does_nothing() {
+async fn a_published_sheet_round_trips_and_republishing_it_appends_nothing() {
     let env = TestEnv::new().await;
     env.sheet("table.csv", 0, BOOKING);
     let output = env.run("table publish table.csv");
@@ -59,20 +59,20 @@
         done("accepted as version 1: 2 rows, id ID")
     );
     let output = env.run("table pull -o table.csv");
-    let exists = "swiftcart: table.csv exists; give --force to overwrite it";
+    let exists = "swiftcart: table.csv already exists; use --force to overwrite it";
     assert_eq!(output, failed(2, exists));
     let output = env.run("table pull -o table.csv --force");
     assert_eq!(output, done("wrote version 1, 2 rows, to table.csv"));
     let text = fs::read_to_string(env.path("table.csv")).expect("a file");
     assert_eq!(text, format!("{}base,1,,,,,\n{BOOKING}", common::HEAD));
     let output = env.run("table publish table.csv");
-    let unchanged = "nothing to change: the table reads so already as of version 1";
+    let unchanged = "nothing to change: the table already has these rows as of version 1";
     assert_eq!(output, done(unchanged));
     assert_eq!(env.records(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sheet_of_one_service_leaves_the_others_alone() {
+async fn a_sheet_of_one_service_keeps_the_rows_of_other_services() {
     let env = env_with(BOOKING).await;
     env.sheet("sensor.csv", 1, SENSOR);
     let output = env.run("table diff sensor.csv");
@@ -100,26 +100,26 @@
 
 #[rstest]
 #[case::nothing_is_removed_by_default("route,sensor,/moisture,100,,,\n", "", "unchanged", "[]")]
-#[case::prune_removes_what_the_named_services_lack(
+#[case::prune_removes_rows_missing_from_the_sheet(
     "service,sensor,,,0,10,500\n",
     "--prune",
     "accepted",
     r#"["removed route /moisture"]"#
 )]
-#[case::remove_rows_remove(
+#[case::rows_of_a_remove_kind_are_removed(
     "remove-route,sensor,/moisture,,,,\nremove-service,sensor,,,,,\n",
     "",
     "accepted",
     r#"["removed service", "removed route /moisture"]"#
 )]
-#[case::prune_of_one_service_removes_it_whole(
+#[case::prune_removes_a_service_missing_from_the_sheet(
     "service,booking,,,50,10,2000\n",
     "--prune --only sensor",
     "accepted",
     r#"["removed service", "removed route /moisture"]"#
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn only_what_is_asked_for_is_removed(
+async fn only_the_selected_rows_are_removed(
     #[case] rows: &str,
     #[case] options: &str,
     #[case] result: &str,
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_second_of_two_operators_is_told_which_rows_lost_to_whom() {
+async fn a_conflicting_publish_is_rejected_with_the_rows_and_the_other_author() {
     let env = env_with(BOOKING).await;
     env.sheet(
         "rosa.csv",
@@ -167,8 +167,8 @@
     assert_eq!(output, failed(3, lost));
 }
 
-/// Passes bytes on to the log, but holds appends until two have come.
-async fn hold_first_append(log: SocketAddr) -> SocketAddr {
+/// Starts a proxy to the log that delays appends until two have arrived.
+async fn start_append_barrier(log: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("a bound port");
     let (arrived, _) = watch::channel(0);
@@ -199,15 +199,15 @@
     }
 }
 
-/// Both operators have read version 1 before either append takes effect, and the answer
-/// to the first append is lost.
+/// Guards against two accepted publishes when both operators have read version 1 before either
+/// append takes effect, and the answer to the first append is lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_racing_operators_one_is_accepted_also_when_an_answer_is_lost() {
+async fn exactly_one_of_two_concurrent_publishes_is_accepted_when_an_answer_is_lost() {
     let env = env_with(BOOKING).await;
     env.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
     env.sheet("luis.csv", 1, "service,booking,,,70,10,2000\n");
     env.log.set_faults(LogFaults::new().with_lose_answers(1));
-    let proxy = hold_first_append(env.log.addr()).await;
+    let proxy = start_append_barrier(env.log.addr()).await;
     let words = |name| format!("table publish {name}.csv --author {name} --platform {proxy}");
     let (rosa, luis) = (env.spawn(&words("rosa")), env.spawn(&words("luis")));
     let (rosa, luis) = (mask_output(&wait(rosa)), mask_output(&wait(luis)));
@@ -226,7 +226,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_settled_without_a_second_record() {
+async fn a_lost_answer_is_resolved_without_a_second_record() {
     let env = TestEnv::new().await;
     env.log.set_faults(LogFaults::new().with_lose_answers(1));
     env.sheet("table.csv", 0, BOOKING);
@@ -258,14 +258,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_outcome_is_settled_by_the_same_id() {
+async fn an_unknown_outcome_is_resolved_by_the_same_id() {
     let env = TestEnv::new().await;
     env.log.set_faults(LogFaults::new().with_late_ms(60_000));
     env.sheet("table.csv", 0, BOOKING);
     let output = env.run("table publish table.csv --timeout 1 --id 5ca1ab1e");
     let unknown = "swiftcart: outcome unknown (the platform did not answer in time): run the same \
-        command again with --id 0000000000000000000000005ca1ab1e to settle it; that publishes at \
-        most once";
+        command again with --id 0000000000000000000000005ca1ab1e to resolve it; the sheet is \
+        published at most once";
     assert_eq!(output, failed(5, unknown));
     env.log.set_faults(LogFaults::new());
     let accepted = "accepted as version 1: 2 rows, id 0000000000000000000000005ca1ab1e";
@@ -282,13 +282,13 @@
 }
 
 #[rstest]
-#[case::it_says_so(Outage::Unavailable, "the platform has an outage")]
-#[case::it_hangs_up(
+#[case::unavailable(Outage::Unavailable, "the platform has an outage")]
+#[case::connection_closed(
     Outage::Closed,
     "the connection to the platform ended before its answer"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_publishes_nothing_and_says_so(#[case] outage: Outage, #[case] cause: &str) {
+async fn an_outage_publishes_nothing_and_is_reported(#[case] outage: Outage, #[case] cause: &str) {
     let env = TestEnv::new().await;
     env.log.set_faults(LogFaults::new().with_outage(outage));
     env.sheet("table.csv", 0, BOOKING);
@@ -300,28 +300,28 @@
 }
 
 #[rstest]
-#[case::a_route_to_nowhere(
+#[case::route_to_an_unknown_service(
     1,
     "route,nobody,/x,1,,,\n",
     3,
     "rejected, nothing changed:\n  edit.csv:3: service: \"nobody\" is not valid: route /x -> \
      nobody: add the service nobody or remove the route"
 )]
-#[case::a_removal_that_leaves_a_route(
+#[case::removal_of_a_service_with_a_route(
     1,
     "remove-service,booking,,,,,\n",
     3,
     "rejected, nothing changed:\n  edit.csv:3: service: \"booking\" is not valid: route /book -> \
      booking: add the service booking or remove the route"
 )]
-#[case::a_base_that_never_was(
+#[case::unknown_base_version(
     5,
     BOOKING,
     2,
     "swiftcart: version 5 was not accepted or is no longer kept; the current version is 1"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_publish_that_cannot_be_accepted_costs_no_append(
+async fn a_publish_that_would_be_rejected_is_not_appended(
     #[case] base: u64,
     #[case] rows: &str,
     #[case] code: i32,
@@ -333,7 +333,7 @@
     assert_eq!(env.records(), 1);
 }
 
-/// Folds the records from `offset` on, as a reader that stayed at the head did.
+/// Folds the records from `offset` on, as a reader at the head does.
 fn fold_records(fold: &mut Fold, env: &TestEnv, offset: u64) {
     let page = env.log.read("config", offset).expect("a stream");
     for record in page.records {
@@ -354,7 +354,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_whose_start_expired_is_read_from_its_checkpoint() {
+async fn a_stream_with_expired_records_is_read_from_a_checkpoint() {
     let env = TestEnv::with(LogSettings::default().with_records(4)).await;
     let mut fold = Fold::new();
     for base in 0..3 {
@@ -366,7 +366,7 @@
         let output = env.run("table publish table.csv");
         assert_eq!(output.code, Some(0), "{output:?}");
     }
-    // The records after the first checkpoint are not all kept, so that it starts no reader.
+    // Records after the position of the first checkpoint have expired, so no reader can start there.
     append_checkpoint(&env, &fold);
     fold_records(&mut fold, &env, 0);
     append_checkpoint(&env, &fold);
@@ -382,9 +382,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_with_more_than_a_page_of_large_records_is_read_in_smaller_pages() {
+async fn large_records_are_read_in_smaller_pages() {
     let env = env_with(BOOKING).await;
-    // Each byte takes two in JSON, which the log does not count.
+    // Each byte takes two in JSON, which the size limit of the log does not count.
     let large = "\"".repeat(250 * 1024);
     for _ in 0..18 {
         env.log.append("config", &large).expect("room");
@@ -394,7 +394,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_without_start_and_checkpoint_is_no_table() {
+async fn a_stream_with_expired_records_and_no_checkpoint_is_an_error() {
     let env = TestEnv::with(LogSettings::default().with_records(1)).await;
     for _ in 0..2 {
         env.log.append("config", "hello").expect("room");
@@ -405,8 +405,8 @@
 }
 
 #[rstest]
-#[case::foreign_records_are_skipped("hello", done("wrote version 1, 2 rows, to table.csv"))]
-#[case::a_later_rule_stops_the_tool(
+#[case::malformed_records_are_skipped("hello", done("wrote version 1, 2 rows, to table.csv"))]
+#[case::an_unknown_rule_is_an_error(
     r#"{"rule":65535}"#,
     failed(
         1,
@@ -414,7 +414,7 @@
     )
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn records_that_are_not_ours(#[case] body: &str, #[case] expected: CliOutput) {
+async fn records_of_other_formats(#[case] body: &str, #[case] expected: CliOutput) {
     let env = env_with(BOOKING).await;
     env.log.append("config", body).expect("room");
     assert_eq!(env.run("table pull -o table.csv"), expected);
@@ -425,7 +425,7 @@
     let env = env_with(BOOKING).await;
     env.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
     let publish = env.json("table publish rosa.csv");
-    // A publish that another tool appended without looking first.
+    // A conflicting publish that is appended without the check of the tool.
     let lost = Envelope::decode(&env.log.read("config", 1).expect("a stream").records[0].body);
     let Ok(Body::Publish(mut lost)) = lost.map(|envelope| envelope.body) else {
         panic!("the tool appends publishes");
--- a/crates/swiftcart-cli/tests/sheet.rs
+++ b/crates/swiftcart-cli/tests/sheet.rs
@@ -1,4 +1,4 @@
-//! Sheets: the round trip through a spreadsheet, and the message for each bad cell.
+//! Sheets: the round trip through a spreadsheet, and the message for each invalid cell.
 
 use std::fs;
 use std::process::Command;
@@ -30,7 +30,7 @@
     table
 }
 
-/// Does to a sheet what spreadsheets do when they save it.
+/// Applies the changes to a sheet that spreadsheets make when they save it.
 fn resave(csv: &str, rng: &mut SmallRng) -> Vec<u8> {
     let mut reader = csv::ReaderBuilder::new();
     let mut reader = reader.has_headers(false).from_reader(csv.as_bytes());
@@ -59,8 +59,8 @@
     }
     let mut bytes = writer.into_inner().expect("memory");
     if rng.random() {
-        let hint = format!("sep={}\r\n", char::from(delimiter));
-        bytes.splice(0..0, hint.bytes());
+        let directive = format!("sep={}\r\n", char::from(delimiter));
+        bytes.splice(0..0, directive.bytes());
     }
     if rng.random() {
         bytes.splice(0..0, *b"\xef\xbb\xbf");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_sheet_survives_a_spreadsheet() {
+fn a_sheet_resaved_by_a_spreadsheet_parses_to_the_same_table() {
     let mut rng = SmallRng::seed_from_u64(7);
     for round in 0..100 {
         let table = table(&mut rng);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_edits_of_a_whole_pruned_sheet_lead_to_its_table() {
+fn the_edits_of_a_complete_sheet_with_prune_produce_its_table() {
     let mut rng = SmallRng::seed_from_u64(8);
     for round in 0..100 {
         let (old, new) = (table(&mut rng), table(&mut rng));
@@ -119,11 +119,11 @@
 )]
 #[case::unknown_heading(
     "HEAD,note\nbase,1,,,,,,x\n",
-    "1: column 8: \"note\" is no heading; clear the column or use kind,service,prefix,weight,rate,concurrency,timeout_ms"
+    "1: column 8: \"note\" is not a known heading; clear the column or use kind,service,prefix,weight,rate,concurrency,timeout_ms"
 )]
-#[case::heading_twice(
+#[case::duplicate_heading(
     "HEAD,rate\n",
-    "1: column 8: \"rate\" stands twice; remove one of the columns"
+    "1: column 8: \"rate\" is a duplicate heading; remove one of the columns"
 )]
 #[case::cell_without_heading(
     "HEAD\nservice,booking,,,1,2,30,9\n",
@@ -131,11 +131,11 @@
 )]
 #[case::unknown_kind(
     "HEAD\nsvc,booking,,,1,2,30\n",
-    "2: kind: \"svc\" is no kind; write base, service, route, remove-service or remove-route"
+    "2: kind: \"svc\" is not a known kind; write base, service, route, remove-service or remove-route"
 )]
 #[case::empty_service(
     "HEAD\nservice,,,,1,2,30\n",
-    "2: service: \"\" is empty; write the service's name, or the version in a row of kind base"
+    "2: service: \"\" is empty; write the name of the service, or the version in a row of kind base"
 )]
 #[case::empty_limit(
     "HEAD\nservice,booking,,,,2,30\n",
@@ -153,47 +153,47 @@
     "HEAD\nroute,booking,/b,5,7,,\n",
     "2: rate: \"7\" does not belong to a row of kind route; clear the cell"
 )]
-#[case::weight_on_a_removal(
+#[case::weight_on_a_removed_route(
     "HEAD\nremove-route,booking,/b,5,,,\n",
     "2: weight: \"5\" does not belong to a row of kind remove-route; clear the cell"
 )]
 #[case::grouped_digits(
     "HEAD\nservice,booking,,,1.000,2,30\n",
-    "2: rate: \"1.000\" is not a whole number up to 4294967295; write digits only, for example 1000"
+    "2: rate: \"1.000\" is not a whole number up to 4294967295; write only digits, for example 1000"
 )]
 #[case::signed_digits(
     "HEAD\nroute,booking,/b,+5,,,\n",
-    "2: weight: \"+5\" is not a whole number up to 4294967295; write digits only, for example 1000"
+    "2: weight: \"+5\" is not a whole number up to 4294967295; write only digits, for example 1000"
 )]
-#[case::negative(
+#[case::negative_number(
     "HEAD\nroute,booking,/b,-5,,,\n",
-    "2: weight: \"-5\" is not a whole number up to 4294967295; write digits only, for example 1000"
+    "2: weight: \"-5\" is not a whole number up to 4294967295; write only digits, for example 1000"
 )]
-#[case::bad_base(
+#[case::invalid_base(
     "HEAD\nbase,v7,,,,,\n",
     "2: service: \"v7\" is not a version; pull the table again to get the right one"
 )]
-#[case::two_bases(
+#[case::duplicate_base(
     "HEAD\nbase,7,,,,,\nbase,8,,,,,\n",
-    "3: kind: \"base\" names a row that line 2 names too; remove one of them"
+    "3: kind: \"base\" duplicates the row on line 2; remove one of them"
 )]
-#[case::row_twice(
+#[case::duplicate_row(
     "HEAD\r\nroute,booking,/b,5,,,\r\n\r\nremove-route,booking,/b,,,,\r\n",
-    "4: kind: \"route /b -> booking\" names a row that line 2 names too; remove one of them"
+    "4: kind: \"route /b -> booking\" duplicates the row on line 2; remove one of them"
 )]
-#[case::open_quote(
+#[case::unclosed_quote(
     "HEAD\nroute,\"booking,/b,5,,,\n",
     "2: line: \"route,\\\"booking,/b,5,,,\" has a line break or an unclosed quote; remove it"
 )]
-#[case::latin_1(
+#[case::not_utf_8(
     "HEAD\nservice,c\u{0}sped,,,1,2,30\n",
     "2: line: \"\" is not UTF-8; save the sheet as CSV UTF-8"
 )]
 #[case::two_faults_at_once(
     "HEAD\nroute,booking,,x,,,\n",
-    "2: prefix: \"\" is empty; write the path prefix, for example /book\nFILE:2: weight: \"x\" is not a whole number up to 4294967295; write digits only, for example 1000"
+    "2: prefix: \"\" is empty; write the path prefix, for example /book\nFILE:2: weight: \"x\" is not a whole number up to 4294967295; write only digits, for example 1000"
 )]
-#[case::rule_of_the_table(
+#[case::invalid_service_name(
     "HEAD\nservice,Booking,,,1,2,30\n",
     "2: service: \"Booking\" is not valid: service \"Booking\": a name has 1 to 63 characters of a-z, 0-9 and -"
 )]
@@ -201,10 +201,10 @@
     "HEAD\nservice,booking,,,1,2,3\n",
     "2: timeout_ms: \"3\" is not valid: service booking: timeout_ms 3 is neither 0 nor in 10..=600000"
 )]
-fn a_bad_sheet_is_told_by_line_column_value_and_cure(#[case] csv: &str, #[case] message: &str) {
+fn an_invalid_sheet_reports_line_column_value_and_a_hint(#[case] csv: &str, #[case] message: &str) {
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("table.csv");
-    // The zero byte stands for one that is not UTF-8, which no string can hold.
+    // The zero byte is a placeholder for a byte that is not valid UTF-8, which a `str` cannot hold.
     let bytes = csv.replace("HEAD", HEAD).into_bytes();
     let bytes: Vec<u8> = bytes
         .into_iter()
--- a/crates/swiftcart-cli/tests/status.rs
+++ b/crates/swiftcart-cli/tests/status.rs
@@ -1,4 +1,4 @@
-//! Status and waiting, against nodes that only have an admin address.
+//! `status` and `--wait` against fake nodes that serve only the admin address.
 
 mod common;
 
@@ -20,7 +20,7 @@
 const SUR: &str = "127.0.0.1:7102";
 const DEAD: &str = "127.0.0.1:7103";
 
-/// Serves the admin address of the node `id`, whose version can be moved.
+/// Serves the admin address of the node `id`. The returned counter sets its version.
 async fn node(id: &str, version: u64, others: Vec<Member>) -> (Member, Arc<AtomicU64>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let me = member(id, listener.local_addr().expect("a bound port"));
@@ -69,12 +69,13 @@
 }
 
 /// Returns an address on which nothing listens.
-/// Nothing listens here; a port that was free once may be another test's by now.
+///
+/// The address is fixed, since another test could bind a free port in the meantime.
 fn closed_addr() -> SocketAddr {
     SocketAddr::from(([127, 255, 255, 254], 1))
 }
 
-async fn published() -> TestEnv {
+async fn env_with_table() -> TestEnv {
     let env = TestEnv::new().await;
     env.sheet("first.csv", 0, "service,booking,,,50,10,2000\n");
     assert_eq!(env.run("table publish first.csv").code, Some(0));
@@ -87,8 +88,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn status_names_versions_stragglers_and_nodes_out_of_reach() {
-    let env = published().await;
+async fn status_shows_versions_stragglers_and_unreachable_nodes() {
+    let env = env_with_table().await;
     let cut = member(SUR, closed_addr());
     let mut dead = member(DEAD, closed_addr());
     dead.liveness = Liveness::Dead;
@@ -123,20 +124,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_of_another_node_is_not_taken_for_the_members_own() {
-    let env = published().await;
+async fn a_state_with_the_id_of_another_node_is_rejected() {
+    let env = env_with_table().await;
     let (sur, _) = node(SUR, 1, Vec::new()).await;
     let replaced = member(DEAD, sur.admin);
     let (norte, _) = node(NORTE, 1, vec![sur, replaced]).await;
     let json = env.json(&format!("--node {} status", norte.admin));
-    let error = "answers otherwise than a node of this release";
+    let error = "gave an unexpected response";
     let stragglers = json!([{"node": DEAD, "domain": "sur", "version": null, "error": error}]);
     assert_eq!(json["stragglers"], stragglers);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn waiting_ends_when_the_last_live_node_has_the_version() {
-    let env = published().await;
+async fn wait_ends_when_the_last_live_node_has_the_version() {
+    let env = env_with_table().await;
     let (sur, version) = node(SUR, 0, Vec::new()).await;
     let (norte, _) = node(NORTE, 1, vec![sur]).await;
     let words = format!("--node {} table publish first.csv --wait", norte.admin);
@@ -144,7 +145,7 @@
     let mut err = BufReader::new(child.stderr.take().expect("a pipe"));
     let mut line = String::new();
     err.read_line(&mut line).expect("what was published");
-    let unchanged = "nothing to change: the table reads so already as of version 1\n";
+    let unchanged = "nothing to change: the table already has these rows as of version 1\n";
     assert_eq!(line, unchanged);
     line.clear();
     err.read_line(&mut line).expect("a line of progress");
@@ -160,8 +161,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wait_that_times_out_names_the_stragglers() {
-    let env = published().await;
+async fn a_wait_that_times_out_lists_the_stragglers() {
+    let env = env_with_table().await;
     let cut = member(SUR, closed_addr());
     let (norte, _) = node(NORTE, 0, vec![cut]).await;
     env.sheet("edit.csv", 1, "service,booking,,,60,10,2000\n");
@@ -185,8 +186,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wait_that_no_node_answers_is_not_called_done() {
-    let env = published().await;
+async fn a_wait_without_any_answering_node_fails() {
+    let env = env_with_table().await;
     let words = format!("--node {} table publish first.csv --wait=1", closed_addr());
     let output = env.run(&words);
     assert_eq!(output.code, Some(6), "{output:?}");
