--- a/crates/swiftcart-cli/src/account.rs
+++ b/crates/swiftcart-cli/src/account.rs
@@ -140,9 +140,7 @@
                 .ok_or_else(|| AccountError::NotFound(name.clone()))
         };
         let account = match self {
-            Self::Add(..) if found.is_some() => {
-                return Err(AccountError::Exists(name.clone()));
-            }
+            Self::Add(..) if found.is_some() => return Err(AccountError::Exists(name.clone())),
             Self::Add(_, account) => account.clone().with_key(key),
             Self::Rotate(_) => existing()?.with_key(key),
             Self::Revoke(_, digits) => without_key(name, existing()?, digits)?,
--- a/crates/swiftcart-cli/src/args.rs
+++ b/crates/swiftcart-cli/src/args.rs
@@ -144,9 +144,7 @@
         let words: Vec<_> = global.free.iter().map(String::as_str).collect();
         let (command, rest) = match words[..] {
             _ if global.opt_present("version") => return Ok(Self::plain(Command::Version)),
-            [] if global.opt_present("help") => {
-                return Ok(Self::plain(Command::Help(help::all())));
-            }
+            [] if global.opt_present("help") => return Ok(Self::plain(Command::Help(help::all()))),
             [] => return Err(Error::MissingArgument("the command")),
             ["help", ..] => return Ok(Self::plain(Command::Help(help::all()))),
             ["table", "pull", ..] => (help::Name::Pull, 2),
--- a/crates/swiftcart-cli/src/error.rs
+++ b/crates/swiftcart-cli/src/error.rs
@@ -88,11 +88,11 @@
             display("records before offset {first} have expired and no checkpoint covers them")
         }
         /// Records expired faster than they were read.
-        RecordsExpired {
+        Expired {
             display("records expire faster than they can be read; try again")
         }
         /// The log has a record of a rule that this release does not know.
-        UnknownRule(rule: u16) {
+        NewerRule(rule: u16) {
             display("the log has records of rule {rule}, which this release does not know; upgrade swiftcart")
         }
         /// The publish does not fit into one record.
@@ -155,10 +155,9 @@
                 Exit::Unknown
             }
             Self::Account(_) => Exit::Usage,
-            Self::File(..)
-            | Self::NoCheckpoint(_)
-            | Self::RecordsExpired
-            | Self::UnknownRule(_) => Exit::Failed,
+            Self::File(..) | Self::NoCheckpoint(_) | Self::Expired | Self::NewerRule(_) => {
+                Exit::Failed
+            }
             Self::Random(_) | Self::NodesUnreachable(_) | Self::Runtime(_) => Exit::Failed,
             Self::RequestNotFound(..) => Exit::Failed,
         }
--- a/crates/swiftcart-cli/src/settings.rs
+++ b/crates/swiftcart-cli/src/settings.rs
@@ -17,10 +17,10 @@
 const MAX_BYTES: usize = 64 * 1024;
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 const KNOWN_KEYS: &str = "platform, nodes, author or timeout_ms";
-const ADDR_HINT: &str = "write IP:PORT, for example \"127.0.0.1:7000\"";
-const NODES_HINT: &str = "write a list of at most 64 IP:PORT, for example [\"127.0.0.1:7002\"]";
-const AUTHOR_HINT: &str = "write your name in quotes, for example \"rosa\"";
-const TIMEOUT_HINT: &str = "write milliseconds from 1 to 3600000, for example 15000";
+const ADDR: &str = "write IP:PORT, for example \"127.0.0.1:7000\"";
+const NODES: &str = "write a list of at most 64 IP:PORT, for example [\"127.0.0.1:7002\"]";
+const AUTHOR: &str = "write your name in quotes, for example \"rosa\"";
+const TIMEOUT: &str = "write milliseconds from 1 to 3600000, for example 15000";
 
 /// Addresses of the platform and the nodes, author's name and time limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -115,40 +115,32 @@
         for (key, value) in &object {
             settings
                 .set(key, value)
-                .map_err(|invalid| invalid.into_error(path, key, value))?;
+                .map_err(|cause| cause.into_error(path, key, value))?;
         }
         Ok(settings)
     }
 
-    fn set(&mut self, key: &str, value: &Value) -> Result<(), InvalidSetting> {
+    fn set(&mut self, key: &str, value: &Value) -> Result<(), Cause> {
         match key {
-            "platform" => {
-                self.platform =
-                    Some(addr(value).ok_or(InvalidSetting::Value("platform", ADDR_HINT))?)
-            }
-            "nodes" => {
-                self.nodes = addrs(value).ok_or(InvalidSetting::Value("nodes", NODES_HINT))?
-            }
-            "author" => {
-                self.author = Some(text(value).ok_or(InvalidSetting::Value("author", AUTHOR_HINT))?)
-            }
+            "platform" => self.platform = Some(addr(value).ok_or(Cause::Value("platform", ADDR))?),
+            "nodes" => self.nodes = addrs(value).ok_or(Cause::Value("nodes", NODES))?,
+            "author" => self.author = Some(text(value).ok_or(Cause::Value("author", AUTHOR))?),
             "timeout_ms" => {
-                self.timeout =
-                    millis(value).ok_or(InvalidSetting::Value("timeout_ms", TIMEOUT_HINT))?;
+                self.timeout = millis(value).ok_or(Cause::Value("timeout_ms", TIMEOUT))?;
             }
-            _ => return Err(InvalidSetting::Key),
+            _ => return Err(Cause::Key),
         }
         Ok(())
     }
 }
 
-/// Invalid key or value, without the path of the file.
-enum InvalidSetting {
+/// Cause of a [`SettingsError`], without the path of the file.
+enum Cause {
     Key,
     Value(&'static str, &'static str),
 }
 
-impl InvalidSetting {
+impl Cause {
     fn into_error(self, path: &Path, key: &str, value: &Value) -> SettingsError {
         match self {
             Self::Key => SettingsError::Key(path.into(), key.into()),
--- a/crates/swiftcart-cli/src/sheet/fault.rs
+++ b/crates/swiftcart-cli/src/sheet/fault.rs
@@ -55,7 +55,7 @@
             display("is not a version; pull the table again to get the right one")
         }
         /// Two lines have the same row key.
-        DuplicateRow(line: usize) {
+        Duplicate(line: usize) {
             display("duplicates the row on line {line}; remove one of them")
         }
         /// The row breaks a rule of the table.
--- a/crates/swiftcart-cli/src/sheet/read.rs
+++ b/crates/swiftcart-cli/src/sheet/read.rs
@@ -128,7 +128,7 @@
                 self.sheet.lines.insert(key, SheetLine { number, row });
             }
             Some(earlier) => {
-                let problem = Problem::DuplicateRow(earlier);
+                let problem = Problem::Duplicate(earlier);
                 self.fault(number, "kind", &key.to_string(), problem);
             }
         }
@@ -140,9 +140,7 @@
                 self.base = Some(number);
                 self.sheet.base = Some(Version(version));
             }
-            (Ok(_), Some(earlier)) => {
-                self.fault(number, "kind", "base", Problem::DuplicateRow(earlier))
-            }
+            (Ok(_), Some(first)) => self.fault(number, "kind", "base", Problem::Duplicate(first)),
             (Err(_), _) if value.is_empty() => {}
             (Err(_), _) => self.fault(number, "service", value, Problem::InvalidVersion),
         }
--- a/crates/swiftcart-cli/src/stream.rs
+++ b/crates/swiftcart-cli/src/stream.rs
@@ -81,9 +81,7 @@
             match Self::load(platform, options).await {
                 Ok(reader) => return Ok(reader),
                 Err(ReadError::Fatal(e)) => return Err(e),
-                Err(ReadError::Gap) if restarts == MAX_RESTARTS => {
-                    return Err(Error::RecordsExpired);
-                }
+                Err(ReadError::Gap) if restarts == MAX_RESTARTS => return Err(Error::Expired),
                 Err(ReadError::Gap) => restarts += 1,
                 Err(ReadError::Platform(e)) if !retry.wait(e.retry_after()).await => {
                     return Err(Error::Platform(platform.addr(), e));
@@ -190,9 +188,7 @@
 
     fn apply(&mut self, entry: &Entry) -> Result<(), ReadError> {
         let verdict = match self.fold.apply(entry) {
-            Ok(Verdict::UnknownRule(rule)) => {
-                return Err(ReadError::Fatal(Error::UnknownRule(rule)));
-            }
+            Ok(Verdict::UnknownRule(rule)) => return Err(ReadError::Fatal(Error::NewerRule(rule))),
             Ok(verdict) => verdict,
             Err(_) => return Err(ReadError::Gap),
         };
@@ -243,7 +239,7 @@
 
 /// Returns the state of the checkpoint in `entry`, if no record after its position has expired.
 fn usable_checkpoint(entry: &Entry, first: Offset) -> Result<Option<Fold>, ReadError> {
-    let rule = |rule| Err(ReadError::Fatal(Error::UnknownRule(rule)));
+    let rule = |rule| Err(ReadError::Fatal(Error::NewerRule(rule)));
     let checkpoint = match Envelope::decode(&entry.body).map(|envelope| envelope.body) {
         Ok(Body::Checkpoint(checkpoint)) => checkpoint,
         Ok(Body::Publish(_)) | Err(RecordError::Malformed(_)) => return Ok(None),
