--- a/crates/swiftcart-cli/src/account.rs
+++ b/crates/swiftcart-cli/src/account.rs
@@ -32,7 +32,7 @@
         }
         /// The platform may or may not have appended the change.
         OutcomeUnknown(name: AccountName, detail: String) {
-            display("outcome unknown ({detail}): check account {name} with account list and revoke any key that was not shown")
+            display("outcome unknown ({detail}): check account {name} with account list and revoke any key that was not shown, since it cannot be used")
         }
         /// Several keys of the account have a hash that begins with the digits.
         AmbiguousKey(name: AccountName, digits: String) {
@@ -66,6 +66,7 @@
     /// Generates a key of 128 random bits from the operating system.
     ///
     /// # Errors
+    ///
     /// [`Error::Random`] if the operating system provides no random numbers.
     pub fn generate() -> Result<Self, Error> {
         let mut bytes = [0; 16];
@@ -129,6 +130,7 @@
     /// ```
     ///
     /// # Errors
+    ///
     /// [`AccountError`] if the change does not apply to the table.
     pub fn edits(&self, table: &Table, key: KeyHash) -> Result<Vec<Edit>, AccountError> {
         let name = self.name();
--- a/crates/swiftcart-cli/src/admin.rs
+++ b/crates/swiftcart-cli/src/admin.rs
@@ -77,6 +77,7 @@
     /// Fetches the membership list of the node at `addr`.
     ///
     /// # Errors
+    ///
     /// [`AdminError`] if the node gave no valid answer.
     pub async fn members(&self, addr: SocketAddr) -> Result<Vec<Member>, AdminError> {
         self.query(addr, "/v1/members").await
@@ -85,6 +86,7 @@
     /// Fetches the state of the node at `addr`.
     ///
     /// # Errors
+    ///
     /// [`AdminError`] if the node gave no valid answer.
     pub async fn state(&self, addr: SocketAddr) -> Result<NodeState, AdminError> {
         self.query(addr, "/v1/state").await
--- a/crates/swiftcart-cli/src/args.rs
+++ b/crates/swiftcart-cli/src/args.rs
@@ -29,7 +29,7 @@
 pub struct Invocation {
     /// Settings of the settings file, overridden by the options of the command line.
     pub settings: Settings,
-    /// Print JSON instead of text.
+    /// `true` to print JSON instead of text.
     pub json: bool,
     /// Command to run.
     pub command: Command,
@@ -38,27 +38,27 @@
 /// Command with its options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Print this help text.
+    /// Prints this help text.
     Help(String),
-    /// Print the program's version.
+    /// Prints the program's version.
     Version,
-    /// Write a table as a sheet or as JSON.
+    /// Writes a table as a sheet or as JSON.
     Pull(PullOptions),
-    /// Check a sheet without contacting the platform.
+    /// Checks a sheet without contacting the platform.
     Check(PathBuf),
-    /// Compare a sheet with a version of the table.
+    /// Compares a sheet with a version of the table.
     Diff(DiffOptions),
-    /// Publish a sheet.
+    /// Publishes a sheet.
     Publish(PublishOptions),
-    /// Show this number of latest publishes.
+    /// Shows this number of latest publishes.
     History(usize),
-    /// Show the version of each node.
+    /// Shows the version of each node.
     Status,
-    /// Trace a request through the nodes' log files.
+    /// Traces a request through the nodes' log files.
     Explain(ExplainOptions),
-    /// List the client accounts.
+    /// Lists the client accounts.
     Accounts,
-    /// Change a client account.
+    /// Changes a client account.
     Account(AccountChange),
 }
 
@@ -80,7 +80,7 @@
     pub format: Format,
     /// Output file, by default standard output.
     pub output: Option<PathBuf>,
-    /// Overwrite an existing file.
+    /// `true` to overwrite an existing file.
     pub force: bool,
 }
 
@@ -115,7 +115,7 @@
 pub struct Scope {
     /// Services whose rows are selected. An empty set selects all services of the sheet.
     pub only: BTreeSet<ServiceName>,
-    /// Remove the rows of these services that are not in the sheet.
+    /// `true` to remove the rows of these services that are not in the sheet.
     pub prune: bool,
 }
 
@@ -134,6 +134,7 @@
     /// name.
     ///
     /// # Errors
+    ///
     /// [`Error`] if the command line or the settings file is not valid.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
         let mut global_options = help::globals();
--- a/crates/swiftcart-cli/src/explain.rs
+++ b/crates/swiftcart-cli/src/explain.rs
@@ -69,6 +69,7 @@
     /// Reads the trace of the request `id` from log files.
     ///
     /// # Errors
+    ///
     /// [`Error::File`] if a file cannot be read, [`Error::RequestNotFound`] if no file has a line
     /// of the request.
     pub fn read(id: &str, files: &[PathBuf]) -> Result<Self, Error> {
--- a/crates/swiftcart-cli/src/explain/line.rs
+++ b/crates/swiftcart-cli/src/explain/line.rs
@@ -35,6 +35,7 @@
 
 impl LogLine {
     /// Parses a line, or returns `None` if a node did not write it.
+    ///
     /// The prefix that a log collector puts before the line names the node. Without a prefix,
     /// `file` is the name of the node.
     ///
@@ -89,12 +90,12 @@
     #[must_use]
     pub fn details(&self) -> String {
         let is_request = self.is_request_event();
-        let own = |pair: &&Pair| match pair.key.as_str() {
+        let is_specific = |pair: &&Pair| match pair.key.as_str() {
             "id" => !is_request,
             key => !COMMON_KEYS.contains(&key),
         };
         // A node logs the pairs of an event in reverse order.
-        let texts = self.pairs.iter().rev().filter(own);
+        let texts = self.pairs.iter().rev().filter(is_specific);
         let texts: Vec<_> = texts
             .map(|pair| format!("{}={}", pair.key, pair.value))
             .collect();
--- a/crates/swiftcart-cli/src/fleet.rs
+++ b/crates/swiftcart-cli/src/fleet.rs
@@ -65,6 +65,7 @@
     /// live member.
     ///
     /// # Errors
+    ///
     /// [`Error::NodesUnreachable`] if none of the nodes answers.
     pub async fn query(admin: &AdminClient, nodes: &[SocketAddr]) -> Result<Self, Error> {
         for addr in nodes {
@@ -124,6 +125,7 @@
 }
 
 /// Polls the nodes until every live node has `version` or the time limit is reached.
+///
 /// Calls `progress` with the number of live nodes and the stragglers after each round. Returns the
 /// stragglers of the last round, or `None` if no node answered in it.
 pub async fn wait_for_version(
--- a/crates/swiftcart-cli/src/lib.rs
+++ b/crates/swiftcart-cli/src/lib.rs
@@ -1,4 +1,5 @@
 //! Command-line tool `swiftcart` for operators.
+//!
 //! Operators pull the table as a CSV sheet, edit it in a spreadsheet, then check and publish it.
 //! They can list the publishes with their authors, and the version of each node. The platform's log
 //! is the only source of truth: this tool folds the same records as every node does.
--- a/crates/swiftcart-cli/src/plan.rs
+++ b/crates/swiftcart-cli/src/plan.rs
@@ -7,6 +7,7 @@
 use crate::{Error, Scope, Sheet, SheetLine, service_of};
 
 /// Returns the edits that turn the rows of `base` into the rows of `sheet`, in key order.
+///
 /// Rows that are not in the sheet are left unchanged, so that an operator can edit one service at a
 /// time. Only [`Scope::prune`] removes them.
 ///
@@ -24,6 +25,7 @@
 /// ```
 ///
 /// # Errors
+///
 /// [`Error::UnknownService`] if neither the sheet nor the base has a service of [`Scope::only`].
 pub fn plan(sheet: &Sheet, base: &Table, scope: &Scope) -> Result<Vec<Edit>, Error> {
     let named: BTreeSet<_> = sheet.lines.keys().filter_map(service_of).collect();
--- a/crates/swiftcart-cli/src/publish.rs
+++ b/crates/swiftcart-cli/src/publish.rs
@@ -55,6 +55,7 @@
 /// Publishes `sheet` for `author` and reads the log until the decision is known.
 ///
 /// # Errors
+///
 /// [`Error::Platform`] if nothing was published, [`Error::OutcomeUnknown`] if the publish may have
 /// been appended, and errors in the sheet.
 pub async fn publish(
@@ -106,6 +107,7 @@
 /// Publishes the edits that `edits` returns for the current table, for `author`.
 ///
 /// # Errors
+///
 /// The same errors as [`publish`], and the error of `edits`.
 pub async fn publish_edits(
     platform: &Platform,
@@ -179,8 +181,8 @@
 /// rejected is not appended.
 fn predict(reader: &StreamReader<'_>, publish: &Publish) -> Option<Decision> {
     let fold = reader.fold();
-    let held = |edit: &Edit| fold.table().0.get(&edit.key) == edit.row.as_ref();
-    if publish.edits.iter().all(held) {
+    let is_applied = |edit: &Edit| fold.table().0.get(&edit.key) == edit.row.as_ref();
+    if publish.edits.iter().all(is_applied) {
         return Some(Decision::Unchanged(fold.version()));
     }
     let entry = Entry {
--- a/crates/swiftcart-cli/src/run.rs
+++ b/crates/swiftcart-cli/src/run.rs
@@ -23,7 +23,7 @@
 /// Maximum size of a sheet, in bytes. No valid table needs more.
 pub const MAX_SHEET_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Number of calls that can time out within the time limit of a command.
+/// Minimum number of calls that can time out within the time limit of a command.
 const MIN_TIMED_OUT_CALLS: u32 = 3;
 
 /// Time limit of the `status` command for calls to the platform.
@@ -36,6 +36,7 @@
 /// Runs the command and returns what to print.
 ///
 /// # Errors
+///
 /// [`Error`] if the command fails; [`Error::exit`] returns the exit code.
 pub async fn run(invocation: &Invocation) -> Result<Report, Error> {
     let settings = &invocation.settings;
--- a/crates/swiftcart-cli/src/settings.rs
+++ b/crates/swiftcart-cli/src/settings.rs
@@ -77,6 +77,7 @@
     /// Reads and parses the settings file at `path`.
     ///
     /// # Errors
+    ///
     /// [`SettingsError::Read`] if the file cannot be read, and the errors of
     /// [`parse`](Self::parse).
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
@@ -104,6 +105,7 @@
     /// ```
     ///
     /// # Errors
+    ///
     /// [`SettingsError`] for the first key or value that is not valid.
     pub fn parse(path: &Path, bytes: &[u8]) -> Result<Self, SettingsError> {
         if bytes.len() > MAX_BYTES {
--- a/crates/swiftcart-cli/src/sheet.rs
+++ b/crates/swiftcart-cli/src/sheet.rs
@@ -1,4 +1,5 @@
 //! CSV sheet of a table, which operators edit in a spreadsheet.
+//!
 //! The parser accepts the changes that spreadsheets make when they save a sheet: sorted rows and
 //! columns, quoted cells, a byte order mark, CRLF, semicolons or tabs as separators, and empty
 //! trailing cells. A row of kind `base` records the version that the sheet was made from.
--- a/crates/swiftcart-cli/src/sheet/fault.rs
+++ b/crates/swiftcart-cli/src/sheet/fault.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Creates a fault for the cell of `sheet` that breaks a rule. The line is 0 if no cell of the
-    /// sheet does.
+    /// Creates a fault for the cell of `sheet` that breaks a rule. The line is 0 if the
+    /// violation has no cell in the sheet.
     #[must_use]
     pub fn of(violation: &Violation, sheet: &Sheet) -> Self {
         let (key, column, value) = cell(violation);
--- a/crates/swiftcart-cli/src/sheet/read.rs
+++ b/crates/swiftcart-cli/src/sheet/read.rs
@@ -30,6 +30,7 @@
     /// ```
     ///
     /// # Errors
+    ///
     /// All faults of the sheet, sorted by line and column.
     pub fn parse(bytes: &[u8]) -> Result<Self, Vec<Fault>> {
         let text = decode(bytes).map_err(|fault| vec![fault])?;
@@ -52,6 +53,7 @@
     }
 
     /// Returns the faults that are certain, and as notes those that depend on the current table.
+    ///
     /// A sheet may contain only some services. A route to a service outside the sheet, or a prefix
     /// without weight, may therefore be valid once the sheet is applied to the current table.
     #[must_use]
@@ -235,8 +237,8 @@
 /// Returns the non-blank lines with their numbers. A cell with a line break is a fault.
 fn lines(text: &str) -> Result<Vec<(usize, &str)>, Fault> {
     let numbered = text.lines().enumerate().map(|(i, line)| (i + 1, line));
-    // Spreadsheets write their separator into the first line, as `sep=;`.
     let filled = numbered.filter(|(_, line)| !line.trim().is_empty());
+    // Spreadsheets write their separator into the first line, as `sep=;`.
     let filled = filled.filter(|(n, line)| *n > 1 || !is_separator_directive(line));
     let lines: Vec<_> = filled.collect();
     match lines
--- a/crates/swiftcart-cli/src/stream.rs
+++ b/crates/swiftcart-cli/src/stream.rs
@@ -69,6 +69,7 @@
     /// Reads the stream up to its head, with retries as `retry` allows.
     ///
     /// # Errors
+    ///
     /// [`Error::Platform`] if the platform stays unreachable, and other errors if the stream cannot
     /// be folded.
     pub async fn open(
@@ -94,6 +95,7 @@
     /// Reads up to the head. At the head, waits up to `wait` for another record.
     ///
     /// # Errors
+    ///
     /// The first [`ReadError`]. The reader stays at the last record that it folded.
     pub async fn catch_up(&mut self, wait: Duration) -> Result<(), ReadError> {
         let mut wait = wait;
