--- a/crates/swiftcart-cli/src/run/publishing.rs
+++ b/crates/swiftcart-cli/src/run/publishing.rs
@@ -79,8 +79,8 @@
 /// Returns the lines that name each conflicting row or each invalid cell.
 fn rejection_lines(rejection: &Rejection, sheet: &Sheet, file: &str) -> String {
     let lines: Vec<_> = match rejection {
-        Rejection::Conflict(lost) => {
-            let rows = lost.iter().map(|lost| format!("\n  {lost}"));
+        Rejection::Conflict(conflicts) => {
+            let rows = conflicts.iter().map(|conflict| format!("\n  {conflict}"));
             let hint = "\npull the table again and repeat your edits of these rows";
             rows.chain([hint.into()]).collect()
         }
--- a/crates/swiftcart-cli/src/sheet/fault.rs
+++ b/crates/swiftcart-cli/src/sheet/fault.rs
@@ -164,10 +164,10 @@
 /// the service that a route outside the sheet requires.
 fn first_line(violation: &Violation, sheet: &Sheet) -> usize {
     let is_cause = |key: &RowKey| match (violation, key) {
-        (Violation::Prefix(wanted) | Violation::NoWeight(wanted), RowKey::Route(prefix, _)) => {
-            prefix == wanted
+        (Violation::Prefix(expected) | Violation::NoWeight(expected), RowKey::Route(prefix, _)) => {
+            prefix == expected
         }
-        (Violation::UnknownService(_, wanted), RowKey::Service(name)) => name == wanted,
+        (Violation::UnknownService(_, expected), RowKey::Service(name)) => name == expected,
         _ => false,
     };
     let lines = sheet.lines.iter().filter(|(key, _)| is_cause(key));
--- a/crates/swiftcart-cli/tests/publish.rs
+++ b/crates/swiftcart-cli/tests/publish.rs
@@ -161,10 +161,10 @@
         done("accepted as version 2: 1 row, id ID")
     );
     let output = env.run("table publish rosa.csv --author rosa");
-    let lost = "rejected, nothing changed:\
+    let conflict = "rejected, nothing changed:\
         \n  service booking was changed by luis in version 2\
         \npull the table again and repeat your edits of these rows";
-    assert_eq!(output, failed(3, lost));
+    assert_eq!(output, failed(3, conflict));
 }
 
 /// Starts a proxy to the log that delays appends until two have arrived.
@@ -216,12 +216,12 @@
         _ => (luis, rosa, "luis"),
     };
     assert_eq!(winner, done("accepted as version 2: 1 row, id ID"));
-    let lost = format!(
+    let conflict = format!(
         "rejected, nothing changed:\
         \n  service booking was changed by {author} in version 2\
         \npull the table again and repeat your edits of these rows"
     );
-    assert_eq!(loser, failed(3, &lost));
+    assert_eq!(loser, failed(3, &conflict));
     assert_eq!((env.log.faults().lose_answers, env.records()), (0, 3));
 }
 
@@ -426,14 +426,15 @@
     env.sheet("rosa.csv", 1, "service,booking,,,60,10,2000\n");
     let publish = env.json("table publish rosa.csv");
     // A conflicting publish that is appended without the check of the tool.
-    let lost = Envelope::decode(&env.log.read("config", 1).expect("a stream").records[0].body);
-    let Ok(Body::Publish(mut lost)) = lost.map(|envelope| envelope.body) else {
+    let conflicting =
+        Envelope::decode(&env.log.read("config", 1).expect("a stream").records[0].body);
+    let Ok(Body::Publish(mut conflicting)) = conflicting.map(|envelope| envelope.body) else {
         panic!("the tool appends publishes");
     };
-    assert_eq!(publish["id"], lost.id.to_string());
-    lost.id.0 ^= 1;
-    lost.author = "luis".into();
-    let body = Envelope::new(Body::Publish(lost)).encode();
+    assert_eq!(publish["id"], conflicting.id.to_string());
+    conflicting.id.0 ^= 1;
+    conflicting.author = "luis".into();
+    let body = Envelope::new(Body::Publish(conflicting)).encode();
     env.log.append("config", &body).expect("room");
     let output = env.run("history --limit 2");
     let cells = |line: &str| {
--- a/crates/swiftcart-cli/tests/status.rs
+++ b/crates/swiftcart-cli/tests/status.rs
@@ -90,11 +90,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn status_shows_versions_stragglers_and_unreachable_nodes() {
     let env = env_with_table().await;
-    let cut = member(SUR, closed_addr());
+    let unreachable = member(SUR, closed_addr());
     let mut dead = member(DEAD, closed_addr());
     dead.liveness = Liveness::Dead;
     dead.backend = None;
-    let (norte, version) = node(NORTE, 1, vec![cut, dead]).await;
+    let (norte, version) = node(NORTE, 1, vec![unreachable, dead]).await;
     let words = format!("--node {} --node {} status", closed_addr(), norte.admin);
     let expected = [
         "node domain service liveness version ready note",
@@ -163,8 +163,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wait_that_times_out_lists_the_stragglers() {
     let env = env_with_table().await;
-    let cut = member(SUR, closed_addr());
-    let (norte, _) = node(NORTE, 0, vec![cut]).await;
+    let unreachable = member(SUR, closed_addr());
+    let (norte, _) = node(NORTE, 0, vec![unreachable]).await;
     env.sheet("edit.csv", 1, "service,booking,,,60,10,2000\n");
     let words = format!("--node {} table publish edit.csv --wait 1", norte.admin);
     let output = env.run(&words);
