--- a/crates/swiftcart-cli/src/account.rs
+++ b/crates/swiftcart-cli/src/account.rs
@@ -1,4 +1,4 @@
-//! Changes of client accounts: what each asks of the current table.
+//! Changes of client accounts and the edits that they make.
 
 use std::fmt;
 
@@ -11,76 +11,76 @@
 
 use crate::Error;
 
-/// The fewest digits of a key's hash that name the key.
-pub const LEAST_DIGITS: usize = 4;
+/// Minimum number of hexadecimal digits of a key's hash that select the key.
+pub const MIN_HASH_DIGITS: usize = 4;
 
 quick_error! {
-    /// Tells why a change of an account makes no sense for the current table.
+    /// Reason why an account change does not apply to the current table.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum AccountError {
-        /// The account is there already.
-        Taken(name: AccountName) {
-            display("account {name} is there already; change it with account rotate, revoke, quota or homes")
+        /// The account exists already.
+        Exists(name: AccountName) {
+            display("account {name} already exists; change it with account rotate, revoke, quota or homes")
         }
-        /// The account is not there.
-        Unknown(name: AccountName) {
+        /// The account does not exist.
+        NotFound(name: AccountName) {
             display("the table has no account {name}; see account list")
         }
-        /// No key has such a hash.
-        NoKey(name: AccountName, digits: String) {
+        /// No key of the account has a hash that begins with the digits.
+        KeyNotFound(name: AccountName, digits: String) {
             display("account {name} has no key whose hash begins with {digits}; see account list")
         }
-        /// No one knows yet whether the change was taken.
-        Unsettled(name: AccountName, detail: String) {
-            display("outcome unknown ({detail}): look with account list what became of {name}; a key that was not shown cannot be used, revoke it there")
+        /// The platform may or may not have appended the change.
+        OutcomeUnknown(name: AccountName, detail: String) {
+            display("outcome unknown ({detail}): check account {name} with account list and revoke any key that was not shown, since it cannot be used")
         }
-        /// Several keys have such a hash.
-        ManyKeys(name: AccountName, digits: String) {
+        /// Several keys of the account have a hash that begins with the digits.
+        AmbiguousKey(name: AccountName, digits: String) {
             display("several keys of account {name} have hashes that begin with {digits}; give more digits")
         }
     }
 }
 
-/// An API key as it is handed to a customer; it is shown once and kept nowhere.
+/// API key of a client account in plain text. The key is shown once and never stored.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ApiKey(String);
 
-/// What an operator asks of a client account.
+/// Change of a client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AccountChange {
-    /// Adds it, with a first key.
+    /// Adds the account with a first key.
     Add(AccountName, Account),
-    /// Gives it another key; the others stay until they are revoked.
+    /// Adds a key to the account. The other keys stay valid until they are revoked.
     Rotate(AccountName),
-    /// Takes away the key whose hash begins with these digits.
+    /// Revokes the key whose hash begins with the digits.
     Revoke(AccountName, String),
-    /// Sets what it may send; `None` lifts the limit.
+    /// Sets the request quota; `None` removes it.
     Quota(AccountName, Option<Quota>),
-    /// Sets the regions in which its requests are run; none lifts the bound.
+    /// Sets the regions that may run the account's requests; an empty set allows all regions.
     Homes(AccountName, Homes),
-    /// Removes it with all its keys.
+    /// Removes the account with all its keys.
     Remove(AccountName),
 }
 
 impl ApiKey {
-    /// Draws a key of 128 random bits from the system.
+    /// Generates a key of 128 random bits from the operating system.
     ///
     /// # Errors
     ///
-    /// [`Error::Random`] when the system gives none.
-    pub fn draw() -> Result<Self, Error> {
+    /// [`Error::Random`] if the operating system provides no random numbers.
+    pub fn generate() -> Result<Self, Error> {
         let mut bytes = [0; 16];
         OsRng.try_fill_bytes(&mut bytes)?;
         Ok(Self(format!("{:032x}", u128::from_be_bytes(bytes))))
     }
 
-    /// Returns the key itself.
+    /// Returns the key in plain text.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Returns the hash that nodes keep.
+    /// Returns the hash of the key, which is what the table stores.
     #[must_use]
     pub fn hash(&self) -> KeyHash {
         KeyHash::of(self.0.as_bytes())
@@ -94,7 +94,7 @@
 }
 
 impl AccountChange {
-    /// Returns the account.
+    /// Returns the name of the account.
     #[must_use]
     pub const fn name(&self) -> &AccountName {
         match self {
@@ -107,13 +107,16 @@
         }
     }
 
-    /// Tells whether the change brings a new key.
+    /// Returns `true` if the change adds a key.
     #[must_use]
-    pub const fn wants_key(&self) -> bool {
+    pub const fn needs_key(&self) -> bool {
         matches!(self, Self::Add(..) | Self::Rotate(_))
     }
 
-    /// Returns the edits that the change makes of `table`, with the hash of a new key where it wants one.
+    /// Returns the edits that apply the change to `table`.
+    ///
+    /// `key` is the hash of the new key; it is used only if [`needs_key`](Self::needs_key) is
+    /// `true`.
     ///
     /// # Examples
     ///
@@ -123,35 +126,36 @@
     ///
     /// let rotate = AccountChange::Rotate(AccountName::new("harbour"));
     /// let refused = rotate.edits(&Table::new(), KeyHash::of(b"new")).unwrap_err();
-    /// assert_eq!(refused, AccountError::Unknown(AccountName::new("harbour")));
+    /// assert_eq!(refused, AccountError::NotFound(AccountName::new("harbour")));
     /// ```
     ///
     /// # Errors
     ///
-    /// [`AccountError`] when the table and the change do not fit.
+    /// [`AccountError`] if the change does not apply to the table.
     pub fn edits(&self, table: &Table, key: KeyHash) -> Result<Vec<Edit>, AccountError> {
         let name = self.name();
-        let held = table.accounts().find(|(held, _)| *held == name);
-        let held = held.map(|(_, account)| account.clone());
-        let known = || {
-            held.clone()
-                .ok_or_else(|| AccountError::Unknown(name.clone()))
+        let found = table.accounts().find(|(found, _)| *found == name);
+        let found = found.map(|(_, account)| account.clone());
+        let existing = || {
+            found
+                .clone()
+                .ok_or_else(|| AccountError::NotFound(name.clone()))
         };
         let account = match self {
-            Self::Add(..) if held.is_some() => return Err(AccountError::Taken(name.clone())),
+            Self::Add(..) if found.is_some() => return Err(AccountError::Exists(name.clone())),
             Self::Add(_, account) => account.clone().with_key(key),
-            Self::Rotate(_) => known()?.with_key(key),
-            Self::Revoke(_, digits) => without_key(name, known()?, digits)?,
+            Self::Rotate(_) => existing()?.with_key(key),
+            Self::Revoke(_, digits) => without_key(name, existing()?, digits)?,
             Self::Quota(_, quota) => Account {
                 quota: *quota,
-                ..known()?
+                ..existing()?
             },
             Self::Homes(_, homes) => {
-                known()?;
+                existing()?;
                 return Ok(vec![homes_edit(name, homes)]);
             }
             Self::Remove(_) => {
-                known()?;
+                existing()?;
                 let homes = table.account_homes(name).is_some();
                 let homes = homes.then(|| homes_edit(name, &Homes::new()));
                 let account = Edit {
@@ -168,11 +172,11 @@
     }
 }
 
-/// Returns what an operator sees of an account: no key, only hashes.
+/// Returns the cells of an account for the operator. Keys appear as shortened hashes only.
 #[must_use]
-pub fn account_row(table: &Table, name: &AccountName, account: &Account) -> [String; 5] {
+pub fn account_cells(table: &Table, name: &AccountName, account: &Account) -> [String; 5] {
     let none = || "-".to_owned();
-    let keys: Vec<_> = account.keys.iter().map(|key| short(*key)).collect();
+    let keys: Vec<_> = account.keys.iter().map(|key| short_hash(*key)).collect();
     let quota = account.quota;
     let homes = table.account_homes(name);
     let homes = homes.map(|homes| {
@@ -195,9 +199,9 @@
     ]
 }
 
-/// Returns the first digits of a key's hash.
-fn short(key: KeyHash) -> String {
-    key.to_string().chars().take(2 * LEAST_DIGITS).collect()
+/// Returns the first digits of a key's hash, twice as many as are needed to select the key.
+fn short_hash(key: KeyHash) -> String {
+    key.to_string().chars().take(2 * MIN_HASH_DIGITS).collect()
 }
 
 fn homes_edit(name: &AccountName, homes: &Homes) -> Edit {
@@ -212,14 +216,19 @@
     mut account: Account,
     digits: &str,
 ) -> Result<Account, AccountError> {
-    let fits = |key: &&KeyHash| key.to_string().starts_with(digits);
-    let found: Vec<KeyHash> = account.keys.iter().filter(fits).copied().collect();
-    match found[..] {
+    let matches_digits = |key: &&KeyHash| key.to_string().starts_with(digits);
+    let keys: Vec<KeyHash> = account
+        .keys
+        .iter()
+        .filter(matches_digits)
+        .copied()
+        .collect();
+    match keys[..] {
         [key] => {
             account.keys.remove(&key);
             Ok(account)
         }
-        [] => Err(AccountError::NoKey(name.clone(), digits.to_owned())),
-        _ => Err(AccountError::ManyKeys(name.clone(), digits.to_owned())),
+        [] => Err(AccountError::KeyNotFound(name.clone(), digits.to_owned())),
+        _ => Err(AccountError::AmbiguousKey(name.clone(), digits.to_owned())),
     }
 }
--- a/crates/swiftcart-cli/src/args.rs
+++ b/crates/swiftcart-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line parser.
 
 mod accounts;
 mod help;
@@ -13,116 +13,116 @@
 use swiftcart_core::{PublishId, ServiceName, Version};
 
 use crate::{AccountChange, Error, MAX_NODES, Settings};
-use value::{ADDR, FORMAT, NODE, file, limit, publish_id, seconds, value, version};
+use value::{ADDR_HINT, FORMAT_HINT, NODE_HINT, file, limit, publish_id, seconds, value, version};
 
-/// The time that `--wait` waits unless it is given a number of seconds.
+/// Default time limit of `--wait`.
 pub const DEFAULT_WAIT: Duration = Duration::from_secs(30);
 
-/// The number of publishes that `history` shows unless it is given one.
-pub const DEFAULT_LIMIT: usize = 20;
+/// Default number of publishes that `history` shows.
+pub const DEFAULT_HISTORY_LIMIT: usize = 20;
 
-/// The most publishes that `history` shows.
-pub const MAX_LIMIT: usize = 10_000;
+/// Maximum number of publishes that `history` shows.
+pub const MAX_HISTORY_LIMIT: usize = 10_000;
 
-/// Holds the whole command line.
+/// Parsed command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invocation {
-    /// The settings file with the command line's options laid over it.
+    /// Settings of the settings file, overridden by the options of the command line.
     pub settings: Settings,
-    /// Whether to print JSON instead of text.
+    /// `true` to print JSON instead of text.
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     pub command: Command,
 }
 
-/// What the operator asks for.
+/// Command with its options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Print this help.
+    /// Prints this help text.
     Help(String),
-    /// Print the program's version.
-    About,
-    /// Write the table as a sheet.
-    Pull(Pull),
-    /// Check a sheet without the platform.
+    /// Prints the program's version.
+    Version,
+    /// Writes a table as a sheet or as JSON.
+    Pull(PullOptions),
+    /// Checks a sheet without contacting the platform.
     Check(PathBuf),
-    /// Compare a sheet with a version.
-    Diff(Diff),
-    /// Publish a sheet.
-    Publish(Publishing),
-    /// Show the last publishes; this many.
+    /// Compares a sheet with a version of the table.
+    Diff(DiffOptions),
+    /// Publishes a sheet.
+    Publish(PublishOptions),
+    /// Shows this number of latest publishes.
     History(usize),
-    /// Show which nodes have which version.
+    /// Shows the version of each node.
     Status,
-    /// Tell from log files what became of a request.
-    Explain(Explain),
-    /// Show the client accounts.
+    /// Traces a request through the nodes' log files.
+    Explain(ExplainOptions),
+    /// Lists the client accounts.
     Accounts,
-    /// Change a client account.
+    /// Changes a client account.
     Account(AccountChange),
 }
 
 /// Options of `explain`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Explain {
-    /// The request's id.
+pub struct ExplainOptions {
+    /// Id of the request.
     pub id: String,
-    /// The log files of the nodes.
+    /// Log files of the nodes.
     pub files: Vec<PathBuf>,
 }
 
 /// Options of `table pull`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pull {
-    /// The version to write, or the current one.
+pub struct PullOptions {
+    /// Version to write, by default the current one.
     pub version: Option<Version>,
-    /// The form to write.
+    /// Output format.
     pub format: Format,
-    /// The file to write, or standard output.
+    /// Output file, by default standard output.
     pub output: Option<PathBuf>,
-    /// Whether to overwrite the file.
+    /// `true` to overwrite an existing file.
     pub force: bool,
 }
 
 /// Options of `table diff`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Diff {
-    /// The sheet.
+pub struct DiffOptions {
+    /// Path of the sheet.
     pub file: PathBuf,
-    /// The version to compare with, or the current one.
+    /// Version to compare with, by default the current one.
     pub against: Option<Version>,
-    /// Which rows of the sheet count.
+    /// Selection of rows.
     pub scope: Scope,
 }
 
 /// Options of `table publish`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Publishing {
-    /// The sheet.
+pub struct PublishOptions {
+    /// Path of the sheet.
     pub file: PathBuf,
-    /// The id, to settle an earlier publish; drawn at random otherwise.
+    /// Id of an earlier publish with unknown outcome, by default a new random id.
     pub id: Option<PublishId>,
-    /// The version that the sheet was made from, in place of the sheet's own.
+    /// Base version of the sheet, which overrides its base row.
     pub base: Option<Version>,
-    /// How long to wait until the version is in force everywhere.
+    /// Time limit for all live nodes to have the version; `None` does not wait.
     pub wait: Option<Duration>,
-    /// Which rows of the sheet count.
+    /// Selection of rows.
     pub scope: Scope,
 }
 
-/// Says which rows of a sheet count and whether missing ones are removed.
+/// Selection of the rows to publish or to compare.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Scope {
-    /// The services to look at; all that the sheet names when empty.
+    /// Services whose rows are selected. An empty set selects all services of the sheet.
     pub only: BTreeSet<ServiceName>,
-    /// Whether rows of these services that the sheet lacks are removed.
+    /// `true` to remove the rows of these services that are not in the sheet.
     pub prune: bool,
 }
 
-/// The form of a pulled table.
+/// Output format of `table pull`.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Format {
-    /// A sheet for a spreadsheet.
+    /// CSV sheet for a spreadsheet.
     #[default]
     Csv,
     /// JSON for scripts.
@@ -130,22 +130,23 @@
 }
 
 impl Invocation {
-    /// Reads the command line, without the program's name, and the settings file it names.
+    /// Parses the arguments, without the program's name, and reads the settings file that they
+    /// name.
     ///
     /// # Errors
     ///
-    /// The command line or the settings file is not valid.
+    /// [`Error`] if the command line or the settings file is not valid.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
-        let mut leading = help::globals();
-        leading
+        let mut global_options = help::globals();
+        global_options
             .optflag("V", "version", "")
             .parsing_style(ParsingStyle::StopAtFirstFree);
-        let head = leading.parse(args)?;
-        let words: Vec<_> = head.free.iter().map(String::as_str).collect();
+        let global = global_options.parse(args)?;
+        let words: Vec<_> = global.free.iter().map(String::as_str).collect();
         let (command, rest) = match words[..] {
-            _ if head.opt_present("version") => return Ok(Self::plain(Command::About)),
-            [] if head.opt_present("help") => return Ok(Self::plain(Command::Help(help::all()))),
-            [] => return Err(Error::Missing("the command")),
+            _ if global.opt_present("version") => return Ok(Self::plain(Command::Version)),
+            [] if global.opt_present("help") => return Ok(Self::plain(Command::Help(help::all()))),
+            [] => return Err(Error::MissingArgument("the command")),
             ["help", ..] => return Ok(Self::plain(Command::Help(help::all()))),
             ["table", "pull", ..] => (help::Name::Pull, 2),
             ["table", "check", ..] => (help::Name::Check, 2),
@@ -159,15 +160,17 @@
             }
             ["account", word, ..] => match accounts::Name::of(word) {
                 Some(name) => (help::Name::Account(name), 2),
-                None => return Err(Error::Command(format!("account {word}"))),
+                None => return Err(Error::UnknownCommand(format!("account {word}"))),
             },
-            ["table", word, ..] => return Err(Error::Command(format!("table {word}"))),
-            [word, ..] => return Err(Error::Command(word.into())),
+            ["table", word, ..] => return Err(Error::UnknownCommand(format!("table {word}"))),
+            [word, ..] => return Err(Error::UnknownCommand(word.into())),
         };
-        let own = command.options().parse(joined(&head.free[rest..]))?;
-        match head.opt_present("help") || own.opt_present("help") {
+        let matches = command
+            .options()
+            .parse(join_wait_value(&global.free[rest..]))?;
+        match global.opt_present("help") || matches.opt_present("help") {
             true => Ok(Self::plain(Command::Help(command.help()))),
-            false => Self::build(command, &head, &own),
+            false => Self::build(command, &global, &matches),
         }
     }
 
@@ -179,21 +182,21 @@
         }
     }
 
-    fn build(name: help::Name, head: &Matches, own: &Matches) -> Result<Self, Error> {
-        let settings = settings(head, own)?;
-        let json = head.opt_present("json") || own.opt_present("json");
+    fn build(name: help::Name, global: &Matches, matches: &Matches) -> Result<Self, Error> {
+        let settings = settings(global, matches)?;
+        let json = global.opt_present("json") || matches.opt_present("json");
         let command = match name {
-            help::Name::Pull => Command::Pull(pull(own, json)?),
-            help::Name::Check => Command::Check(file(own)?),
-            help::Name::Diff => Command::Diff(diff(own)?),
-            help::Name::Publish => Command::Publish(publishing(own)?),
-            help::Name::History => Command::History(limit(own)?),
+            help::Name::Pull => Command::Pull(pull(matches, json)?),
+            help::Name::Check => Command::Check(file(matches)?),
+            help::Name::Diff => Command::Diff(diff(matches)?),
+            help::Name::Publish => Command::Publish(publishing(matches)?),
+            help::Name::History => Command::History(limit(matches)?),
             help::Name::Status => Command::Status,
-            help::Name::Explain => Command::Explain(explain(own)?),
-            help::Name::Account(name) => accounts::command(name, own)?,
+            help::Name::Explain => Command::Explain(explain(matches)?),
+            help::Name::Account(name) => accounts::command(name, matches)?,
         };
-        match own.free.get(name.arguments()) {
-            Some(extra) => Err(Error::Extra(extra.clone())),
+        match matches.free.get(name.arguments()) {
+            Some(extra) => Err(Error::ExtraArgument(extra.clone())),
             None => Ok(Self {
                 settings,
                 json,
@@ -203,8 +206,8 @@
     }
 }
 
-/// Joins `--wait 60`, which the parser takes only as `--wait=60`.
-fn joined(args: &[String]) -> Vec<String> {
+/// Joins `--wait 60` to `--wait=60`, the only form that `getopts` accepts for an optional value.
+fn join_wait_value(args: &[String]) -> Vec<String> {
     let is_number = |arg: &String| arg.parse::<u64>().is_ok();
     let mut joined: Vec<String> = Vec::new();
     for arg in args {
@@ -216,27 +219,31 @@
     joined
 }
 
-/// Lays the command line's options over the settings file.
-fn settings(head: &Matches, own: &Matches) -> Result<Settings, Error> {
-    let either = |name: &str| own.opt_str(name).or_else(|| head.opt_str(name));
+/// Reads the settings file and applies the options of the command line over it.
+fn settings(global: &Matches, matches: &Matches) -> Result<Settings, Error> {
+    let either = |name: &str| matches.opt_str(name).or_else(|| global.opt_str(name));
     let mut settings = match either("settings") {
         Some(path) => Settings::load(path.as_ref())?,
         None => Settings::default(),
     };
     if let Some(text) = either("platform") {
-        settings.platform = Some(value("platform", &text, ADDR)?);
+        settings.platform = Some(value("platform", &text, ADDR_HINT)?);
     }
     if let Some(text) = either("timeout") {
         settings.timeout = seconds("timeout", &text)?;
     }
-    if own.opt_defined("author") {
-        settings.author = own.opt_str("author").or(settings.author);
+    if matches.opt_defined("author") {
+        settings.author = matches.opt_str("author").or(settings.author);
     }
-    let names = [head.opt_strs("node"), own.opt_strs("node")].concat();
+    let names = [global.opt_strs("node"), matches.opt_strs("node")].concat();
     if names.len() > MAX_NODES {
-        return Err(Error::Value("node", names.len().to_string(), NODE));
+        return Err(Error::InvalidValue(
+            "node",
+            names.len().to_string(),
+            NODE_HINT,
+        ));
     }
-    let nodes = names.iter().map(|text| value("node", text, NODE));
+    let nodes = names.iter().map(|text| value("node", text, NODE_HINT));
     let nodes: Vec<SocketAddr> = nodes.collect::<Result<_, _>>()?;
     if !nodes.is_empty() {
         settings.nodes = nodes;
@@ -244,75 +251,85 @@
     Ok(settings)
 }
 
-fn pull(own: &Matches, json: bool) -> Result<Pull, Error> {
-    let format = match own.opt_str("format").as_deref() {
+fn pull(matches: &Matches, json: bool) -> Result<PullOptions, Error> {
+    let format = match matches.opt_str("format").as_deref() {
         None if json => Format::Json,
         None | Some("csv") => Format::Csv,
         Some("json") => Format::Json,
-        Some(other) => return Err(Error::Value("format", other.into(), FORMAT)),
+        Some(other) => return Err(Error::InvalidValue("format", other.into(), FORMAT_HINT)),
     };
-    Ok(Pull {
-        version: version(own, "version")?,
+    Ok(PullOptions {
+        version: version(matches, "version")?,
         format,
-        output: own.opt_str("output").map(PathBuf::from),
-        force: own.opt_present("force"),
+        output: matches.opt_str("output").map(PathBuf::from),
+        force: matches.opt_present("force"),
     })
 }
 
-fn diff(own: &Matches) -> Result<Diff, Error> {
-    Ok(Diff {
-        file: file(own)?,
-        against: version(own, "against")?,
-        scope: scope(own),
+fn diff(matches: &Matches) -> Result<DiffOptions, Error> {
+    Ok(DiffOptions {
+        file: file(matches)?,
+        against: version(matches, "against")?,
+        scope: scope(matches),
     })
 }
 
-fn publishing(own: &Matches) -> Result<Publishing, Error> {
-    let id = own.opt_str("id");
-    let wait = match own.opt_str("wait") {
+fn publishing(matches: &Matches) -> Result<PublishOptions, Error> {
+    let id = matches.opt_str("id");
+    let wait = match matches.opt_str("wait") {
         Some(text) => Some(seconds("wait", &text)?),
-        None => own.opt_present("wait").then_some(DEFAULT_WAIT),
+        None => matches.opt_present("wait").then_some(DEFAULT_WAIT),
     };
-    Ok(Publishing {
-        file: file(own)?,
+    Ok(PublishOptions {
+        file: file(matches)?,
         id: id.map(|text| publish_id(&text)).transpose()?,
-        base: version(own, "base")?,
+        base: version(matches, "base")?,
         wait,
-        scope: scope(own),
+        scope: scope(matches),
     })
 }
 
-fn explain(own: &Matches) -> Result<Explain, Error> {
-    match &own.free[..] {
-        [] => Err(Error::Missing("the request's id")),
-        [_] => Err(Error::Missing("the log file")),
-        [id, files @ ..] => Ok(Explain {
+fn explain(matches: &Matches) -> Result<ExplainOptions, Error> {
+    match &matches.free[..] {
+        [] => Err(Error::MissingArgument("the request's id")),
+        [_] => Err(Error::MissingArgument("the log file")),
+        [id, files @ ..] => Ok(ExplainOptions {
             id: id.clone(),
             files: files.iter().map(PathBuf::from).collect(),
         }),
     }
 }
 
-fn scope(own: &Matches) -> Scope {
-    let only = own.opt_strs("only").into_iter().map(ServiceName::new);
+fn scope(matches: &Matches) -> Scope {
+    let only = matches.opt_strs("only").into_iter().map(ServiceName::new);
     Scope {
         only: only.collect(),
-        prune: own.opt_present("prune"),
+        prune: matches.opt_present("prune"),
     }
 }
 
-/// Adds the options that every command has.
+/// Adds the options that all commands accept.
 fn add_globals(options: &mut Options) -> &mut Options {
     options
-        .optopt("p", "platform", "the platform's log", "IP:PORT")
-        .optmulti("n", "node", "a node's admin address; repeatable", "IP:PORT")
+        .optopt("p", "platform", "address of the platform's log", "IP:PORT")
+        .optmulti(
+            "n",
+            "node",
+            "admin address of a node; repeatable",
+            "IP:PORT",
+        )
         .optopt(
             "s",
             "settings",
             "JSON file with platform, nodes, author, timeout_ms",
             "FILE",
         )
-        .optopt("", "timeout", "time for the platform to answer", "SECS")
+        .optopt(
+            "",
+            "timeout",
+            "time limit for calls to the platform",
+            "SECS",
+        )
         .optflag("j", "json", "print JSON for scripts")
         .optflag("h", "help", "print this help")
 }
--- a/crates/swiftcart-cli/src/lib.rs
+++ b/crates/swiftcart-cli/src/lib.rs
@@ -1,10 +1,10 @@
-//! The operators' command-line tool of swiftcart.
+//! Command-line tool `swiftcart` for operators.
 //!
-//! Operators pull the table as a sheet, edit it in a spreadsheet, check and publish
-//! it, and see who published what and which nodes have it. The platform's log is the
-//! only judge: this tool folds the same records as every node.
+//! Operators pull the table as a CSV sheet, edit it in a spreadsheet, then check and publish it.
+//! They can list the publishes with their authors, and the version of each node. The platform's log
+//! is the only source of truth: this tool folds the same records as every node does.
 
-// One macro declares all variants of the error, one recursion for each.
+// The macro that declares the error type recurses once for each variant.
 #![recursion_limit = "256"]
 
 mod account;
@@ -14,7 +14,6 @@
 mod exit;
 mod explain;
 mod fleet;
-mod journal;
 mod plan;
 mod publish;
 mod render;
@@ -23,6 +22,7 @@
 mod run;
 mod settings;
 mod sheet;
+mod stream;
 
 pub use account::*;
 pub use admin::*;
@@ -31,7 +31,6 @@
 pub use exit::*;
 pub use explain::*;
 pub use fleet::*;
-pub use journal::*;
 pub use plan::*;
 pub use publish::*;
 pub use render::*;
@@ -40,3 +39,4 @@
 pub use run::*;
 pub use settings::*;
 pub use sheet::*;
+pub use stream::*;
--- a/crates/swiftcart-cli/src/render.rs
+++ b/crates/swiftcart-cli/src/render.rs
@@ -1,4 +1,4 @@
-//! Tables for people, and rows and times as text.
+//! Rendering of tables, rows and times as text or JSON.
 
 use comfy_table::{ContentArrangement, Table as Grid, presets};
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 
 const DAY_MS: u64 = 86_400_000;
 
-/// Lays `rows` out below `headings`, without lines around the cells.
+/// Formats `rows` in aligned columns below `headings`, without borders.
 #[must_use]
 pub fn grid<const N: usize>(headings: [&str; N], rows: Vec<[String; N]>) -> String {
     let mut grid = Grid::new();
@@ -18,7 +18,7 @@
     lines.join("\n")
 }
 
-/// Returns a number of rows as text.
+/// Returns the row count `n` with its unit.
 #[must_use]
 pub fn rows(n: usize) -> String {
     match n {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns a row's content as a person reads it.
+/// Returns the content of a row as text for people, `-` for no row.
 #[must_use]
 pub fn content(row: Option<&Row>) -> String {
     match row {
@@ -54,13 +54,13 @@
     }
 }
 
-/// Returns the rows that `edits` change in `base`, one a line.
+/// Returns the rows that `edits` change in `base` as text, one row per line.
 #[must_use]
 pub fn changes(base: &Table, edits: &[Edit]) -> String {
     let rows = edits.iter().map(|edit| {
         let before = base.0.get(&edit.key);
         [
-            change(before, edit.row.as_ref()).into(),
+            change_kind(before, edit.row.as_ref()).into(),
             edit.key.to_string(),
             content(before),
             content(edit.row.as_ref()),
@@ -69,21 +69,21 @@
     grid(["change", "row", "before", "after"], rows.collect())
 }
 
-/// Returns the rows that `edits` change in `base`, for scripts.
+/// Returns the rows that `edits` change in `base` as JSON objects.
 #[must_use]
 pub fn changes_json(base: &Table, edits: &[Edit]) -> Vec<Value> {
     let rows = edits.iter().map(|edit| {
         let before = base.0.get(&edit.key);
         let mut json = row_json(&edit.key, None);
-        json["change"] = json!(change(before, edit.row.as_ref()));
-        json["before"] = json!(before.map(cells));
-        json["after"] = json!(edit.row.as_ref().map(cells));
+        json["change"] = json!(change_kind(before, edit.row.as_ref()));
+        json["before"] = json!(before.map(row_fields));
+        json["after"] = json!(edit.row.as_ref().map(row_fields));
         json
     });
     rows.collect()
 }
 
-/// Returns a row as a flat object with the sheet's headings as keys.
+/// Returns a row as a flat JSON object with the sheet's headings as keys.
 #[must_use]
 pub fn row_json(key: &RowKey, row: Option<&Row>) -> Value {
     let mut json = match key {
@@ -97,13 +97,14 @@
         RowKey::PrefixHomes(prefix) => json!({"kind": "homes", "prefix": prefix}),
         RowKey::AccountHomes(name) => json!({"kind": "homes", "account": name}),
     };
-    if let (Some(object), Some(Value::Object(cells))) = (json.as_object_mut(), row.map(cells)) {
+    if let (Some(object), Some(Value::Object(cells))) = (json.as_object_mut(), row.map(row_fields))
+    {
         object.extend(cells);
     }
     json
 }
 
-/// Returns a time in milliseconds since the Unix epoch as UTC, `2026-12-02 14:30:05`.
+/// Formats a time in milliseconds since the Unix epoch as UTC, such as `2026-12-02 14:30:05`.
 ///
 /// # Examples
 ///
@@ -112,14 +113,14 @@
 /// ```
 #[must_use]
 pub fn utc(ms: u64) -> String {
-    let (year, month, day) = date(ms / DAY_MS);
+    let (year, month, day) = civil_date(ms / DAY_MS);
     let secs = ms % DAY_MS / 1000;
     let (h, m, s) = (secs / 3600, secs / 60 % 60, secs % 60);
     format!("{year:04}-{month:02}-{day:02} {h:02}:{m:02}:{s:02}")
 }
 
-/// Returns year, month and day of a day since the epoch (Hinnant's `civil_from_days`).
-const fn date(days: u64) -> (u64, u64, u64) {
+/// Converts days since the Unix epoch to year, month and day (Hinnant's `civil_from_days`).
+const fn civil_date(days: u64) -> (u64, u64, u64) {
     let shifted = days + 719_468;
     let era = shifted / 146_097;
     let doe = shifted % 146_097;
@@ -132,7 +133,7 @@
     (year, month, day)
 }
 
-const fn change(before: Option<&Row>, after: Option<&Row>) -> &'static str {
+const fn change_kind(before: Option<&Row>, after: Option<&Row>) -> &'static str {
     match (before, after) {
         (None, _) => "added",
         (Some(_), Some(_)) => "changed",
@@ -140,7 +141,7 @@
     }
 }
 
-fn cells(row: &Row) -> Value {
+fn row_fields(row: &Row) -> Value {
     match row {
         Row::Route(weight) => json!({"weight": weight}),
         Row::Service(limits) => json!(limits),
--- a/crates/swiftcart-cli/src/run/table.rs
+++ b/crates/swiftcart-cli/src/run/table.rs
@@ -1,4 +1,4 @@
-//! Runs the commands that read tables and sheets: pull, check and diff.
+//! Execution of the commands `table pull`, `table check` and `table diff`.
 
 use std::fs::OpenOptions;
 use std::io::{ErrorKind, Write};
@@ -9,18 +9,23 @@
 
 use super::{platform, retry, sheet};
 use crate::{
-    Diff, Error, Exit, Fault, Format, Journal, Keep, Pull, Report, Settings, plan, render, write,
+    DiffOptions, Error, Exit, Fault, Format, PullOptions, ReadOptions, Report, Settings,
+    StreamReader, plan, render, write,
 };
 
-/// Writes the table of a version as a sheet or as JSON.
-pub(super) async fn pull(settings: &Settings, pull: &Pull, as_json: bool) -> Result<Report, Error> {
-    let keep = Keep {
+/// Writes the table of a version as a CSV sheet or as JSON.
+pub(super) async fn pull(
+    settings: &Settings,
+    pull: &PullOptions,
+    as_json: bool,
+) -> Result<Report, Error> {
+    let read_options = ReadOptions {
         version: pull.version,
-        ..Keep::default()
+        ..ReadOptions::default()
     };
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, keep, &mut retry(settings)?).await?;
-    let (table, version) = chosen(&journal, pull.version)?;
+    let reader = StreamReader::open(&platform, read_options, &mut retry(settings)?).await?;
+    let (table, version) = select_table(&reader, pull.version)?;
     let rows = table.0.iter();
     let rows: Vec<_> = rows
         .map(|(key, row)| render::row_json(key, Some(row)))
@@ -31,7 +36,7 @@
         Format::Json => format!("{json:#}\n"),
     };
     let Some(path) = &pull.output else {
-        // What asks for a form gets it, also with --json.
+        // `--format csv` takes precedence over `--json`; the CSV text is then wrapped in JSON.
         let json = match pull.format {
             Format::Csv if as_json => json!({ "base": version, "csv": text }),
             Format::Csv | Format::Json => json,
@@ -49,7 +54,7 @@
     Ok(Report::new(text, json))
 }
 
-/// Checks a sheet without the platform.
+/// Checks a sheet without contacting the platform.
 pub(super) fn check(file: &Path) -> Result<Report, Error> {
     let sheet = sheet(file)?;
     let (faults, notes) = sheet.check();
@@ -60,13 +65,13 @@
     let note = |fault: &Fault| {
         let path = file.display();
         format!(
-            "{path}:{fault}\n  only if the current table does not have it: publish checks that\n"
+            "{path}:{fault}\n  applies only if the current table does not have it; publish checks this\n"
         )
     };
     let notes_text: String = notes.iter().map(note).collect();
     let base = match sheet.base {
         Some(version) => format!("made from version {version}"),
-        None => "without a base row: publish needs --base N".into(),
+        None => "no base row, so publish needs --base N".into(),
     };
     let counted = render::rows(rows);
     let text = format!("{notes_text}{}: {counted}, {base}", file.display());
@@ -74,16 +79,16 @@
     Ok(Report::new(text, json).with_exit(Exit::Done))
 }
 
-/// Shows what publishing a sheet would change.
-pub(super) async fn diff(settings: &Settings, diff: &Diff) -> Result<Report, Error> {
+/// Shows the changes that publishing a sheet would make.
+pub(super) async fn diff(settings: &Settings, diff: &DiffOptions) -> Result<Report, Error> {
     let sheet = sheet(&diff.file)?;
-    let keep = Keep {
+    let read_options = ReadOptions {
         version: diff.against,
-        ..Keep::default()
+        ..ReadOptions::default()
     };
     let platform = platform(settings)?;
-    let journal = Journal::open(&platform, keep, &mut retry(settings)?).await?;
-    let (table, version) = chosen(&journal, diff.against)?;
+    let reader = StreamReader::open(&platform, read_options, &mut retry(settings)?).await?;
+    let (table, version) = select_table(&reader, diff.against)?;
     let edits = plan(&sheet, table, &diff.scope)?;
     let text = match edits.len() {
         0 => format!("no changes against version {version}"),
@@ -97,26 +102,27 @@
     Ok(Report::new(text, json))
 }
 
-/// Returns the table of `version`, or the current one.
-fn chosen<'a>(
-    journal: &'a Journal<'_>,
+/// Returns the table of `version`, or the current table by default.
+fn select_table<'a>(
+    reader: &'a StreamReader<'_>,
     version: Option<Version>,
 ) -> Result<(&'a Table, Version), Error> {
-    let current = journal.fold().version();
-    match (version, journal.kept()) {
-        (None, _) => Ok((journal.fold().table(), current)),
+    let current = reader.fold().version();
+    match (version, reader.requested_table()) {
+        (None, _) => Ok((reader.fold().table(), current)),
         (Some(version), Some(table)) => Ok((table, version)),
-        (Some(version), None) => Err(Error::NoVersion(version, current)),
+        (Some(version), None) => Err(Error::UnknownVersion(version, current)),
     }
 }
 
-/// Writes a file; an operator's edits are not overwritten by accident.
+/// Writes a file. An existing file is overwritten only with `force`, to protect an operator's
+/// edits.
 fn save(path: &Path, text: &str, force: bool) -> Result<(), Error> {
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(true);
     options.create_new(!force);
     let mut file = options.open(path).map_err(|e| match e.kind() {
-        ErrorKind::AlreadyExists => Error::Exists(path.into()),
+        ErrorKind::AlreadyExists => Error::FileExists(path.into()),
         _ => Error::File(path.into(), e),
     })?;
     file.write_all(text.as_bytes())
--- a/crates/swiftcart-cli/tests/accounts.rs
+++ b/crates/swiftcart-cli/tests/accounts.rs
@@ -1,23 +1,23 @@
-//! Client accounts: keys that are shown once, quotas, homes, and operators who race.
+//! Commands for client accounts: API keys, quotas, homes and rejected changes.
 
 mod common;
 
-use common::{Shell, Told};
+use common::{CliOutput, TestEnv};
 use rstest::rstest;
 use serde_json::Value;
 use swiftcart_core::KeyHash;
 
-fn failed(code: i32, err: &str) -> Told {
-    Told {
+fn failed(code: i32, err: &str) -> CliOutput {
+    CliOutput {
         code: Some(code),
         out: String::new(),
         err: format!("swiftcart: {err}\n"),
     }
 }
 
-/// Returns the accounts as scripts see them.
-fn accounts(shell: &Shell) -> Vec<Value> {
-    let list = shell.json("account list");
+/// Returns the accounts as JSON.
+fn accounts(env: &TestEnv) -> Vec<Value> {
+    let list = env.json("account list");
     list["accounts"].as_array().expect("a list").clone()
 }
 
@@ -26,53 +26,53 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_shown_once_and_never_written() {
-    let shell = Shell::new().await;
-    let added = shell.json("account add harbour --rate 20 --burst 40 --rank 1");
+async fn a_new_key_is_shown_once_and_stored_only_as_hash() {
+    let env = TestEnv::new().await;
+    let added = env.json("account add harbour --rate 20 --burst 40 --rank 1");
     let key = added["key"].as_str().expect("a key").to_owned();
     assert_eq!(key.len(), 32);
-    let listed = accounts(&shell);
+    let listed = accounts(&env);
     assert_eq!(listed[0]["keys"], serde_json::json!([hash(&added["key"])]));
     assert_eq!(
         listed[0]["quota"],
         serde_json::json!({"rate": 20, "burst": 40})
     );
     assert_eq!(listed[0]["priority"], 1);
-    let records = shell.log.read("config", 0).expect("a stream");
+    let records = env.log.read("config", 0).expect("a stream");
     let written = format!("{records:?}");
     assert!(!written.contains(&key), "{written}");
-    assert!(!shell.run("account list").out.contains(&key));
-    assert!(!shell.run("history").out.contains(&key));
+    assert!(!env.run("account list").out.contains(&key));
+    assert!(!env.run("history").out.contains(&key));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rotated_account_keeps_its_old_key_until_that_is_revoked() {
-    let shell = Shell::new().await;
-    let first = shell.json("account add harbour");
-    let second = shell.json("account rotate harbour");
+async fn rotation_keeps_the_old_key_until_it_is_revoked() {
+    let env = TestEnv::new().await;
+    let first = env.json("account add harbour");
+    let second = env.json("account rotate harbour");
     assert_ne!(first["key"], second["key"]);
-    let keys = |shell: &Shell| accounts(shell)[0]["keys"].as_array().map_or(0, Vec::len);
-    assert_eq!(keys(&shell), 2);
+    let keys = |env: &TestEnv| accounts(env)[0]["keys"].as_array().map_or(0, Vec::len);
+    assert_eq!(keys(&env), 2);
     let digits = hash(&first["key"])[..8].to_owned();
     assert_eq!(
-        shell.run(&format!("account revoke harbour {digits}")).code,
+        env.run(&format!("account revoke harbour {digits}")).code,
         Some(0)
     );
-    let left = &accounts(&shell)[0]["keys"];
+    let left = &accounts(&env)[0]["keys"];
     assert_eq!(*left, serde_json::json!([hash(&second["key"])]));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn quota_and_homes_are_set_and_lifted() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour --rate 5");
-    shell.json("account homes harbour east west");
-    let listed = &accounts(&shell)[0];
+async fn quota_and_homes_are_set_and_removed() {
+    let env = TestEnv::new().await;
+    env.json("account add harbour --rate 5");
+    env.json("account homes harbour east west");
+    let listed = &accounts(&env)[0];
     assert_eq!(listed["quota"], serde_json::json!({"rate": 5, "burst": 5}));
     assert_eq!(listed["homes"], serde_json::json!(["east", "west"]));
-    shell.json("account quota harbour");
-    shell.json("account homes harbour");
-    let listed = &accounts(&shell)[0];
+    env.json("account quota harbour");
+    env.json("account homes harbour");
+    let listed = &accounts(&env)[0];
     assert_eq!(
         (&listed["quota"], &listed["homes"]),
         (&Value::Null, &Value::Null)
@@ -80,66 +80,66 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_removed_account_takes_its_homes_along() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    shell.json("account homes harbour east");
-    assert_eq!(shell.run("account remove harbour").code, Some(0));
-    assert_eq!(accounts(&shell), Vec::<Value>::new());
+async fn removing_an_account_removes_its_homes() {
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    env.json("account homes harbour east");
+    assert_eq!(env.run("account remove harbour").code, Some(0));
+    assert_eq!(accounts(&env), Vec::<Value>::new());
 }
 
 #[rstest]
-#[case::one_that_is_there(
+#[case::existing_account(
     "account add harbour",
-    "account harbour is there already; change it with account rotate, revoke, quota or homes"
+    "account harbour already exists; change it with account rotate, revoke, quota or homes"
 )]
-#[case::one_that_is_not(
+#[case::unknown_account(
     "account rotate valley",
     "the table has no account valley; see account list"
 )]
-#[case::a_key_of_nobody(
+#[case::unknown_key(
     "account revoke harbour 0000000000000000000000000000000f",
     "account harbour has no key whose hash begins with 0000000000000000000000000000000f; see account list"
 )]
-#[case::no_digits(
+#[case::too_few_digits(
     "account revoke harbour abc",
-    "--KEY: \"abc\" is not valid; write the first digits of a hash that account list shows, at least 4"
+    "--KEY: \"abc\" is not valid; write at least 4 leading digits of a hash that account list shows"
 )]
-#[case::a_burst_alone(
+#[case::burst_without_rate(
     "account quota harbour --burst 5",
-    "--rate, to which --burst belongs, is missing; see --help of the command"
+    "--rate, which --burst requires, is missing; see --help of the command"
 )]
-#[case::no_name(
+#[case::missing_name(
     "account add",
     "the account's name is missing; see --help of the command"
 )]
-#[case::an_unknown_command(
+#[case::unknown_command(
     "account rename harbour",
-    "there is no command \"account rename\"; see swiftcart --help"
+    "unknown command \"account rename\"; see swiftcart --help"
 )]
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_published_for(#[case] words: &str, #[case] message: &str) {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    let records = shell.records();
-    assert_eq!(shell.run(words), failed(2, message));
-    assert_eq!(shell.records(), records);
+async fn an_invalid_account_command_publishes_nothing(#[case] words: &str, #[case] message: &str) {
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    let records = env.records();
+    assert_eq!(env.run(words), failed(2, message));
+    assert_eq!(env.records(), records);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_the_table_does_not_take_is_rejected_with_the_reason() {
-    let shell = Shell::new().await;
-    let told = shell.run("account add Harbour");
-    assert_eq!(told.code, Some(3), "{told:?}");
+async fn an_invalid_account_name_is_rejected_with_the_reason() {
+    let env = TestEnv::new().await;
+    let output = env.run("account add Harbour");
+    assert_eq!(output.code, Some(3), "{output:?}");
     let expected = "rejected, nothing changed: account \"Harbour\": a name has 1 to 63 characters of a-z, 0-9 and -\n";
-    assert_eq!(told.err, expected);
+    assert_eq!(output.err, expected);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sheet_leaves_accounts_alone() {
-    let shell = Shell::new().await;
-    shell.json("account add harbour");
-    shell.sheet("table.csv", 1, "service,booking,,,50,10,2000\n");
-    assert_eq!(shell.run("table publish table.csv --prune").code, Some(0));
-    assert_eq!(accounts(&shell).len(), 1);
+async fn publishing_a_sheet_with_prune_keeps_accounts() {
+    let env = TestEnv::new().await;
+    env.json("account add harbour");
+    env.sheet("table.csv", 1, "service,booking,,,50,10,2000\n");
+    assert_eq!(env.run("table publish table.csv --prune").code, Some(0));
+    assert_eq!(accounts(&env).len(), 1);
 }
--- a/crates/swiftcart-cli/tests/common/mod.rs
+++ b/crates/swiftcart-cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the real binary against a log in this process.
+//! Test environment that runs the `swiftcart` binary against an in-process log.
 #![allow(dead_code)]
 
 use std::fs;
@@ -10,21 +10,21 @@
 
 pub const HEAD: &str = "kind,service,prefix,weight,rate,concurrency,timeout_ms\n";
 
-/// The exit code and what was printed.
+/// Exit code and output of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct CliOutput {
     pub code: Option<i32>,
     pub out: String,
     pub err: String,
 }
 
-/// A log and an operator's directory.
-pub struct Shell {
+/// Log and working directory for the commands of a test.
+pub struct TestEnv {
     pub log: Log,
     dir: TempDir,
 }
 
-impl Shell {
+impl TestEnv {
     pub async fn new() -> Self {
         Self::with(LogSettings::default()).await
     }
@@ -40,13 +40,13 @@
         self.dir.path().join(name)
     }
 
-    /// Writes a sheet with this base and these rows.
+    /// Writes a sheet with the given base version and rows.
     pub fn sheet(&self, name: &str, base: u64, rows: &str) {
         let text = format!("{HEAD}base,{base},,,,,\n{rows}");
         fs::write(self.path(name), text).expect("a file");
     }
 
-    /// Starts the tool with words that are split at spaces.
+    /// Starts `swiftcart` with the arguments in `words`, which are separated by spaces.
     pub fn spawn(&self, words: &str) -> Child {
         Command::new(env!("CARGO_BIN_EXE_swiftcart"))
             .args(["--platform", &self.log.addr().to_string()])
@@ -59,36 +59,36 @@
             .expect("the binary runs")
     }
 
-    pub fn run(&self, words: &str) -> Told {
+    pub fn run(&self, words: &str) -> CliOutput {
         wait(self.spawn(words))
     }
 
     pub fn json(&self, words: &str) -> serde_json::Value {
-        let told = self.run(&format!("--json {words}"));
-        serde_json::from_str(&told.out).unwrap_or_else(|e| panic!("{e}: {told:?}"))
+        let output = self.run(&format!("--json {words}"));
+        serde_json::from_str(&output.out).unwrap_or_else(|e| panic!("{e}: {output:?}"))
     }
 
-    /// Returns how many records the stream of publishes got.
+    /// Returns the number of records that were appended to the configuration stream.
     pub fn records(&self) -> u64 {
         self.log.read("config", 0).expect("a stream").next
     }
 }
 
-pub fn wait(child: Child) -> Told {
+pub fn wait(child: Child) -> CliOutput {
     let Output {
         status,
         stdout,
         stderr,
     } = child.wait_with_output().expect("the binary ends");
-    Told {
+    CliOutput {
         code: status.code(),
         out: String::from_utf8_lossy(&stdout).into_owned(),
         err: String::from_utf8_lossy(&stderr).into_owned(),
     }
 }
 
-/// Cuts ids out, which are drawn at random.
-pub fn masked(text: &str) -> String {
+/// Replaces publish ids, which are random, by `ID`.
+pub fn mask_ids(text: &str) -> String {
     let words = text.split_inclusive([' ', '\n']);
     let mask = |word: &str| {
         let id = word.trim_end();
