--- a/crates/swiftcart-cli/src/publish.rs
+++ b/crates/swiftcart-cli/src/publish.rs
@@ -9,7 +9,7 @@
     Body, Edit, Entry, Envelope, MAX_RECORD_BYTES, Offset, PriorDecision, Publish, PublishId,
     Rejection, Table, Verdict, Version,
 };
-use swiftcart_platform::{Fate, Platform, PlatformError};
+use swiftcart_platform::{AppendOutcome, Platform, PlatformError};
 
 use crate::{
     CONFIG_STREAM, DecidedPublish, Error, PublishOptions, ReadError, ReadOptions, Retry, Sheet,
@@ -211,24 +211,24 @@
     if body.len() > MAX_RECORD_BYTES {
         return Err(Error::PublishTooLarge(body.len(), MAX_RECORD_BYTES));
     }
-    let mut fate = Fate::NotTaken;
+    let mut append_outcome = AppendOutcome::NotTaken;
     loop {
         let failure = match platform.append(CONFIG_STREAM, &body).await {
             Ok(appended) => return read_decision(reader, publish.id, appended.offset, retry).await,
             Err(failure) => failure,
         };
-        if failure.fate() == Fate::Unknown {
-            fate = Fate::Unknown;
+        if failure.append_outcome() == AppendOutcome::Unknown {
+            append_outcome = AppendOutcome::Unknown;
         }
-        if fate == Fate::Unknown
+        if append_outcome == AppendOutcome::Unknown
             && let Some(decision) = check_decision(&mut reader, publish.id).await?
         {
             return Ok(decision);
         }
         if is_permanent(&failure) || !retry.wait(failure.retry_after()).await {
-            return Err(match fate {
-                Fate::NotTaken => Error::Platform(platform.addr(), failure),
-                Fate::Unknown => Error::OutcomeUnknown(publish.id, failure),
+            return Err(match append_outcome {
+                AppendOutcome::NotTaken => Error::Platform(platform.addr(), failure),
+                AppendOutcome::Unknown => Error::OutcomeUnknown(publish.id, failure),
             });
         }
     }
