--- a/specs/accept.pml
+++ b/specs/accept.pml
@@ -2,24 +2,24 @@
  * Acceptance of configuration edits (crates/swiftcart-core, config::Fold).
  *
  * Three operators race: each reads the table at some moment and publishes one edit. The
- * answer may be lost, so that the same publish may stand in the log twice, at any
- * distance. Reader 0 folds every record. Reader 1 begins later, at record 0 or at a
- * checkpoint, and may fall behind what is still kept. Row 1 (a route) is only valid
+ * answer may be lost, so the log may contain the same publish twice, any number of records
+ * apart. Reader 0 folds every record. Reader 1 starts later, from record 0 or from a
+ * checkpoint, and may fall behind the oldest retained record. Row 1 (a route) is only valid
  * while row 0 (its service) is in the table.
  *
  * Promises:
- *   - at the same position both readers have the same whole state;
- *   - an accepted edit replaces what its operator saw, and nothing else: no accepted edit
- *     is reverted by someone who did not know it;
- *   - a publish is accepted once at most, and never after it was rejected.
+ *   - at the same position both readers have the same complete state;
+ *   - an accepted edit replaces only what its operator saw: no accepted edit is reverted by
+ *     an operator who did not know of it;
+ *   - a publish is accepted at most once, and never after it was rejected.
  *
- * Guards, each of which -D takes out of the model:
+ * Guards, each of which -D removes from the model:
  *   NO_BASE      reject edits of rows that changed since the publish's base
  *   NO_REPEAT    remember the last ids
- *   NO_HORIZON   reject bases older than what the memory of ids covers
- *   NO_POSITION  go on from the checkpoint's own position, not from its record
- *   NO_IDS       a checkpoint holds the memory of ids
- *   NO_KEPT      only adopt a checkpoint when all records from its position on are kept
+ *   NO_HORIZON   reject bases older than what the remembered ids cover
+ *   NO_POSITION  continue from the checkpoint's own position, not from that of its record
+ *   NO_IDS       a checkpoint contains the remembered ids
+ *   NO_KEPT      only adopt a checkpoint when all records from its position on are retained
  *   NO_GAP       do not read on across expired records
  *
  * spin -a accept.pml && cc -O2 -DSAFETY -o pan pan.c && ./pan -E -m100000
@@ -27,11 +27,11 @@
  */
 
 #define OPS 3
-#define L 5             /* records that the log takes */
-#define CHECKPOINT 16   /* log entries from here on are checkpoints */
+#define L 5             /* capacity of the log in records */
+#define CHECKPOINT 16   /* record value of a checkpoint; lower values are publish ids */
 #define NOBODY 255
 
-/* States: readers 0 and 1, and one checkpoint. */
+/* Indices of states: readers 0 and 1, and one checkpoint (TAKEN). */
 #define STATES 3
 #define TAKEN 2
 
@@ -42,12 +42,12 @@
 #endif
 #define row(s, r) ((s) * 2 + (r))
 
-byte value[6];          /* 0: the table lacks the row */
+byte value[6];          /* 0: the row is not in the table */
 byte changed[6];        /* version of the last change */
 byte version[STATES];
 byte horizon[STATES];
 byte position[STATES];
-/* Memory of two ids and their offsets, the older one first. */
+/* The last two publish ids and their offsets, the older one first. */
 byte old_id[STATES] = NOBODY;
 byte old_at[STATES];
 byte new_id[STATES] = NOBODY;
@@ -55,12 +55,12 @@
 
 byte record[L];
 byte used;              /* the log's next offset */
-byte first;             /* the oldest kept offset */
+byte first;             /* the oldest retained offset */
 byte mark = NOBODY;     /* the offset of the checkpoint's record */
 bit taken;
-bit begun;              /* reader 1 */
+bit begun;              /* reader 1 has started */
 
-/* Publishes: id is the operator's number. */
+/* Publishes. The id of a publish is its operator's number. */
 byte turn;
 byte copies[OPS];
 byte base[OPS];
@@ -104,7 +104,7 @@
 	new_at[s] = position[s]
 }
 
-/* Decides about publish x in state s. */
+/* Accepts or rejects publish x in state s. */
 inline decide(s) {
 	r = which[x];
 	if
@@ -149,7 +149,7 @@
 	}
 }
 
-/* The log takes a record, and reader 0 follows at once. */
+/* Appends a record to the log; reader 0 folds it immediately. */
 inline append(what) {
 	record[used] = what;
 	used++;
@@ -183,7 +183,7 @@
 	:: atomic { used < L && copies[0] > 0 -> copies[0]--; append(0) }
 	:: atomic { used < L && copies[1] > 0 -> copies[1]--; append(1) }
 	:: atomic { used < L && copies[2] > 0 -> copies[2]--; append(2) }
-	/* A checkpoint is taken now and appended later. */
+	/* A checkpoint copies the state now and is appended to the log later. */
 	:: atomic { !taken -> taken = 1; copy(0, TAKEN);
 #ifdef NO_IDS
 		old_id[TAKEN] = NOBODY;
--- a/specs/claim.pml
+++ b/specs/claim.pml
@@ -1,14 +1,15 @@
 /*
  * At most one hand-over for each idempotency key (crates/swiftcart-core, claim).
  *
- * N attempts ask for one key. The log takes a record after any delay, up to twice, or
- * never, whatever the sender hears. Each process may be paused between any two steps,
- * since the clock moves by itself. An attempt may be given up at any moment.
+ * N attempts compete for one key. The log takes a record after any delay, up to twice, or
+ * never, regardless of what the sender is told. The clock advances independently of the
+ * processes, so a process may be paused between any two steps. An attempt may be given up
+ * at any moment.
  *
- * The verdict on a claim is a pure function of the records up to it. The model takes it
- * when the log takes the claim, once for each of two readers, and an attempt learns
- * its own reader's verdict at any later moment. Time is kept as ages that stop at OLD,
- * so that the model has no last moment.
+ * The verdict on a claim is a pure function of the records up to it. The model computes it
+ * when the log takes the claim, once for each of two readers, and an attempt learns its own
+ * reader's verdict at any later moment. Time is modelled as ages that saturate at OLD, so
+ * that runs are unbounded in time.
  *
  * Promises:
  *   - an attempt whose caller is told "not run" does not run, before or after;
@@ -17,15 +18,15 @@
  *
  * Left out: answers (they only block more), batches, other keys.
  *
- * Guards, each of which -D takes out of the model:
+ * Guards, each of which -D removes from the model:
  *   NO_FIRST     the lowest offset wins
  *   NO_FOLLOW    read up to the own claim before running
- *   NO_WINDOW    a claim blocks its key for window + margin (here: window - margin)
- *   NO_AGE       the claim's age is below window - margin at the check and, as the
- *                deadline that goes with the request, at the backend server
- *   NO_DEADLINE  the backend server's part of it: a pause comes after the check
+ *   NO_WINDOW    a claim blocks its key for window + margin (without the guard: window - margin)
+ *   NO_AGE       the claim's age is below window - margin, both at the check before the
+ *                hand-over and at the backend server, as the deadline sent with the request
+ *   NO_DEADLINE  the backend server's part of NO_AGE: a pause may follow the check
  *   NO_HELD      only abandon what was never handed over
- *   NO_FATE      an attempt that was given up is not handed over any more
+ *   NO_FATE      an attempt that was given up is never handed over afterwards
  * and with two readers, in claim_readers.pml:
  *   NO_BLIND     no claim wins within window + margin of records that may be missing
  *   NO_LOSERS    losing claims block the key as well
@@ -38,20 +39,20 @@
 #define N 4             /* attempts */
 #define W 1             /* window */
 #define M 0             /* margin */
-#define COPIES 1        /* of each claim */
+#define COPIES 1        /* how often each claim is sent */
 #else
 #define N 3
 #define W 2
 #define M 1
 #define COPIES 2
 #endif
-#define S (W - M)       /* startable for */
+#define S (W - M)       /* how long an attempt may start */
 #ifdef NO_WINDOW
 #define B (W - M)
 #else
-#define B (W + M)       /* blocks its key for */
+#define B (W + M)       /* how long a claim blocks its key */
 #endif
-#define OLD (W + M + S + 1) /* the clock counts ages up to here: older is alike */
+#define OLD (W + M + S + 1) /* ages saturate here: older ones are equivalent */
 #define NEVER 255
 
 #define NONE 0
@@ -59,24 +60,24 @@
 #define LOST 2
 #define UNDECIDED 3
 
-/* Ages of what happened, by the one clock. */
+/* Ages of events on the single clock. */
 byte claim_age[N] = NEVER;
-byte blind_age = NEVER; /* reader 1 misses the records up to then */
+byte blind_age = NEVER; /* reader 1 misses the records up to this event */
 byte ran_age = NEVER;   /* the last hand-over, and its claim */
 byte ran_claim = NEVER;
-byte left[N];           /* time in which the attempt may start */
+byte left[N];           /* remaining time in which the attempt may start */
 
-/* Records that the network still holds. */
+/* Records in flight. */
 byte claims[N];
 bit abandons[N];
 
-/* What the log holds of each attempt, and the verdicts of readers 0 and 1. */
+/* The log's records of each attempt, and the verdicts of readers 0 and 1. */
 bit abandoned[N];
 bit missed[N];
 byte first[N];
 byte second[N];
 
-byte begun;             /* attempts begin in order: they are alike */
+byte begun;             /* attempts begin in order, as they are interchangeable */
 bit told[N];            /* told "not run" */
 bit ran[N];
 
@@ -120,14 +121,14 @@
 	}
 }
 
-/* The node, and so the reader, that an attempt is made at. */
+/* The reader of the node that handles an attempt. */
 #ifdef READERS
 #define reader(x) (x & 1)
 #else
 #define reader(x) 0
 #endif
 
-/* The log takes a claim: repeats within the window, and after its end, are nothing. */
+/* Appends a claim to the log. Repeats are ignored while it blocks or after its abandon record. */
 inline take_claim(x) {
 	d_step {
 		claims[x]--;
@@ -163,7 +164,7 @@
 			first[x] = v0;
 			second[x] = v1;
 #ifndef NO_LOSERS
-			/* Nobody asks for the other reader's verdict. */
+			/* No attempt reads the other reader's verdict, so it is cleared. */
 			if
 			:: reader(x) == 0 -> second[x] = NONE
 			:: else -> first[x] = NONE
@@ -174,7 +175,7 @@
 	}
 }
 
-/* Nothing that the log holds of an abandoned attempt matters any more. */
+/* Appends an abandon record. The attempt's claims have no effect from here on and are cleared. */
 inline take_abandon(x) {
 	d_step {
 		abandons[x] = 0;
@@ -234,7 +235,7 @@
 #endif
 	}
 #ifndef READERS
-	/* The caller has gone, or its deadline has passed. */
+	/* The caller has disconnected, or its deadline has passed. */
 	:: atomic { give_up(me);
 #ifdef NO_FATE
 		goto wait
@@ -245,7 +246,7 @@
 #endif
 	fi;
 
-	/* May start? */
+	/* Check before the hand-over: may the attempt still start? */
 #ifdef NO_AGE
 	left[me] = NEVER;
 #endif
@@ -258,7 +259,7 @@
 #endif
 	fi;
 
-	/* A pause may come here. */
+	/* The process may be paused here. */
 	if
 #ifdef NO_DEADLINE
 	:: hand_over(me)
@@ -275,7 +276,7 @@
 	left[me] = 0
 }
 
-/* Reader 1 loses the records of a moment ago and before. */
+/* Reader 1 misses all records that the log has taken so far. */
 inline miss() {
 	d_step {
 		i = 0;
--- a/specs/claim_readers.pml
+++ b/specs/claim_readers.pml
@@ -1,10 +1,10 @@
 /*
- * Two readers that do not see the same records of a claim stream.
+ * Two readers that see different records of a claim stream.
  *
- * The model of claim.pml with four attempts, which two nodes take in turn. The second
- * node's ledger misses the records up to a moment of the model's choice: it began
- * later, or its memory was full. Time is coarser (window 1, no margin), each record
- * is sent once, and an attempt is only given up when its verdict or its age says so.
+ * This is the model of claim.pml with four attempts, which two nodes handle in turn. The
+ * second node's ledger misses the records up to a moment of the model's choice: it started
+ * later, or its memory was full. Time is coarser (window 1, no margin), each record is sent
+ * once, and an attempt is only given up because of its verdict or its age.
  *
  * Guards: NO_BLIND, NO_LOSERS; see claim.pml.
  *
--- a/specs/distribute.pml
+++ b/specs/distribute.pml
@@ -1,22 +1,24 @@
 /*
  * Distribution of configuration versions to a node (crates/swiftcart-core, feed).
  *
- * One node is followed through its lives; the others alike. Records and whole states
- * reach it in any order, any number of times, from anyone: any record of the log, and
- * any state that was ever reached, may arrive at any moment. Before it puts a version
- * in force it reports it to two peers, and one answer is enough; a report may
- * arrive late, twice or never. The node and its peers restart without memory, and the
- * peers are at whatever version. The platform comes and goes.
+ * The model follows one node across its restarts; the other nodes behave alike. Records and
+ * complete states reach it in any order, any number of times and from any sender: any record
+ * of the log, and any state that was ever reached, may arrive at any moment. Before the node
+ * puts a version in force it reports the version to two peers, and one answer is enough; a
+ * report may arrive late, twice or never. The node and its peers restart without memory, and
+ * the peers may be at any version. The platform may become unreachable and reachable again at
+ * any moment.
  *
  * Promises:
- *   - the node puts no older version in force than one that it had in force, in any life;
- *   - what is in force is all of its version: every record, and both halves of the view.
+ *   - the node puts no version in force that is older than one it had in force, in any life
+ *     (a life is the time between two restarts);
+ *   - the version in force is complete: every record, and both halves of the view.
  *
- * Assumption (the remainder that docs/design.md names): when the node joins while the
- * platform is out of reach, some peer heard of its last version and has not restarted
- * since, or has that version itself.
+ * Assumption (the remaining risk that docs/design.md names): when the node joins while the
+ * platform is unreachable, some peer received a report of its last version and has not
+ * restarted since, or has that version itself.
  *
- * Guards, each of which -D takes out of the model:
+ * Guards, each of which -D removes from the model:
  *   NO_GREATER     ignore states that are older than the own one
  *   NO_GAP         ignore records that do not follow the last one
  *   NO_WITNESS     put a version in force only once another node knows it
@@ -31,7 +33,7 @@
  */
 
 #define PEERS 2
-#define V 3             /* versions; record v makes version v */
+#define V 3             /* versions; record v produces version v */
 
 byte published;
 bit outage;
@@ -39,9 +41,9 @@
 /* The node. */
 byte position;
 byte content;           /* one bit for each record that was folded */
-bit joined;             /* may serve */
-byte head;              /* the log's end as a joiner read it, plus one */
-byte acked;             /* the greatest version that a peer answered for */
+bit joined;             /* may serve requests */
+byte head;              /* the end of the log as read at the join, plus one; 0: not read */
+byte acked;             /* the greatest version that a peer acknowledged */
 byte reports;           /* one bit for each version that was reported and may arrive */
 byte force;             /* the version in force: the two halves of the view */
 byte other;
@@ -51,7 +53,7 @@
 byte known[PEERS];
 byte own[PEERS];
 
-/* The assumption, told apart from what the nodes do. */
+/* State for the assumption only; the nodes do not use it. */
 byte heard[PEERS];
 #define at_least(w) (heard[w] >= high || own[w] >= high)
 #ifdef NO_WITNESS
@@ -72,7 +74,7 @@
 #define whole(v) ((1 << (v)) - 1)
 #define max(a, b) (a > b -> a : b)
 
-/* A record arrives, from the platform or from another node. */
+/* Takes a record from the platform or from another node. */
 inline take_record(v) {
 #ifdef NO_GAP
 	v > position;
@@ -83,7 +85,7 @@
 	content = content | bit_of(v)
 }
 
-/* A whole state arrives from a node that reached it. */
+/* Takes a complete state from a node that reached it. */
 inline take_state(v) {
 #ifndef NO_GREATER
 	v > position;
@@ -125,7 +127,7 @@
 proctype Node() {
 	byte v;
 	do
-	/* Messages cross. */
+	/* Records and complete states arrive in any order. */
 	:: atomic { select(v : 1 .. V); v <= published; take_record(v); v = 0 }
 	:: atomic { select(v : 1 .. V); v <= published; take_state(v); v = 0 }
 
@@ -149,7 +151,7 @@
 		floor = 0
 	}
 
-	/* Report, then put in force. */
+	/* Report a version to the peers, then put it in force. */
 	:: atomic { joined && position > force && (reports & bit_of(position)) == 0 ->
 		reports = reports | bit_of(position) }
 	:: atomic { select(v : 1 .. V); (reports & bit_of(v)) != 0; take_report(0, v); v = 0 }
@@ -163,10 +165,10 @@
 	:: atomic { other != force -> other = force }
 #endif
 
-	/* A request sees one view. */
+	/* A request sees both halves of the view at the same version. */
 	:: atomic { joined -> assert(force == other) }
 
-	/* Restart; reports of this life may arrive in the next one. */
+	/* Restart. Reports sent before it may arrive after it. */
 	:: d_step { position = 0; content = 0; joined = 0; head = 0; acked = 0;
 		force = 0; other = 0 }
 	od
--- a/specs/drain.pml
+++ b/specs/drain.pml
@@ -1,21 +1,21 @@
 /*
- * Which order for a failure domain a node follows (crates/swiftcart-core, drain.rs).
+ * Which drain order for a failure domain a node follows (crates/swiftcart-core, drain.rs).
  *
- * An operator drains a failure domain and takes it back by turns: odd places drain, even ones take
- * back. What was written arrives at a node as single orders at any later moment, in any order and
- * any number of times, or as a list of all that stands, in which an order that was taken back is
- * missing. A list may be as old as any place.
+ * An operator alternately drains a failure domain and takes it back: orders at odd places drain
+ * it, orders at even places take it back. An order reaches a node at any later moment, in any
+ * sequence and any number of times, either by itself or in a list of all orders in force. A list
+ * omits an order that was taken back. A list may be as old as any place.
  *
  * Promises:
  *   - a node never goes back to an order older than one that it followed;
  *   - it follows the newest order that it has heard of, by itself or by a list that lacks an
  *     older one.
  *
- * Guards, each of which -D takes out of the model:
+ * Guards, each of which -D removes from the model:
  *   NO_PLACE   a later place wins
  *   NO_LACK    a list ends the older orders that it lacks
- *   NO_LATER   it does not end later ones
- *   NO_LAST    its place is the last one that it covers, not the next one
+ *   NO_LATER   a list does not end later orders
+ *   NO_LAST    the place of a list is the last one that it covers, not the next one
  *   NO_COVER   an order that a list covers and that is not known was taken back
  *
  * spin -a drain.pml && cc -DSAFETY -O2 -o pan pan.c && ./pan -E -m100000
@@ -31,17 +31,17 @@
 
 #define DRAINS(p) ((p) % 2 == 1)
 
-/* The last place that the operator wrote. */
+/* The last place that the operator has written. */
 byte top;
 
-/* What the node follows: an order's place and whether it drains. */
+/* The order that the node follows: its place, and whether it drains. */
 byte place;
 bit drained;
 
-/* The last place that a list covered. */
+/* The last place that any received list covered. */
 byte covered;
 
-/* The newest order that it has heard of, for the promises. */
+/* The newest order that the node has heard of; used only to check the promises. */
 byte heard;
 
 inline follow(p, d) {
@@ -64,7 +64,7 @@
 	fi
 }
 
-/* A list of everything up to place p: the order at p itself when it drains, nothing otherwise. */
+/* Takes a list that covers all places up to p: it has the order at p if that drains, else none. */
 inline take_list(p) {
 	if
 	:: DRAINS(p) -> take(p)
--- a/specs/refute.pml
+++ b/specs/refute.pml
@@ -1,22 +1,22 @@
 /*
  * Refutation in the membership protocol (crates/swiftcart-core, member).
  *
- * Two nodes observe a third one, the subject. They may accuse it wrongly, once in all.
- * Two messages are under way: each takes what someone held at any moment, and arrives
- * anywhere, at any later moment and any number of times, as if a paused node woke up
- * and spread it. The subject may restart once, without memory and with a clock that
+ * Two nodes observe a third one, the subject. The observers may accuse it wrongly, once in
+ * total. Two messages are in flight: each copies what some node holds at any moment, and is
+ * delivered to any node, at any later moment and any number of times, as if a paused node
+ * resumed and spread it. The subject may restart once, without memory and with a clock that
  * went back, and may crash for good.
  *
- * Promise, for every fair run: in the end both observers hold the subject's own latest
- * news for ever if it answers, and hold it dead for ever if it crashed.
+ * Promise, for every fair run: eventually both observers permanently hold the subject's own
+ * latest news if it answers, and permanently hold it dead if it crashed.
  *
  * News is ordered by incarnation, then alive < suspect < dead; the greater one wins.
  *
- * Guards, each of which -D takes out of the model:
+ * Guards, each of which -D removes from the model:
  *   NO_REFUTE    the subject answers an accusation with a greater incarnation
- *   NO_STEP      it also steps over news of an earlier life of its own
- *   NO_TELL      a probe tells the subject what the prober holds of it
- *   NO_LOOK      dead nodes are probed now and then
+ *   NO_STEP      it also takes a greater incarnation than news from an earlier life of its own
+ *   NO_TELL      a probe tells the subject what the prober holds about it
+ *   NO_LOOK      dead nodes are probed from time to time
  *   NO_ORDER     older news never replaces newer news
  *   NO_REMEMBER  dead nodes are remembered
  *
@@ -26,16 +26,16 @@
 
 #define OBSERVERS 2
 #ifndef ACCUSATIONS
-#define ACCUSATIONS 1   /* also holds with 2, in six times the time */
+#define ACCUSATIONS 1   /* the promise also holds with 2, in six times the run time */
 #endif
-#define GREATEST 6      /* incarnation; never reached with the guards in place */
+#define GREATEST 6      /* bound on the incarnation; not reached with all guards in place */
 #define NOTHING 255
 
 #define ALIVE 0
 #define SUSPECT 1
 #define DEAD 2
 
-/* One number holds incarnation, liveness and life; the life is content, not order. */
+/* One number encodes incarnation, liveness and life. The life does not affect the order. */
 #define news(inc, live, life) ((inc) * 6 + (live) * 2 + (life))
 #define rank(n) ((n) / 2)
 #define inc_of(n) ((n) / 6)
@@ -80,7 +80,7 @@
 #define accused(n) (inc_of(n) > inc || (inc_of(n) == inc && n != self))
 #endif
 
-/* The subject hears what others hold of it. */
+/* The subject receives what another node holds about it. */
 inline hear(n) {
 	if
 #ifndef NO_REFUTE
@@ -90,7 +90,7 @@
 	fi
 }
 
-/* Probes go on for ever, in turn, whoever else does what. */
+/* The observers probe in turn, for ever, independently of the other processes. */
 proctype Probe() {
 	byte w;
 	do
@@ -119,7 +119,7 @@
 proctype Network() {
 	byte w, n;
 	do
-	/* A wrong accusation; a suspicion that nobody refutes in time. */
+	/* A wrong accusation, and a suspicion that is not refuted in time. */
 	:: atomic { budget > 0 && up -> select(w : 0 .. 1);
 		if
 		:: live_of(view[w]) == ALIVE ->
@@ -138,7 +138,7 @@
 	:: atomic { life == 0 && up -> life = 1; inc = 0 }
 	:: atomic { up -> up = 0 }
 
-	/* A message takes what someone holds, and arrives. */
+	/* A message copies what some node holds, or is delivered. */
 	:: atomic { select(w : 0 .. 1); select(n : 0 .. 1);
 		if
 		:: message[n] = view[w]
--- a/specs/rollout.pml
+++ b/specs/rollout.pml
@@ -1,21 +1,23 @@
 /*
- * How a roll-out goes on and ends (crates/swiftcart-core, rollout.rs; crates/swiftcart-node, control/board.rs).
+ * How a roll-out progresses and ends (crates/swiftcart-core, rollout.rs;
+ * crates/swiftcart-node, control/board.rs).
  *
- * Two watchers judge by themselves, hear of each other's stages late or never, and write the end to the
- * platform's log. A write may lose its answer and be carried out later. One guard stands beside an old
- * backend server and one beside a new one; each hears of any stage that a watcher ever reached, at any
- * later moment and in any order.
+ * Two watchers judge independently, learn each other's stages late or never, and write the end of
+ * the roll-out to the platform's log. A write may lose its answer and be carried out later. One
+ * guard is beside an old backend server and one beside a new one; each learns any stage that a
+ * watcher ever reached, at any later moment and in any order.
  *
  * Promises:
  *   - the platform takes one end;
  *   - when it takes `completed`, the old backend server runs nothing, unless the other watcher had
- *     stopped the release and so opened it again;
- *   - a guard that heard that the release was stopped gives it nothing before it is completed.
+ *     stopped the release and so opened the old backend server again;
+ *   - a guard that learned that the release was stopped gives the release nothing before it is
+ *     completed.
  *
- * Guards, each of which -D takes out of the model:
- *   NO_PLACE   a record is taken only behind the place that its writer has read
- *   NO_READ    who reads the place takes over the end that stands before it
- *   NO_ORDER   a stage that comes before the known one changes nothing
+ * Guards, each of which -D removes from the model:
+ *   NO_PLACE   a record is taken only at the end of the log as its writer has read it
+ *   NO_READ    a watcher that reads the place adopts the end that is recorded before it
+ *   NO_ORDER   a stage that precedes the known one changes nothing
  *   NO_CLOSED  the old backend server counts as finished only once it is given nothing new
  *   NO_EMPTY   and runs nothing
  *
@@ -33,23 +35,23 @@
 #define ROLLED_BACK 4
 #define COMPLETED 5
 
-/* The platform's log: the place behind its records, and the end among them. */
+/* The platform's log: the place after its last record, and the end if one was written. */
 byte place;
 byte end;
 
-/* Each watcher: its stage, and the place that it has read. */
+/* The stage of each watcher, and the place up to which it has read the log. */
 byte stage[WATCHERS];
 byte read[WATCHERS];
 
-/* A write under way: what, and where it is to stand. */
+/* A write in flight: the end to write, and the place it is meant for. */
 byte writing[WATCHERS];
 byte at[WATCHERS];
 
-/* What each watcher has seen of the old backend server last. */
+/* What each watcher last observed of the old backend server. */
 bit shut[WATCHERS];
 bit idle[WATCHERS];
 
-/* The stages that were ever told. */
+/* The stages that a watcher ever reached, which a guard may learn. */
 bit told[6];
 
 /* The two guards, and what runs at the old backend server. */
@@ -84,7 +86,7 @@
 	told[s] = 1
 }
 
-/* The platform carries a write out, at once or later. */
+/* The platform carries out a write, immediately or later. */
 inline carry_out(w) {
 	if
 #ifndef NO_PLACE
@@ -107,11 +109,11 @@
 	:: atomic { stage[w] == ORDERED -> reach(w, TRIAL) }
 	:: atomic { stage[w] == TRIAL -> reach(w, CLOSING) }
 	:: atomic { stage[w] == TRIAL || stage[w] == CLOSING -> reach(w, STOPPED) }
-	/* It hears of the other one's stage. */
+	/* It learns the other watcher's stage. */
 	:: atomic { stage[1 - w] > stage[w] -> stage[w] = stage[1 - w] }
-	/* It sees the old backend server. */
+	/* It observes the old backend server. */
 	:: atomic { shut[w] = !old_open; idle[w] = !running }
-	/* It reads the platform. */
+	/* It reads the platform's log. */
 	:: atomic {
 		writing[w] == 0 -> read[w] = place;
 #ifndef NO_READ
@@ -121,7 +123,7 @@
 		fi
 #endif
 	}
-	/* It writes an end. */
+	/* It writes an end to the log. */
 	:: atomic {
 		writing[w] == 0 && stage[w] == STOPPED ->
 		writing[w] = ROLLED_BACK; at[w] = read[w]
--- a/specs/succession.pml
+++ b/specs/succession.pml
@@ -1,18 +1,19 @@
 /*
- * Which announcement of a backend server counts (crates/swiftcart-core, member/succession.rs).
+ * Which announcement of a backend server is in force (crates/swiftcart-core,
+ * member/succession.rs).
  *
  * A backend server starts up to three times under one id. Each process numbers its
- * announcements from one and may announce its departure. What was said arrives at the
- * node at any later moment, in any order and any number of times. The node may restart,
- * which takes its memory.
+ * announcements from one and may announce its departure. An announcement reaches the node at
+ * any later moment, in any order and any number of times. The node may restart, which clears
+ * its memory.
  *
  * Promises, in each life of the node:
- *   - a start that is shown is never older than one that was shown;
+ *   - a start that is shown is never older than one that was shown before;
  *   - a process whose departure was acknowledged is not shown again;
  *   - the latest announcement of the running process is in force once it has arrived.
  *
- * Guards, each of which -D takes out of the model:
- *   NO_START   a greater start goes before a smaller one, whatever their numbers
+ * Guards, each of which -D removes from the model:
+ *   NO_START   a greater start takes precedence over a smaller one, whatever their numbers
  *   NO_NUMBER  within one start the greater number wins
  *   NO_NAMED   a departure ends the start that it names, and no later one
  *   NO_RETIRE  departures are remembered
@@ -24,18 +25,19 @@
 #define STARTS 3
 #define NUMBERS 2
 
-/* What the backend server said: the greatest number of each start, and departures. */
+/* What the backend server announced: the greatest number of each start, and departures. */
 byte running = 1;
 byte said[4];
 bit left[4];
 
-/* The node's memory: whom it shows, the newest start with its number, and who left. */
+/* The node's memory: whether it shows the backend server, the newest start and its number, and the
+ * greatest start that departed. */
 bit here;
 byte newest;
 byte number;
 byte until;
 
-/* What was seen, for the promises. */
+/* What was observed; used only to check the promises. */
 byte most;
 bit acked[4];
 byte latest;
@@ -99,7 +101,7 @@
 	do
 	:: atomic { !left[running] && said[running] < NUMBERS -> said[running]++ }
 	:: atomic { said[running] > 0 && !left[running] -> left[running] = 1 }
-	/* A crash or a departure, and another start. */
+	/* The process crashes or departs, and the next one starts. */
 	:: atomic { running < STARTS -> running++; latest = 0 }
 	:: break
 	od
