--- a/crates/swiftcart-standin/src/args.rs
+++ b/crates/swiftcart-standin/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line that the three programs share.
+//! Command line of the three stand-in programs.
 
 use std::fs;
 use std::future::Future;
@@ -11,30 +11,32 @@
 
 use crate::Error;
 
-/// Holds the parsed command line of a stand-in program.
+/// Parsed command line of a stand-in program.
 #[derive(Debug)]
 pub struct Args {
     matches: Matches,
 }
 
 impl Args {
-    /// Parses the process's arguments, or returns `None` after printing the help.
+    /// Parses the arguments of the process.
+    ///
+    /// Returns `None` after printing the help text for `--help`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Args`] for an argument that no stand-in knows.
+    /// Returns [`Error::Args`] for an unknown or malformed argument.
     pub fn parse(summary: &str) -> Result<Option<Self>, Error> {
         let mut opts = Options::new();
         opts.optopt(
             "a",
             "addr",
-            "address to listen on, port 0 for any",
+            "address to listen on; port 0 selects a free port",
             "IP:PORT",
         )
         .optopt(
             "s",
             "settings",
-            "settings as JSON, or a file that holds them",
+            "settings as JSON, or the path of a JSON file",
             "JSON|FILE",
         )
         .optflag("h", "help", "print this help");
@@ -46,11 +48,11 @@
         Ok(Some(Self { matches }))
     }
 
-    /// Returns the address to listen on; `127.0.0.1:0` unless it is given.
+    /// Returns the address to listen on, `127.0.0.1:0` by default.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Addr`] when it is no address.
+    /// Returns [`Error::Addr`] when the argument is not a socket address.
     pub fn addr(&self) -> Result<SocketAddr, Error> {
         match self.matches.opt_str("addr") {
             Some(text) => text.parse().map_err(|_| Error::Addr(text)),
@@ -58,11 +60,12 @@
         }
     }
 
-    /// Returns the settings, or the defaults when none are given.
+    /// Returns the settings, with defaults for the fields that are not given.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`] or [`Error::Settings`] when they cannot be read.
+    /// Returns [`Error::File`] when the settings file cannot be read, and [`Error::Settings`] when
+    /// the settings do not match the expected fields.
     pub fn settings<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let text = match self.matches.opt_str("settings") {
             None => "{}".to_owned(),
@@ -73,9 +76,9 @@
     }
 }
 
-/// Runs a stand-in program and turns its error into a line and an exit code.
+/// Converts the result of a stand-in program to an exit code and logs its error to stderr.
 #[must_use]
-pub fn exit(result: Result<(), Error>) -> ExitCode {
+pub fn exit_code(result: Result<(), Error>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
@@ -85,11 +88,11 @@
     }
 }
 
-/// Completes when the process is asked to stop (SIGTERM or SIGINT).
+/// Returns a future that completes when the process receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Output`] when the signals cannot be awaited.
+/// Returns [`Error::Output`] when the signal handlers cannot be installed.
 pub fn stop_signal() -> Result<impl Future<Output = ()>, Error> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
--- a/crates/swiftcart-standin/src/backend/routes.rs
+++ b/crates/swiftcart-standin/src/backend/routes.rs
@@ -17,9 +17,9 @@
 use super::work::{Work, within};
 use super::{BackendFaults, BackendStats};
 use crate::client::{self, Client};
-use crate::content::{Content, Stream};
+use crate::content::{Content, ContentBody};
 use crate::headers::{DIGEST, LEAVING, LOAD, RATE, STANDIN_REASON};
-use crate::serve::broken;
+use crate::serve::aborted_response;
 
 const DEFAULT_BYTES: u64 = 64;
 
@@ -66,7 +66,7 @@
     let mut crashes = app.shared.watch_crashes();
     tokio::select! {
         answer = work(&app, request) => answer,
-        _ = crashes.changed() => broken(),
+        _ = crashes.changed() => aborted_response(),
     }
 }
 
@@ -115,7 +115,7 @@
     match status {
         _ if app.shared.lose_answer() => {
             work.finish();
-            broken()
+            aborted_response()
         }
         Some(status) => {
             work.finish();
@@ -162,7 +162,7 @@
         (DIGEST, content.digest().await),
         (CONTENT_LENGTH.as_str(), content.len().to_string()),
     ];
-    let stream = Stream::new(content, cut, move || work.finish());
+    let stream = ContentBody::new(content, cut, move || work.finish());
     (headers, Body::new(stream)).into_response()
 }
 
@@ -173,7 +173,7 @@
     let content = Content::from(json);
     let length = [(CONTENT_LENGTH, content.len())];
     let json = [(CONTENT_TYPE, "application/json")];
-    let stream = Stream::new(content, cut, || {});
+    let stream = ContentBody::new(content, cut, || {});
     (length, json, Body::new(stream)).into_response()
 }
 
--- a/crates/swiftcart-standin/src/backend/state.rs
+++ b/crates/swiftcart-standin/src/backend/state.rs
@@ -16,14 +16,14 @@
 use super::named::Named;
 use super::stats::{BackendStats, Refusal};
 use super::{BackendFaults, BackendSettings};
-use crate::serve::Connections;
+use crate::serve::ConnectionCounts;
 
 /// Holds all that a backend server's parts share.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) settings: BackendSettings,
     pub(super) slots: Arc<Semaphore>,
-    pub(super) conns: Arc<Connections>,
+    pub(super) conns: Arc<ConnectionCounts>,
     faults: watch::Sender<BackendFaults>,
     /// The life that runs; each change is a crash.
     life: watch::Sender<Life>,
@@ -255,7 +255,7 @@
         let refused = state.refused.iter();
         BackendStats {
             connections: self.conns.open(),
-            max_connections: self.conns.most(),
+            max_connections: self.conns.peak(),
             refused_connections: self.conns.refused(),
             refused: refused.map(|(r, n)| (r.as_str().to_owned(), *n)).collect(),
             ..state.stats.clone()
--- a/crates/swiftcart-standin/src/bin/swiftcart-standin-backend.rs
+++ b/crates/swiftcart-standin/src/bin/swiftcart-standin-backend.rs
@@ -1,18 +1,18 @@
-//! Runs the stand-in for a backend server.
+//! Stand-in program for a backend server.
 
 use std::process::ExitCode;
 use std::time::Duration;
 
-use swiftcart_standin::{Args, BackendServer, Error, exit, stop_signal};
+use swiftcart_standin::{Args, BackendServer, Error, exit_code, stop_signal};
 
 const SUMMARY: &str = "swiftcart-standin-backend: a backend server for tests";
 
-/// Time that nodes have to learn of the drain before the backend server stops.
-const GRACE: Duration = Duration::from_secs(3);
+/// Time for nodes to learn of the drain before the backend server stops.
+const DRAIN_PERIOD: Duration = Duration::from_secs(3);
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    exit(run().await)
+    exit_code(run().await)
 }
 
 async fn run() -> Result<(), Error> {
@@ -23,10 +23,10 @@
     let backend = BackendServer::start(args.addr()?, args.settings()?).await?;
     println!("listening addr={}", backend.addr());
     stop.await;
-    let again = stop_signal()?;
+    let second_stop = stop_signal()?;
     tokio::select! {
-        () = backend.stop(GRACE) => {}
-        () = again => {}
+        () = backend.stop(DRAIN_PERIOD) => {}
+        () = second_stop => {}
     }
     Ok(())
 }
--- a/crates/swiftcart-standin/src/bin/swiftcart-standin-load.rs
+++ b/crates/swiftcart-standin/src/bin/swiftcart-standin-load.rs
@@ -1,16 +1,17 @@
-//! Runs the stand-in for the callers and prints its report as JSON.
+//! Load generator program that prints its report as JSON.
 
 use std::io::Write;
 use std::process::ExitCode;
 
 use serde::Serialize;
-use swiftcart_standin::{Args, Error, Load, exit};
+use swiftcart_standin::{Args, Error, Load, exit_code};
 
-const SUMMARY: &str = "swiftcart-standin-load: open-loop callers for tests; give --settings";
+const SUMMARY: &str =
+    "swiftcart-standin-load: open-loop load generator for tests; requires --settings";
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    exit(run().await)
+    exit_code(run().await)
 }
 
 async fn run() -> Result<(), Error> {
--- a/crates/swiftcart-standin/src/bin/swiftcart-standin-platform.rs
+++ b/crates/swiftcart-standin/src/bin/swiftcart-standin-platform.rs
@@ -1,14 +1,14 @@
-//! Runs the stand-in for the platform's log.
+//! Stand-in program for the platform's log.
 
 use std::process::ExitCode;
 
-use swiftcart_standin::{Args, Error, Log, exit, stop_signal};
+use swiftcart_standin::{Args, Error, Log, exit_code, stop_signal};
 
-const SUMMARY: &str = "swiftcart-standin-platform: the platform's log, in memory, for tests";
+const SUMMARY: &str = "swiftcart-standin-platform: in-memory log of the platform for tests";
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    exit(run().await)
+    exit_code(run().await)
 }
 
 async fn run() -> Result<(), Error> {
--- a/crates/swiftcart-standin/src/content.rs
+++ b/crates/swiftcart-standin/src/content.rs
@@ -1,4 +1,4 @@
-//! Bodies that name their request and can be checked for wholeness while they stream.
+//! Streamed message bodies with verifiable content: a line with the request id, then fixed bytes.
 
 use std::mem;
 use std::pin::Pin;
@@ -11,18 +11,19 @@
 use rand::{RngCore, SeedableRng};
 use tokio::task::spawn_blocking;
 
-use crate::serve::Broken;
+use crate::serve::AbortError;
 
-/// Size of the block that bodies repeat; also the largest frame.
-const BLOCK: usize = 64 * 1024;
+/// Size of the block that bodies repeat, in bytes; also the largest frame.
+const BLOCK_BYTES: usize = 64 * 1024;
 
-/// Longest body that is hashed between two awaits.
-const INLINE: u64 = 1024 * 1024;
+/// Longest body that is hashed on the async runtime, in bytes; longer ones are hashed on a
+/// blocking thread.
+const MAX_INLINE_BYTES: u64 = 1024 * 1024;
 const BLOCK_SEED: u64 = 0x5ca1_ab1e;
 
-/// A body of a given length: a line that names the request, then fixed random bytes.
+/// Body of a given length: a line with the request id, then fixed pseudorandom bytes.
 ///
-/// Memory stays flat at any length, since every body repeats the same block.
+/// Memory use does not depend on the length, since all bodies repeat one shared block.
 #[derive(Debug, Clone)]
 pub(crate) struct Content {
     head: Bytes,
@@ -30,7 +31,9 @@
 }
 
 impl Content {
-    /// Creates the body for request `id`; never shorter than the line that names it.
+    /// Creates the body of request `id`.
+    ///
+    /// The body always contains the whole id line, even when `len` is shorter than that line.
     pub(crate) fn new(id: &str, len: u64) -> Self {
         let head = Bytes::from(head(id));
         let len = len.max(head.len() as u64);
@@ -41,9 +44,9 @@
         self.len
     }
 
-    /// Returns the digest that the whole body has; a long one is hashed off the runtime.
+    /// Returns the BLAKE3 digest of the whole body; long bodies are hashed on a blocking thread.
     pub(crate) async fn digest(&self) -> String {
-        if self.len <= INLINE {
+        if self.len <= MAX_INLINE_BYTES {
             return self.hash();
         }
         let content = self.clone();
@@ -53,26 +56,26 @@
 
     fn hash(&self) -> String {
         let mut hasher = blake3::Hasher::new();
-        let mut at = 0;
-        while let Some(chunk) = self.chunk(at) {
+        let mut position = 0;
+        while let Some(chunk) = self.chunk(position) {
             hasher.update(&chunk);
-            at += chunk.len() as u64;
+            position += chunk.len() as u64;
         }
         hasher.finalize().to_hex().to_string()
     }
 
-    fn chunk(&self, at: u64) -> Option<Bytes> {
-        let left = usize::try_from(self.len - at).unwrap_or(usize::MAX);
+    fn chunk(&self, position: u64) -> Option<Bytes> {
+        let left = usize::try_from(self.len - position).unwrap_or(usize::MAX);
         match left {
             0 => None,
-            _ if at == 0 => Some(self.head.clone()),
-            _ => Some(block().slice(..left.min(BLOCK))),
+            _ if position == 0 => Some(self.head.clone()),
+            _ => Some(block().slice(..left.min(BLOCK_BYTES))),
         }
     }
 }
 
 impl From<Vec<u8>> for Content {
-    /// Creates a body of just these bytes.
+    /// Creates a body that consists of `bytes` only.
     fn from(bytes: Vec<u8>) -> Self {
         Self {
             len: bytes.len() as u64,
@@ -81,58 +84,64 @@
     }
 }
 
-/// Streams a [`Content`], or breaks off after some bytes.
+/// HTTP body that streams a [`Content`] and optionally fails after `break_after` bytes.
 ///
-/// `done` runs when the last byte has been handed over; otherwise it is only dropped.
-pub(crate) struct Stream<F: FnOnce() + Unpin> {
+/// `done` is called when the last frame is handed to the server. When the stream ends early,
+/// `done` is dropped without being called.
+pub(crate) struct ContentBody<F: FnOnce() + Unpin> {
     content: Content,
-    at: u64,
-    cut: Option<u64>,
+    position: u64,
+    break_after: Option<u64>,
     flushed: bool,
     done: Option<F>,
 }
 
-impl<F: FnOnce() + Unpin> Stream<F> {
-    pub(crate) const fn new(content: Content, cut: Option<u64>, done: F) -> Self {
+impl<F: FnOnce() + Unpin> ContentBody<F> {
+    pub(crate) const fn new(content: Content, break_after: Option<u64>, done: F) -> Self {
         Self {
             content,
-            at: 0,
-            cut,
+            position: 0,
+            break_after,
             flushed: false,
             done: Some(done),
         }
     }
 
-    /// Fails on the second call: the server sends what it has in between.
-    fn poll_break(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    /// Returns an error on the second call only, so that the server flushes its buffered bytes
+    /// between the two calls.
+    fn poll_break(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortError>>> {
         if mem::replace(&mut self.flushed, true) {
-            return Poll::Ready(Some(Err(Broken::ByFault)));
+            return Poll::Ready(Some(Err(AbortError::InjectedFault)));
         }
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 }
 
-impl<F: FnOnce() + Unpin> Body for Stream<F> {
+impl<F: FnOnce() + Unpin> Body for ContentBody<F> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = AbortError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AbortError>>> {
         let this = self.get_mut();
-        let Some(mut chunk) = this.content.chunk(this.at) else {
+        let Some(mut chunk) = this.content.chunk(this.position) else {
             return Poll::Ready(None);
         };
-        if let Some(cut) = this.cut {
-            let left = usize::try_from(cut.saturating_sub(this.at)).unwrap_or(usize::MAX);
+        if let Some(break_after) = this.break_after {
+            let left =
+                usize::try_from(break_after.saturating_sub(this.position)).unwrap_or(usize::MAX);
             if left == 0 {
                 return this.poll_break(cx);
             }
             chunk.truncate(left);
         }
-        this.at += chunk.len() as u64;
+        this.position += chunk.len() as u64;
         if this.is_end_stream()
             && let Some(done) = this.done.take()
         {
@@ -142,37 +151,37 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.at == self.content.len
+        self.position == self.content.len
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.content.len - self.at)
+        SizeHint::with_exact(self.content.len - self.position)
     }
 }
 
-/// Checks a body as it streams in: its length, its digest and whose it is.
+/// Incremental check of a received body: its length, its digest and the request id in it.
 #[derive(Debug)]
-pub(crate) struct Checker {
+pub(crate) struct BodyChecker {
     hasher: blake3::Hasher,
     head: Vec<u8>,
-    start: Vec<u8>,
+    prefix: Vec<u8>,
     len: u64,
 }
 
-impl Checker {
-    /// Expects the body of request `id`.
+impl BodyChecker {
+    /// Creates a checker for the body of request `id`.
     pub(crate) fn new(id: &str) -> Self {
         Self {
             hasher: blake3::Hasher::new(),
             head: head(id),
-            start: Vec::new(),
+            prefix: Vec::new(),
             len: 0,
         }
     }
 
     pub(crate) fn update(&mut self, chunk: &[u8]) {
-        let missing = self.head.len() - self.start.len();
-        self.start.extend(chunk.iter().take(missing));
+        let missing = self.head.len() - self.prefix.len();
+        self.prefix.extend(chunk.iter().take(missing));
         self.hasher.update(chunk);
         self.len += chunk.len() as u64;
     }
@@ -181,8 +190,9 @@
         self.len
     }
 
-    pub(crate) fn is_own(&self) -> bool {
-        self.start == self.head
+    /// Returns `true` if the body starts with the id line of the expected request.
+    pub(crate) fn matches_id(&self) -> bool {
+        self.prefix == self.head
     }
 
     pub(crate) fn digest(&self) -> String {
@@ -197,7 +207,7 @@
 fn block() -> Bytes {
     static ONCE: OnceLock<Bytes> = OnceLock::new();
     ONCE.get_or_init(|| {
-        let mut bytes = vec![0; BLOCK];
+        let mut bytes = vec![0; BLOCK_BYTES];
         SmallRng::seed_from_u64(BLOCK_SEED).fill_bytes(&mut bytes);
         Bytes::from(bytes)
     })
--- a/crates/swiftcart-standin/src/error.rs
+++ b/crates/swiftcart-standin/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a stand-in itself, apart from the faults it plays.
+//! Errors of the stand-ins themselves, as opposed to the faults that they inject.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,13 +6,13 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Tells why a stand-in does not start or refuses a call of the test.
+    /// Error of a stand-in that cannot start or rejects a call.
     #[derive(Debug)]
     #[non_exhaustive]
     pub enum Error {
-        /// The address cannot be listened on.
+        /// The listener cannot be bound to the address.
         Listen(addr: SocketAddr, err: io::Error) {
-            display("cannot listen on {}: {}; choose a free port or 0", addr, err)
+            display("cannot listen on {}: {}; choose a free port, or port 0", addr, err)
             source(err)
         }
         /// The command line is malformed.
@@ -21,31 +21,32 @@
             source(err)
             from()
         }
-        /// The settings are not the JSON that the stand-in expects.
+        /// The settings are not valid JSON or do not match the expected fields.
         Settings(err: serde_json::Error) {
-            display("settings: {}; see the fields in the crate's documentation", err)
+            display("invalid settings: {}; see the fields in the crate's documentation", err)
             source(err)
             from()
         }
-        /// The settings' file cannot be read.
+        /// The settings file cannot be read.
         File(path: String, err: io::Error) {
             display("cannot read {}: {}", path, err)
             source(err)
         }
         /// An address is malformed.
         Addr(text: String) {
-            display("{:?} is no address; write IP:PORT", text)
+            display("{:?} is not an address; use the form IP:PORT", text)
         }
-        /// The load lacks a target or a shape, or its rate is not above zero.
-        Load(cure: &'static str) {
-            display("the load cannot run: {}", cure)
+        /// The load has no target, no shape with a weight, no connection, or a rate that is not
+        /// above zero.
+        Load(advice: &'static str) {
+            display("invalid load settings: {}", advice)
         }
-        /// The log refuses an append.
+        /// The log rejects an append or a read.
         Append(refusal: crate::Refusal) {
-            display("the log refuses the append: {}", refusal)
+            display("the log rejected the request: {}", refusal)
             from()
         }
-        /// The report cannot be written.
+        /// The output cannot be written, or the signal handlers cannot be installed.
         Output(err: io::Error) {
             display("cannot write the output: {}", err)
             source(err)
--- a/crates/swiftcart-standin/src/lib.rs
+++ b/crates/swiftcart-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what surrounds swiftcart: the platform's log, backend servers and callers.
+//! Test doubles for the systems around swiftcart: the platform's log, backend servers and callers.
 //!
-//! Tests, the demo and the bench use them; they are never shipped. Each one runs inside a
-//! test's own process (port 0, faults set directly) or as one of three small programs that
-//! print `listening addr=IP:PORT` when they are ready.
+//! Tests, the demo and the bench use these stand-ins; they are not part of a release. Each
+//! stand-in runs inside the test process (port 0 selects a free port, faults are set directly) or
+//! as a separate program.
 //!
 //! | stand-in | library | program |
 //! |---|---|---|
@@ -10,32 +10,34 @@
 //! | a backend server | [`BackendServer`] | `swiftcart-standin-backend` |
 //! | the callers | [`Load`] | `swiftcart-standin-load` |
 //!
-//! A handle that is dropped closes its listener and every connection at once, like a
-//! process that is killed.
+//! Dropping a handle closes its listener and all its connections at once, as if the process
+//! had been killed.
 //!
 //! # Programs
 //!
-//! Each takes `--settings` with JSON or a file that holds it ([`LogSettings`],
-//! [`BackendSettings`], [`Load`]; unknown keys are refused). The first two take `--addr`
-//! and print the line `listening addr=IP:PORT`. SIGTERM stops them; the backend server
-//! drains for three seconds first, and a second signal stops it at once. The load prints
-//! its [`Report`], or a [`Comparison`] when `others` is set, and exits.
+//! Each program takes `--settings` with JSON or the path of a JSON file ([`LogSettings`],
+//! [`BackendSettings`], [`Load`]). Unknown keys are rejected. The log and the backend server also
+//! take `--addr`, and print the line `listening addr=IP:PORT` when they accept connections.
+//! SIGTERM and SIGINT stop them. The backend server drains for three seconds first, and a second
+//! signal stops it at once. The load program prints its [`Report`], or a [`Comparison`] when
+//! `others` is set, and exits.
 //!
 //! # HTTP
 //!
-//! | stand-in | request | answer |
+//! | stand-in | request | response |
 //! |---|---|---|
 //! | log | `POST /v1/streams/{name}`, `GET /v1/streams/{name}?from&limit&wait` | see `docs/design.md` |
 //! | backend server | `GET` of any path `?bytes=N` | a body of N bytes that starts with `id=ID\n`; `X-Standin-Digest` has its BLAKE3 hash |
-//! | backend server | `POST`, `PUT` of any path | `{"id","bytes","digest"}` of the body that was taken |
+//! | backend server | `POST`, `PUT` of any path | `{"id","bytes","digest"}` of the received body |
 //! | backend server | `GET /health`, `GET /load` | 200 or 503; 0 to 100 |
 //! | backend server | `GET /standin/executions?id=`, `?key=`, or neither | [`Runs`]; without either the [`Ledger`] |
 //! | both | `GET /standin/stats` | [`LogStats`], [`BackendStats`] |
 //! | both | `GET`, `PUT /standin/faults` | [`LogFaults`], [`BackendFaults`] |
 //!
-//! `ID` is the caller's `X-Request-Id`, else the node's `Swiftcart-Request-Id`. Answers to
-//! work carry `Swiftcart-Load`; refusals and failures carry `X-Standin-Reason`: `slots` and
-//! `deadline` with status 503 did not run.
+//! `ID` is the caller's `X-Request-Id`, or else the node's `Swiftcart-Request-Id`. Responses of the
+//! backend server carry `Swiftcart-Load`, except those of `/health`, `/load` and `/standin`.
+//! Rejections and failures carry `X-Standin-Reason`. A request that is rejected with status 503 and
+//! the reason `slots` or `deadline` was not executed.
 //!
 //! # Examples
 //!
--- a/crates/swiftcart-standin/src/load.rs
+++ b/crates/swiftcart-standin/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers: open-loop load that checks every answer and measures from the intended time.
+//! Open-loop load generator that verifies every response and measures latency from the scheduled
+//! send time.
 
 mod audit;
 mod call;
@@ -16,7 +17,7 @@
 use tokio::task::JoinSet;
 
 pub use audit::Audit;
-pub use report::{Comparison, Quantiles, Report, Told};
+pub use report::{CallRecord, Comparison, Quantiles, Report};
 pub use settings::Load;
 pub use shape::Shape;
 
@@ -27,45 +28,47 @@
 use schedule::{Schedule, Tick};
 
 impl Load {
-    /// Runs the load against its targets, in turn.
+    /// Runs the load against its targets in round-robin order.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Load`] without a target, a shape or a rate.
+    /// Returns [`Error::Load`] when a target, a shape, a rate or a connection is missing.
     pub async fn run(self) -> Result<Report, Error> {
         let targets = self.targets.clone();
-        let mut tallies = self.drive(&[targets]).await?;
+        let mut tallies = self.send_all(&[targets]).await?;
         let tally = tallies.pop().unwrap_or_default();
-        Ok(tally.report(self.span()))
+        Ok(tally.report(self.duration()))
     }
 
-    /// Runs the load against its targets and against `others`, request by request in turn.
+    /// Runs the load against its targets and `others`, alternating between the two groups.
     ///
-    /// Both see the same machine at the same time, which makes small differences visible.
-    /// Each gets half of the rate.
+    /// Both groups run at the same time and under the same conditions, so that small differences
+    /// are measurable. Each group receives half of the rate.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Load`] without a target on each side, a shape or a rate.
+    /// Returns [`Error::Load`] when a group has no target, or a shape, a rate or a connection is
+    /// missing.
     pub async fn compare(self, others: Vec<SocketAddr>) -> Result<Comparison, Error> {
         let targets = self.targets.clone();
-        let mut tallies = self.drive(&[targets, others]).await?;
+        let mut tallies = self.send_all(&[targets, others]).await?;
         let b = tallies.pop().unwrap_or_default();
         let a = tallies.pop().unwrap_or_default();
         Ok(Comparison {
-            a: a.report(self.span()),
-            b: b.report(self.span()),
+            a: a.report(self.duration()),
+            b: b.report(self.duration()),
         })
     }
 
-    /// Sends the requests to the groups of targets in turn.
-    async fn drive(&self, groups: &[Vec<SocketAddr>]) -> Result<Vec<Tally>, Error> {
-        self.check(groups)?;
+    /// Sends all scheduled requests, alternating between the groups, and returns one tally per
+    /// group.
+    async fn send_all(&self, groups: &[Vec<SocketAddr>]) -> Result<Vec<Tally>, Error> {
+        self.validate(groups)?;
         let per_target = self.connections / groups.iter().map(Vec::len).sum::<usize>();
         let caller = Arc::new(Caller {
             load: self.clone(),
             client: client::new(per_target.max(1)),
-            room: Semaphore::new(self.connections),
+            permits: Semaphore::new(self.connections),
         });
         let mut tallies: Vec<_> = groups.iter().map(|_| Tally::new(self.keep)).collect();
         let mut ticks = Schedule::new(self).start();
@@ -85,11 +88,11 @@
                     }
                     None => break,
                 },
-                Some(done) = calls.join_next() => count(&mut tallies, done.ok()),
+                Some(done) = calls.join_next() => record_sample(&mut tallies, done.ok()),
             }
         }
         while let Some(done) = calls.join_next().await {
-            count(&mut tallies, done.ok());
+            record_sample(&mut tallies, done.ok());
         }
         Ok(tallies)
     }
@@ -108,7 +111,7 @@
     (group, caller.call(target, &tick).await)
 }
 
-fn count(tallies: &mut [Tally], done: Option<(usize, Sample)>) {
+fn record_sample(tallies: &mut [Tally], done: Option<(usize, Sample)>) {
     if let Some((group, sample)) = done {
         tallies[group].add(sample);
     }
--- a/crates/swiftcart-standin/src/load/audit.rs
+++ b/crates/swiftcart-standin/src/load/audit.rs
@@ -1,70 +1,70 @@
-//! Holds what callers were told against what backend servers did.
+//! Comparison of the outcomes reported to callers with the executions on the backend servers.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Load, Shape, Told};
+use super::{CallRecord, Load, Shape};
 use crate::Ledger;
 
-/// The outcome that promises that a request did not run.
+/// Outcome that guarantees that a request was not executed.
 const NOT_RUN: &str = "not-run";
 
-/// Lists the requests, by the caller's id, for which a promise was broken.
+/// Ids of the requests whose reported outcome contradicts their executions.
 ///
 /// # Examples
 ///
 /// ```
-/// use swiftcart_standin::{Audit, Ledger, Load, Shape, Told};
+/// use swiftcart_standin::{Audit, Ledger, Load, Shape, CallRecord};
 ///
 /// let load = Load::new(vec![]).with_shape(Shape::read("/"), 1);
-/// let told = Told { id: "1-0".into(), verdict: "good".into(), ..Told::default() };
-/// let audit = Audit::new(&load, &[told], &Ledger::default());
+/// let record = CallRecord { id: "1-0".into(), verdict: "good".into(), ..CallRecord::default() };
+/// let audit = Audit::new(&load, &[record], &Ledger::default());
 /// assert_eq!(audit.lost, ["1-0"]);
 /// ```
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Audit {
-    /// Told `not-run` at the first try, and yet started.
+    /// Requests reported as `not-run` without a retry, but started on a backend server.
     pub ran: Vec<String>,
-    /// Not idempotent, and started more than once.
+    /// Requests that must start at most once (keyed or `POST`), but started more than once.
     pub twice: Vec<String>,
-    /// Told that it was done, and yet finished nowhere.
+    /// Requests with a good response that finished on no backend server.
     pub lost: Vec<String>,
 }
 
 impl Audit {
-    /// Compares `told`, kept by `load`, with the merged `ledger` of all backend servers.
+    /// Compares the call `records` of `load` with the merged `ledger` of all backend servers.
     ///
-    /// It is sound only when the ledger has forgotten nothing.
+    /// The result is valid only if the ledger has evicted no entries.
     #[must_use]
-    pub fn new(load: &Load, told: &[Told], ledger: &Ledger) -> Self {
+    pub fn new(load: &Load, records: &[CallRecord], ledger: &Ledger) -> Self {
         let mut audit = Self::default();
-        for told in told {
-            audit.add(load, told, ledger);
+        for record in records {
+            audit.add(load, record, ledger);
         }
         audit
     }
 
-    /// Returns whether every promise was kept.
+    /// Returns `true` if no request violates a guarantee.
     #[must_use]
     pub const fn is_clean(&self) -> bool {
         self.ran.is_empty() && self.twice.is_empty() && self.lost.is_empty()
     }
 
-    fn add(&mut self, load: &Load, told: &Told, ledger: &Ledger) {
-        let shape = load.shapes.get(told.shape).map(|(shape, _)| shape);
-        let runs = match (&told.key, ledger.callers.get(&told.id)) {
+    fn add(&mut self, load: &Load, record: &CallRecord, ledger: &Ledger) {
+        let shape = load.shapes.get(record.shape).map(|(shape, _)| shape);
+        let runs = match (&record.key, ledger.callers.get(&record.id)) {
             (Some(key), _) => ledger.by_key(key),
             (None, runs) => runs.copied().unwrap_or_default(),
         };
         let once = matches!(shape, Some(Shape::Keyed { .. } | Shape::Post { .. }));
-        let not_run = told.retries == 0 && told.outcome.as_deref() == Some(NOT_RUN);
+        let not_run = record.retries == 0 && record.outcome.as_deref() == Some(NOT_RUN);
         if not_run && runs.started > 0 {
-            self.ran.push(told.id.clone());
+            self.ran.push(record.id.clone());
         }
         if once && runs.started > 1 {
-            self.twice.push(told.id.clone());
+            self.twice.push(record.id.clone());
         }
-        if told.verdict == "good" && runs.finished == 0 {
-            self.lost.push(told.id.clone());
+        if record.verdict == "good" && runs.finished == 0 {
+            self.lost.push(record.id.clone());
         }
     }
 }
--- a/crates/swiftcart-standin/src/load/call.rs
+++ b/crates/swiftcart-standin/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call: the request, the answer's check and the retries.
+//! A single call: its request, the verification of its response and its retries.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,49 +9,49 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-use super::check::{Answer, Verdict};
-use super::retry::pause;
+use super::check::{AttemptResult, Verdict};
+use super::retry::retry_delay;
 use super::schedule::Tick;
 use super::{Load, Shape};
 use crate::client::Client;
-use crate::content::{Content, Stream};
+use crate::content::{Content, ContentBody};
 use crate::headers::{CALLER_ID, DEADLINE_LEFT, KEY};
 
-/// Holds what one call brought.
+/// Result and timing of one call.
 #[derive(Debug)]
 pub(super) struct Sample {
-    pub(super) answer: Answer,
+    pub(super) answer: AttemptResult,
     pub(super) id: String,
     pub(super) key: Option<String>,
     pub(super) shape: usize,
     pub(super) retries: u32,
-    /// From the intended time to the answer's end.
+    /// Time from the scheduled send time to the end of the response.
     pub(super) latency: Duration,
-    /// From the first sending to the answer's end.
+    /// Time from the first attempt to the end of the response.
     pub(super) since_send: Duration,
 }
 
-/// Makes the calls of one load.
+/// HTTP client that makes the calls of one load.
 pub(super) struct Caller {
     pub(super) load: Load,
     pub(super) client: Client,
-    pub(super) room: Semaphore,
+    pub(super) permits: Semaphore,
 }
 
 impl Caller {
-    /// Makes one call, with the retries that the load allows.
+    /// Makes one call, including the retries that the load allows.
     pub(super) async fn call(&self, target: SocketAddr, tick: &Tick) -> Sample {
         let shape = &self.load.shapes[tick.shape].0;
         let id = format!("{:x}-{}", self.load.seed, tick.index);
         let key = matches!(shape, Shape::Keyed { .. }).then(|| format!("key-{id}"));
-        // The semaphore is never closed; without a permit the call goes on all the same.
-        let _room = self.room.acquire().await.ok();
+        // The semaphore is never closed, so acquiring a permit does not fail.
+        let _permit = self.permits.acquire().await.ok();
         let sent = Instant::now();
         let mut retries = 0;
         let answer = loop {
-            let answer = self.try_once(target, shape, &id, key.as_deref()).await;
-            match pause(&answer, shape, &id, retries) {
-                Some(pause) if retries < self.load.retries => sleep(pause).await,
+            let answer = self.send_once(target, shape, &id, key.as_deref()).await;
+            match retry_delay(&answer, shape, &id, retries) {
+                Some(delay) if retries < self.load.retries => sleep(delay).await,
                 _ => break answer,
             }
             retries += 1;
@@ -67,23 +67,23 @@
         }
     }
 
-    async fn try_once(
+    async fn send_once(
         &self,
         target: SocketAddr,
         shape: &Shape,
         id: &str,
         key: Option<&str>,
-    ) -> Answer {
+    ) -> AttemptResult {
         let limit = Duration::from_millis(self.load.timeout_ms);
-        let asked = async {
+        let exchange = async {
             let request = self.request(target, shape, id, key).ok()?;
-            let answer = self.client.request(request).await.ok()?;
-            Some(Answer::read(answer, shape, id).await)
+            let response = self.client.request(request).await.ok()?;
+            Some(AttemptResult::read(response, shape, id).await)
         };
-        match timeout(limit, asked).await {
+        match timeout(limit, exchange).await {
             Ok(Some(answer)) => answer,
-            Ok(None) => Answer::from(Verdict::Unanswered),
-            Err(_) => Answer::from(Verdict::Timeout),
+            Ok(None) => AttemptResult::from(Verdict::Unanswered),
+            Err(_) => AttemptResult::from(Verdict::Timeout),
         }
     }
 
@@ -117,6 +117,6 @@
         let content = Content::new(id, bytes);
         request
             .header(CONTENT_LENGTH, content.len())
-            .body(Body::new(Stream::new(content, None, || {})))
+            .body(Body::new(ContentBody::new(content, None, || {})))
     }
 }
--- a/crates/swiftcart-standin/src/load/check.rs
+++ b/crates/swiftcart-standin/src/load/check.rs
@@ -1,4 +1,4 @@
-//! Checks that an answer is whole and the caller's own.
+//! Checks that a response is complete and belongs to the request.
 
 use std::time::{Duration, Instant};
 
@@ -10,28 +10,28 @@
 use serde::Deserialize;
 
 use super::Shape;
-use crate::content::{Checker, Content};
+use crate::content::{BodyChecker, Content};
 use crate::headers::{DIGEST, OUTCOME, REASON, text};
 
-/// Bytes of a receipt that are kept; a longer one is corrupt.
-const RECEIPT_BYTES: usize = 64 * 1024;
+/// Maximum size of a receipt in bytes; a longer receipt counts as corrupt.
+const MAX_RECEIPT_BYTES: usize = 64 * 1024;
 
-/// Tells what came back for a call.
+/// Classification of the result of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Verdict {
-    /// A success, whole and the caller's own.
+    /// A complete success response that belongs to the request.
     Good,
-    /// An answer with another status than a success.
+    /// A complete response with a status other than 2xx.
     Refused,
-    /// A success that answers another request.
+    /// A success response that belongs to another request.
     Foreign,
-    /// A success whose bytes are not those that were sent.
+    /// A success response with an unexpected length or digest, or a malformed receipt.
     Corrupt,
-    /// A body that broke off.
+    /// A response whose body ended early.
     Broken,
-    /// No connection, or one that broke before the answer.
+    /// No connection, or a connection that failed before the response headers arrived.
     Unanswered,
-    /// No answer in time.
+    /// No complete response within the request timeout.
     Timeout,
 }
 
@@ -49,34 +49,34 @@
     }
 }
 
-/// Holds what one try brought.
+/// Result of one attempt of a call.
 #[derive(Debug)]
-pub(super) struct Answer {
+pub(super) struct AttemptResult {
     pub(super) verdict: Verdict,
     pub(super) status: Option<u16>,
     pub(super) outcome: Option<String>,
     pub(super) reason: Option<String>,
     pub(super) retry_after: Option<Duration>,
-    /// When its last byte was there, or the waiting ended.
+    /// Time when the last byte arrived or the attempt failed.
     pub(super) end: Instant,
 }
 
-impl Answer {
-    /// Reads an answer to its end and checks it against the request.
-    pub(super) async fn read(answer: Response<Incoming>, shape: &Shape, id: &str) -> Self {
-        let (head, body) = answer.into_parts();
-        let mut reading = Reading::new(id);
-        let whole = reading.read(body).await;
+impl AttemptResult {
+    /// Reads a response to its end and checks it against the request.
+    pub(super) async fn read(response: Response<Incoming>, shape: &Shape, id: &str) -> Self {
+        let (head, body) = response.into_parts();
+        let mut reader = BodyReader::new(id);
+        let complete = reader.read(body).await;
         let end = Instant::now();
         let verdict = match shape {
-            _ if !whole => Verdict::Broken,
+            _ if !complete => Verdict::Broken,
             _ if !head.status.is_success() => Verdict::Refused,
-            Shape::Read { bytes, .. } => reading.check_read(&head, &Content::new(id, *bytes)),
+            Shape::Read { bytes, .. } => reader.check_read(&head, &Content::new(id, *bytes)),
             Shape::Keyed { bytes, .. }
             | Shape::Post { bytes, .. }
             | Shape::Upload { bytes, .. } => {
                 let sent = Content::new(id, *bytes);
-                reading.check_receipt(id, &sent).await
+                reader.check_receipt(id, &sent).await
             }
         };
         Self {
@@ -90,7 +90,7 @@
     }
 }
 
-impl From<Verdict> for Answer {
+impl From<Verdict> for AttemptResult {
     fn from(verdict: Verdict) -> Self {
         Self {
             verdict,
@@ -103,7 +103,7 @@
     }
 }
 
-/// The backend server's receipt for a body.
+/// Receipt of the backend server for a request body.
 #[derive(Debug, Deserialize)]
 struct Receipt {
     id: String,
@@ -111,27 +111,27 @@
     digest: String,
 }
 
-/// Takes in a body: hashes all of it and keeps its start.
-struct Reading {
-    checker: Checker,
-    start: Vec<u8>,
+/// Response body reader that hashes the whole body and keeps its first bytes.
+struct BodyReader {
+    checker: BodyChecker,
+    prefix: Vec<u8>,
 }
 
-impl Reading {
+impl BodyReader {
     fn new(id: &str) -> Self {
         Self {
-            checker: Checker::new(id),
-            start: Vec::new(),
+            checker: BodyChecker::new(id),
+            prefix: Vec::new(),
         }
     }
 
-    /// Reads `body` and returns whether it came to its end.
+    /// Reads `body` and returns `true` if it is complete.
     async fn read(&mut self, mut body: Incoming) -> bool {
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
             if let Some(data) = frame.data_ref() {
-                let room = RECEIPT_BYTES - self.start.len();
-                self.start.extend(data.iter().take(room));
+                let remaining = MAX_RECEIPT_BYTES - self.prefix.len();
+                self.prefix.extend(data.iter().take(remaining));
                 self.checker.update(data);
             }
         }
@@ -141,7 +141,7 @@
     fn check_read(&self, head: &Parts, sent: &Content) -> Verdict {
         let digest = text(&head.headers, DIGEST);
         match digest {
-            _ if !self.checker.is_own() => Verdict::Foreign,
+            _ if !self.checker.matches_id() => Verdict::Foreign,
             Some(d) if self.checker.len() == sent.len() && d == self.checker.digest() => {
                 Verdict::Good
             }
@@ -150,7 +150,7 @@
     }
 
     async fn check_receipt(&self, id: &str, sent: &Content) -> Verdict {
-        match serde_json::from_slice::<Receipt>(&self.start) {
+        match serde_json::from_slice::<Receipt>(&self.prefix) {
             Ok(receipt) if receipt.id != id => Verdict::Foreign,
             Ok(receipt) if receipt.bytes != sent.len() => Verdict::Corrupt,
             Ok(receipt) if receipt.digest == sent.digest().await => Verdict::Good,
--- a/crates/swiftcart-standin/src/load/report.rs
+++ b/crates/swiftcart-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load brought, counted and measured.
+//! Counts and latencies of a load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,117 +9,117 @@
 use super::call::Sample;
 use super::check::Verdict;
 
-/// Names that each map of counts keeps; later ones are counted under [`OTHER`].
-const NAMES: usize = 64;
+/// Maximum number of names in a map of counts; further names are counted as [`OTHER`].
+const MAX_NAMES: usize = 64;
 const OTHER: &str = "other";
 
-/// Longest latency that is told apart, in microseconds: one hour.
-const LONGEST_US: u64 = 3_600_000_000;
-const DIGITS: u8 = 3;
+/// Highest latency that the histograms distinguish, in microseconds: one hour.
+const MAX_LATENCY_US: u64 = 3_600_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Holds quantiles in microseconds.
+/// Summary of a latency distribution, in microseconds.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// How many were measured.
+    /// Number of samples.
     pub count: u64,
-    /// The mean.
+    /// Mean.
     pub mean: f64,
-    /// The median.
+    /// Median.
     pub p50: u64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99: u64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile.
     pub p999: u64,
-    /// The greatest.
+    /// Maximum.
     pub max: u64,
 }
 
-/// Holds what became of one request.
+/// Result of one request as its caller saw it.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
-    /// The caller's id.
+pub struct CallRecord {
+    /// Request id that the caller set.
     pub id: String,
-    /// The idempotency key, if it had one.
+    /// Idempotency key, if the request has one.
     pub key: Option<String>,
-    /// Index of its shape in the mix.
+    /// Index of the request's shape in [`Load::shapes`](super::Load::shapes).
     pub shape: usize,
-    /// What came back: `good`, `refused`, `foreign`, `corrupt`, `broken`, `unanswered` or
-    /// `timeout`.
+    /// Classification of the result: `good`, `refused`, `foreign`, `corrupt`, `broken`,
+    /// `unanswered` or `timeout`.
     pub verdict: String,
-    /// The status of the last answer.
+    /// HTTP status of the last response.
     pub status: Option<u16>,
-    /// The last answer's `Swiftcart-Outcome`.
+    /// `Swiftcart-Outcome` header of the last response.
     pub outcome: Option<String>,
-    /// The last answer's `Swiftcart-Reason`.
+    /// `Swiftcart-Reason` header of the last response.
     pub reason: Option<String>,
-    /// How often it was sent again.
+    /// Number of retries.
     pub retries: u32,
 }
 
-/// Holds the counts and latencies of one load.
+/// Counts and latencies of one load.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Requests that were due.
+    /// Requests scheduled for sending, including unsent ones.
     pub offered: u64,
-    /// Requests not sent because too many were pending.
+    /// Requests not sent because the limit of pending requests was reached.
     pub unsent: u64,
-    /// Repeats.
+    /// Retries of all requests.
     pub retries: u64,
-    /// Answers that were successes, whole and the caller's own.
+    /// Success responses that are complete and belong to their request.
     pub good: u64,
-    /// Seconds over which requests were sent.
+    /// Duration of sending in seconds.
     pub seconds: f64,
-    /// Good answers for each second of sending.
+    /// Good responses per second of sending.
     pub goodput: f64,
-    /// Requests by what came back: `good`, `refused`, `foreign`, `corrupt`, `broken`,
+    /// Requests by classification: `good`, `refused`, `foreign`, `corrupt`, `broken`,
     /// `unanswered`, `timeout`.
     pub verdicts: BTreeMap<String, u64>,
-    /// Answers by status.
+    /// Responses by HTTP status.
     pub statuses: BTreeMap<String, u64>,
-    /// Answers by `Swiftcart-Outcome`.
+    /// Responses by `Swiftcart-Outcome`.
     pub outcomes: BTreeMap<String, u64>,
-    /// Answers by `Swiftcart-Reason`.
+    /// Responses by `Swiftcart-Reason`.
     pub reasons: BTreeMap<String, u64>,
-    /// Good answers: from the intended time to the answer's end.
+    /// Latency of good responses, from the scheduled send time to the end of the response.
     pub latency_us: Quantiles,
-    /// Everything else: from the intended time to the end of waiting.
+    /// Latency of all other requests, from the scheduled send time to the end of the last attempt.
     pub failure_us: Quantiles,
-    /// Good answers: from the sending to the answer's end.
+    /// Latency of good responses, from the first attempt to the end of the response.
     pub since_send_us: Quantiles,
-    /// Good answers by the index of their shape in the mix: from the intended time.
+    /// Latency of good responses from the scheduled send time, by the index of the shape.
     pub shapes_us: BTreeMap<usize, Quantiles>,
-    /// The first requests to end, as many as the load keeps.
-    pub told: Vec<Told>,
+    /// Records of the first requests that ended, up to the load's `keep`.
+    pub told: Vec<CallRecord>,
 }
 
-/// Holds two reports of one interleaved run.
+/// Reports of the two target groups of one interleaved run.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Comparison {
-    /// The load's own targets.
+    /// Report of the load's `targets`.
     pub a: Report,
-    /// The other targets.
+    /// Report of the `others`.
     pub b: Report,
 }
 
-/// Collects the samples of one group of targets.
+/// Accumulated samples of one group of targets.
 #[derive(Debug, Default)]
 pub(super) struct Tally {
     pub(super) offered: u64,
     pub(super) unsent: u64,
     keep: usize,
     report: Report,
-    latency: Micros,
-    failure: Micros,
-    since_send: Micros,
-    shapes: BTreeMap<usize, Micros>,
+    latency: LatencyHistogram,
+    failure: LatencyHistogram,
+    since_send: LatencyHistogram,
+    shapes: BTreeMap<usize, LatencyHistogram>,
 }
 
-/// Histogram of microseconds, allocated with its first value.
+/// Latency histogram in microseconds, allocated when the first value is recorded.
 #[derive(Debug, Default)]
-struct Micros(Option<Histogram<u64>>);
+struct LatencyHistogram(Option<Histogram<u64>>);
 
 impl Tally {
-    /// Creates a tally that keeps up to `keep` requests.
+    /// Creates a tally that keeps the records of up to `keep` requests.
     pub(super) fn new(keep: usize) -> Self {
         Self {
             keep,
@@ -131,13 +131,13 @@
         let answer = &sample.answer;
         let report = &mut self.report;
         report.retries += u64::from(sample.retries);
-        bump(&mut report.verdicts, Some(answer.verdict.as_str()));
-        bump(
+        increment(&mut report.verdicts, Some(answer.verdict.as_str()));
+        increment(
             &mut report.statuses,
             answer.status.map(|s| s.to_string()).as_deref(),
         );
-        bump(&mut report.outcomes, answer.outcome.as_deref());
-        bump(&mut report.reasons, answer.reason.as_deref());
+        increment(&mut report.outcomes, answer.outcome.as_deref());
+        increment(&mut report.reasons, answer.reason.as_deref());
         match answer.verdict {
             Verdict::Good => {
                 report.good += 1;
@@ -151,12 +151,12 @@
             _ => self.failure.record(sample.latency),
         }
         if report.told.len() < self.keep {
-            report.told.push(Told::from(sample));
+            report.told.push(CallRecord::from(sample));
         }
     }
 
-    pub(super) fn report(self, span: Duration) -> Report {
-        let seconds = span.as_secs_f64();
+    pub(super) fn report(self, duration: Duration) -> Report {
+        let seconds = duration.as_secs_f64();
         Report {
             offered: self.offered,
             unsent: self.unsent,
@@ -175,7 +175,7 @@
     }
 }
 
-impl From<Sample> for Told {
+impl From<Sample> for CallRecord {
     fn from(sample: Sample) -> Self {
         Self {
             id: sample.id,
@@ -190,12 +190,12 @@
     }
 }
 
-impl Micros {
+impl LatencyHistogram {
     fn record(&mut self, time: Duration) {
-        let us = u64::try_from(time.as_micros()).unwrap_or(LONGEST_US);
+        let us = u64::try_from(time.as_micros()).unwrap_or(MAX_LATENCY_US);
         if self.0.is_none() {
-            // The bounds are constants that the library accepts.
-            self.0 = Histogram::new_with_max(LONGEST_US, DIGITS).ok();
+            // These constant bounds are valid for the library, so creation does not fail.
+            self.0 = Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok();
         }
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record(us);
@@ -216,9 +216,9 @@
     }
 }
 
-fn bump(counts: &mut BTreeMap<String, u64>, name: Option<&str>) {
+fn increment(counts: &mut BTreeMap<String, u64>, name: Option<&str>) {
     let Some(name) = name else { return };
-    let full = counts.len() >= NAMES && !counts.contains_key(name);
+    let full = counts.len() >= MAX_NAMES && !counts.contains_key(name);
     let name = if full { OTHER } else { name };
     match counts.get_mut(name) {
         Some(n) => *n += 1,
--- a/crates/swiftcart-standin/src/load/schedule.rs
+++ b/crates/swiftcart-standin/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! The intended time and the shape of every request, fixed by the seed.
+//! Schedule of a load: the send time and the shape of every request, determined by the seed.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -9,27 +9,27 @@
 
 use super::Load;
 
-/// Ticks under way between the clock's thread and the runtime.
-const AHEAD: usize = 1024;
+/// Capacity of the channel from the timer thread to the runtime, in ticks.
+const CHANNEL_CAPACITY: usize = 1024;
 
-/// Says that a request is due.
+/// Request that is due for sending.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Tick {
     pub(super) index: u64,
-    /// When it should be sent.
+    /// Scheduled send time.
     pub(super) due: Instant,
-    /// Which shape it has.
+    /// Index of the request's shape.
     pub(super) shape: usize,
 }
 
-/// Draws the ticks of a load.
+/// Generator of the ticks of a load.
 pub(super) struct Schedule {
     rng: SmallRng,
     weights: Vec<u32>,
     total: u32,
     gap: Duration,
     poisson: bool,
-    span: Duration,
+    duration: Duration,
 }
 
 impl Schedule {
@@ -41,19 +41,20 @@
             weights,
             gap: Duration::from_secs_f64(1.0 / load.rate),
             poisson: load.poisson,
-            span: load.span(),
+            duration: load.duration(),
         }
     }
 
-    /// Sends each tick when it is due, from a thread: the runtime's timer is only good
-    /// to a millisecond.
+    /// Starts a thread that sends each tick when it is due.
+    ///
+    /// A thread is used because the runtime's timer has a resolution of one millisecond.
     pub(super) fn start(mut self) -> mpsc::Receiver<Tick> {
-        let (sender, ticks) = mpsc::channel(AHEAD);
+        let (sender, ticks) = mpsc::channel(CHANNEL_CAPACITY);
         let start = Instant::now();
         thread::spawn(move || {
             let mut after = Duration::ZERO;
             for index in 0.. {
-                if after >= self.span {
+                if after >= self.duration {
                     return;
                 }
                 let tick = Tick {
--- a/crates/swiftcart-standin/src/load/settings.rs
+++ b/crates/swiftcart-standin/src/load/settings.rs
@@ -1,4 +1,4 @@
-//! What the callers send, to whom, and how often.
+//! Settings of a load: targets, request mix, rate and limits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use super::Shape;
 use crate::Error;
 
-/// Describes an open-loop load; [`Load::run`] carries it out.
+/// Settings of an open-loop load; [`Load::run`] executes it.
 ///
-/// The requests' times are fixed beforehand: a slow answer delays no later request, and
-/// latency counts from the intended time.
+/// The send times are scheduled in advance: a slow response does not delay later requests, and
+/// latency is measured from the scheduled send time.
 ///
 /// # Examples
 ///
@@ -29,36 +29,38 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// The ingress addresses, called in turn.
+    /// Ingress addresses, called in round-robin order.
     pub targets: Vec<SocketAddr>,
-    /// A second set of targets for a comparison (program only).
+    /// Second group of targets for a comparison; only the load program reads it.
     pub others: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long requests are sent, in milliseconds.
+    /// Duration of sending, in milliseconds.
     pub duration_ms: u64,
-    /// Draws exponential gaps (Poisson arrivals) in place of even ones.
+    /// Poisson arrivals (exponential gaps) instead of a constant gap.
     pub poisson: bool,
-    /// Seed of the mix, the gaps and the ids; two runs that share a log need two seeds.
+    /// Seed of the mix, the gaps and the request ids. Two runs that share a log need different
+    /// seeds, since equal seeds give equal ids.
     pub seed: u64,
-    /// The mix: shapes with their weights.
+    /// Request mix: shapes with their weights.
     pub shapes: Vec<(Shape, u32)>,
-    /// Requests in flight at most, hence also connections in use.
+    /// Maximum number of requests in flight, and so also of connections in use.
     pub connections: usize,
-    /// Requests sent or waiting for a connection at most; those beyond count as unsent.
+    /// Maximum number of requests in flight or waiting for a connection; further requests count
+    /// as unsent.
     pub pending: usize,
-    /// Time for one request, in milliseconds.
+    /// Timeout of one attempt, in milliseconds.
     pub timeout_ms: u64,
-    /// Sent as `Swiftcart-Deadline-Ms` when above zero.
+    /// Deadline sent as `Swiftcart-Deadline-Ms`; 0 sends none.
     pub deadline_ms: u64,
-    /// Times that a request is sent again, as a caller would; 0 honours no `Retry-After`.
+    /// Maximum number of retries of a request. With 0, `Retry-After` is ignored.
     pub retries: u32,
-    /// Requests, counted as they end, whose ids and outcomes are kept in the report.
+    /// Maximum number of call records in the report; the first requests to end are recorded.
     pub keep: usize,
 }
 
 impl Load {
-    /// Creates a load of 100 requests a second for one second; add a shape.
+    /// Creates a load of 100 requests per second for one second, without a shape.
     #[must_use]
     pub const fn new(targets: Vec<SocketAddr>) -> Self {
         Self {
@@ -78,49 +80,49 @@
         }
     }
 
-    /// Sets the requests a second.
+    /// Sets the number of requests per second.
     #[must_use]
     pub const fn with_rate(mut self, rate: f64) -> Self {
         self.rate = rate;
         self
     }
 
-    /// Sets how long requests are sent, in milliseconds.
+    /// Sets the duration of sending, in milliseconds.
     #[must_use]
     pub const fn with_duration_ms(mut self, ms: u64) -> Self {
         self.duration_ms = ms;
         self
     }
 
-    /// Sets whether gaps are exponential.
+    /// Enables or disables Poisson arrivals.
     #[must_use]
     pub const fn with_poisson(mut self, poisson: bool) -> Self {
         self.poisson = poisson;
         self
     }
 
-    /// Sets the seed.
+    /// Sets the seed of the mix, the gaps and the request ids.
     #[must_use]
     pub const fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Adds a shape to the mix.
+    /// Adds a shape with its weight to the mix.
     #[must_use]
     pub fn with_shape(mut self, shape: Shape, weight: u32) -> Self {
         self.shapes.push((shape, weight));
         self
     }
 
-    /// Sets the requests in flight at most.
+    /// Sets the maximum number of requests in flight.
     #[must_use]
     pub const fn with_connections(mut self, connections: usize) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Sets the time for one request in milliseconds.
+    /// Sets the timeout of one attempt, in milliseconds.
     #[must_use]
     pub const fn with_timeout_ms(mut self, ms: u64) -> Self {
         self.timeout_ms = ms;
@@ -134,26 +136,26 @@
         self
     }
 
-    /// Sets how often a request is sent again.
+    /// Sets the maximum number of retries of a request.
     #[must_use]
     pub const fn with_retries(mut self, retries: u32) -> Self {
         self.retries = retries;
         self
     }
 
-    /// Sets the requests whose ids and outcomes are kept.
+    /// Sets the maximum number of call records in the report.
     #[must_use]
     pub const fn with_keep(mut self, keep: usize) -> Self {
         self.keep = keep;
         self
     }
 
-    /// Returns how long requests are sent.
-    pub(super) const fn span(&self) -> Duration {
+    /// Returns the duration of sending.
+    pub(super) const fn duration(&self) -> Duration {
         Duration::from_millis(self.duration_ms)
     }
 
-    pub(super) fn check(&self, groups: &[Vec<SocketAddr>]) -> Result<(), Error> {
+    pub(super) fn validate(&self, groups: &[Vec<SocketAddr>]) -> Result<(), Error> {
         let weight: u64 = self.shapes.iter().map(|(_, w)| u64::from(*w)).sum();
         match () {
             () if groups.iter().any(Vec::is_empty) => Err(Error::Load("add a target")),
@@ -161,7 +163,7 @@
             () if !self.rate.is_normal() || self.rate < 0.0 => {
                 Err(Error::Load("set a rate above zero"))
             }
-            () if self.connections == 0 => Err(Error::Load("allow a connection")),
+            () if self.connections == 0 => Err(Error::Load("allow at least one connection")),
             () => Ok(()),
         }
     }
--- a/crates/swiftcart-standin/src/load/shape.rs
+++ b/crates/swiftcart-standin/src/load/shape.rs
@@ -1,46 +1,46 @@
-//! One kind of request in the mix.
+//! Kinds of requests in the mix of a load.
 
 use serde::{Deserialize, Serialize};
 
-/// Tells how one kind of request looks; its bodies are made and checked by the stand-ins.
+/// Kind of request in the mix of a load; the stand-ins generate and verify its bodies.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Shape {
-    /// A `GET` whose answer has `bytes` bytes.
+    /// A `GET` whose response body has `bytes` bytes.
     Read {
-        /// The path without a query.
+        /// Path without a query.
         path: String,
-        /// Length of the answer.
+        /// Length of the response body in bytes.
         bytes: u64,
     },
-    /// A `POST` with an idempotency key of its own.
+    /// A `POST` with a unique idempotency key.
     Keyed {
-        /// The path.
+        /// Path.
         path: String,
-        /// Length of the body.
+        /// Length of the request body in bytes.
         bytes: u64,
     },
-    /// A `POST` without a key.
+    /// A `POST` without an idempotency key.
     Post {
-        /// The path.
+        /// Path.
         path: String,
-        /// Length of the body.
+        /// Length of the request body in bytes.
         bytes: u64,
     },
     /// A `PUT` of a large body.
     Upload {
-        /// The path.
+        /// Path.
         path: String,
-        /// Length of the body.
+        /// Length of the request body in bytes.
         bytes: u64,
     },
 }
 
 impl Shape {
-    /// Length of a read's answer and of a post's body unless it is set.
+    /// Default length of a read's response body and of a post's request body, in bytes.
     pub const BYTES: u64 = 64;
 
-    /// Creates a read of a small answer.
+    /// Creates a read with a small response body.
     #[must_use]
     pub fn read(path: impl Into<String>) -> Self {
         Self::Read {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Creates a small post with a key.
+    /// Creates a small post with an idempotency key.
     #[must_use]
     pub fn keyed(path: impl Into<String>) -> Self {
         Self::Keyed {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Creates a small post without a key.
+    /// Creates a small post without an idempotency key.
     #[must_use]
     pub fn post(path: impl Into<String>) -> Self {
         Self::Post {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sets the length of the answer or the body.
+    /// Sets the length of the response body of a read, or of the request body otherwise.
     #[must_use]
     pub fn with_bytes(mut self, len: u64) -> Self {
         match &mut self {
@@ -88,8 +88,8 @@
         self
     }
 
-    /// Returns whether a caller may send it again after an unknown outcome.
-    pub(super) const fn is_repeatable(&self) -> bool {
+    /// Returns `true` if a caller may retry the request after an unknown outcome.
+    pub(super) const fn is_retryable(&self) -> bool {
         !matches!(self, Self::Post { .. })
     }
 }
--- a/crates/swiftcart-standin/src/log.rs
+++ b/crates/swiftcart-standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log, in memory, over HTTP.
+//! In-memory stand-in for the platform's append-only log, served over HTTP.
 
 mod faults;
 mod routes;
@@ -17,15 +17,15 @@
 
 use crate::Error;
 use crate::serve::Server;
-use state::Shared;
+use state::SharedState;
 
-/// Connections that the log accepts; a mesh of a thousand nodes may poll at once.
-const CONNECTIONS: usize = 8192;
+/// Maximum number of connections; a mesh of a thousand nodes may poll at the same time.
+const MAX_CONNECTIONS: usize = 8192;
 
-/// Runs the platform's log and holds its listener; dropping it kills the log.
+/// Running stand-in for the platform's log; dropping it closes all connections at once.
 #[derive(Debug)]
 pub struct Log {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     server: Server,
 }
 
@@ -45,9 +45,9 @@
     ///
     /// Returns [`Error::Listen`] when the address cannot be listened on.
     pub async fn start_with(addr: SocketAddr, settings: LogSettings) -> Result<Self, Error> {
-        let shared = Arc::new(Shared::new(settings));
+        let shared = Arc::new(SharedState::new(settings));
         let router = routes::router(shared.clone());
-        let server = Server::start(addr, CONNECTIONS, router, Arc::default()).await?;
+        let server = Server::start(addr, MAX_CONNECTIONS, router, Arc::default()).await?;
         Ok(Self { shared, server })
     }
 
@@ -57,42 +57,42 @@
         self.server.addr()
     }
 
-    /// Replaces the faults; held reads and stalled requests see it at once.
+    /// Replaces the injected faults. Long polls and stalled requests are woken to apply them.
     pub fn set_faults(&self, faults: LogFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Returns the faults in force; `lose_answers` counts down.
+    /// Returns the active faults; `lose_answers` is the number of responses still to be dropped.
     #[must_use]
     pub fn faults(&self) -> LogFaults {
         self.shared.faults()
     }
 
-    /// Moves the log's clock forward, which lets records expire.
+    /// Moves the log's clock forward, which can make records expire.
     pub fn advance(&self, by: Duration) {
         self.shared.advance(by);
     }
 
-    /// Appends a record directly, past the faults and the HTTP side, and returns its offset.
+    /// Appends a record without HTTP and without the injected faults, and returns its offset.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Append`] for a malformed stream name, an oversized record or an
-    /// append over the rate.
+    /// Returns [`Error::Append`] for a malformed stream name, an oversized record, an append over
+    /// the rate limit or too many streams.
     pub fn append(&self, stream: &str, body: &str) -> Result<u64, Error> {
         Ok(self.shared.append(stream, body)?.0)
     }
 
-    /// Returns the kept records of `stream` from offset `from`, past the faults.
+    /// Returns the retained records of `stream` from offset `from`, without the injected faults.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Append`] for a malformed stream name.
+    /// Returns [`Error::Append`] for a malformed stream name or too many streams.
     pub fn read(&self, stream: &str, from: u64) -> Result<Page, Error> {
         Ok(self.shared.read(stream, from, usize::MAX)?.0)
     }
 
-    /// Returns what the log has counted.
+    /// Returns the log's counters.
     #[must_use]
     pub fn stats(&self) -> LogStats {
         self.shared.stats()
--- a/crates/swiftcart-standin/src/log/routes.rs
+++ b/crates/swiftcart-standin/src/log/routes.rs
@@ -1,4 +1,4 @@
-//! The log's HTTP side.
+//! HTTP routes of the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::state::{RECORD_BYTES, Shared};
+use super::state::{MAX_RECORD_BYTES, SharedState};
 use super::{LogFaults, LogStats, Outage, Page, Refusal};
-use crate::serve::broken;
+use crate::serve::aborted_response;
 
-/// Records in one answer, at most.
-const LIMIT: usize = 10_000;
-const DEFAULT_LIMIT: usize = 1000;
+/// Maximum number of records in one response.
+const MAX_PAGE_RECORDS: usize = 10_000;
+const DEFAULT_PAGE_RECORDS: usize = 1000;
 
-/// Longest hold of a read in milliseconds.
-const WAIT_MS: u64 = 60_000;
-const RETRY_SECONDS: &str = "1";
+/// Maximum duration of a long poll in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+const RETRY_AFTER_SECONDS: &str = "1";
 
-pub(super) fn router(shared: Arc<Shared>) -> Router {
+pub(super) fn router(shared: Arc<SharedState>) -> Router {
     Router::new()
         .route("/v1/streams/{name}", get(read).post(append))
         .route("/standin/faults", put(set_faults).get(faults))
@@ -38,7 +38,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Ask {
+struct ReadQuery {
     #[serde(default)]
     from: u64,
     limit: Option<usize>,
@@ -58,23 +58,23 @@
     error: String,
 }
 
-/// Tells what a fault does to a request.
-enum Effect {
+/// Action of an injected fault on a request.
+enum FaultAction {
     Refuse,
     Close,
     Stall,
 }
 
 async fn append(
-    State(shared): State<Arc<Shared>>,
+    State(shared): State<Arc<SharedState>>,
     Path(name): Path<String>,
     body: Body,
 ) -> Response {
-    let body = match text(body).await {
+    let body = match read_text(body).await {
         Ok(body) => body,
-        Err(refusal) => return refuse(&shared, refusal),
+        Err(refusal) => return refusal_response(&shared, refusal),
     };
-    if let Some(answer) = suffer(&shared, &name).await {
+    if let Some(answer) = fault_response(&shared, &name).await {
         return answer;
     }
     let result = match shared.faults().late_ms {
@@ -82,24 +82,24 @@
         ms => append_late(shared.clone(), name, body, ms).await,
     };
     match result {
-        Ok(_) if shared.lose_answer() => broken(),
+        Ok(_) if shared.take_lost_answer() => aborted_response(),
         Ok((offset, at)) => {
             delay(&shared).await;
             (StatusCode::CREATED, Json(Appended { offset, at })).into_response()
         }
-        Err(refusal) => refuse(&shared, refusal),
+        Err(refusal) => refusal_response(&shared, refusal),
     }
 }
 
-/// Appends after a delay, in a task of its own: a caller that leaves does not stop it.
+/// Appends a record after a delay, in a separate task that continues if the client disconnects.
 async fn append_late(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     name: String,
     body: String,
     ms: u64,
 ) -> Result<(u64, u64), Refusal> {
     let task = tokio::spawn(async move {
-        let _held = shared.hold();
+        let _held = shared.track_held();
         sleep(Duration::from_millis(ms)).await;
         shared.append(&name, &body)
     });
@@ -107,32 +107,35 @@
 }
 
 async fn read(
-    State(shared): State<Arc<Shared>>,
+    State(shared): State<Arc<SharedState>>,
     Path(name): Path<String>,
-    ask: Result<Query<Ask>, QueryRejection>,
+    query: Result<Query<ReadQuery>, QueryRejection>,
 ) -> Response {
-    let Ok(Query(ask)) = ask else {
-        return refuse(&shared, Refusal::Body);
+    let Ok(Query(query)) = query else {
+        return refusal_response(&shared, Refusal::Body);
     };
-    let until = Instant::now() + Duration::from_millis(ask.wait.min(WAIT_MS));
-    let limit = ask.limit.unwrap_or(DEFAULT_LIMIT).min(LIMIT);
+    let deadline = Instant::now() + Duration::from_millis(query.wait.min(MAX_WAIT_MS));
+    let limit = query
+        .limit
+        .unwrap_or(DEFAULT_PAGE_RECORDS)
+        .min(MAX_PAGE_RECORDS);
     let mut faults = shared.watch_faults();
     loop {
         faults.mark_unchanged();
-        if let Some(answer) = suffer(&shared, &name).await {
+        if let Some(answer) = fault_response(&shared, &name).await {
             return answer;
         }
-        let (page, head) = match shared.read(&name, ask.from, limit) {
+        let (page, head) = match shared.read(&name, query.from, limit) {
             Ok(read) => read,
-            Err(refusal) => return refuse(&shared, refusal),
+            Err(refusal) => return refusal_response(&shared, refusal),
         };
-        let over = Instant::now() >= until;
-        if over || page.next > ask.from {
+        let expired = Instant::now() >= deadline;
+        if expired || page.next > query.from {
             return answer(&shared, &name, page).await;
         }
-        let _held = shared.hold();
-        // Neither its end nor a change needs a distinction: the loop looks again.
-        let _ = timeout_at(until, changed(head, &mut faults)).await;
+        let _held = shared.track_held();
+        // The loop checks the deadline, the faults and the stream again, whatever ended the wait.
+        let _ = timeout_at(deadline, changed(head, &mut faults)).await;
     }
 }
 
@@ -143,31 +146,31 @@
     }
 }
 
-async fn answer(shared: &Shared, name: &str, page: Page) -> Response {
+async fn answer(shared: &SharedState, name: &str, page: Page) -> Response {
     shared.count_read(name, &page);
     delay(shared).await;
     Json(page).into_response()
 }
 
 async fn set_faults(
-    State(shared): State<Arc<Shared>>,
+    State(shared): State<Arc<SharedState>>,
     Json(faults): Json<LogFaults>,
 ) -> StatusCode {
     shared.set_faults(faults);
     StatusCode::NO_CONTENT
 }
 
-async fn faults(State(shared): State<Arc<Shared>>) -> Json<LogFaults> {
+async fn faults(State(shared): State<Arc<SharedState>>) -> Json<LogFaults> {
     Json(shared.faults())
 }
 
-async fn stats(State(shared): State<Arc<Shared>>) -> Json<LogStats> {
+async fn stats(State(shared): State<Arc<SharedState>>) -> Json<LogStats> {
     Json(shared.stats())
 }
 
-/// Reads a record's body within the bound.
-async fn text(body: Body) -> Result<String, Refusal> {
-    let bytes = Limited::new(body, RECORD_BYTES)
+/// Reads the body of a record as text, up to the maximum record size.
+async fn read_text(body: Body) -> Result<String, Refusal> {
+    let bytes = Limited::new(body, MAX_RECORD_BYTES)
         .collect()
         .await
         .map_err(|err| match err.is::<LengthLimitError>() {
@@ -178,38 +181,40 @@
     String::from_utf8(bytes.into()).map_err(|_| Refusal::Body)
 }
 
-/// Returns the answer that a fault in force gives, if there is one.
-async fn suffer(shared: &Shared, name: &str) -> Option<Response> {
-    match effect(&shared.faults(), name)? {
-        Effect::Refuse => Some(refuse(shared, Refusal::Outage)),
-        Effect::Close => Some(broken()),
-        Effect::Stall => {
-            let _held = shared.hold();
-            // The sender lives in `shared`, so that waiting ends by the fault's end only.
+/// Returns the response that an active fault imposes, if any.
+async fn fault_response(shared: &SharedState, name: &str) -> Option<Response> {
+    match fault_action(&shared.faults(), name)? {
+        FaultAction::Refuse => Some(refusal_response(shared, Refusal::Outage)),
+        FaultAction::Close => Some(aborted_response()),
+        FaultAction::Stall => {
+            let _held = shared.track_held();
+            // `shared` owns the sender, so the wait ends only when the fault is cleared.
             let _ = shared.watch_faults().wait_for(|f| !f.stall).await;
-            Some(broken())
+            Some(aborted_response())
         }
     }
 }
 
-fn effect(faults: &LogFaults, name: &str) -> Option<Effect> {
+fn fault_action(faults: &LogFaults, name: &str) -> Option<FaultAction> {
     match faults.outage {
-        _ if faults.stall => Some(Effect::Stall),
-        Outage::Unavailable => Some(Effect::Refuse),
-        Outage::Closed => Some(Effect::Close),
-        Outage::None if faults.refuse_streams.iter().any(|s| s == name) => Some(Effect::Refuse),
+        _ if faults.stall => Some(FaultAction::Stall),
+        Outage::Unavailable => Some(FaultAction::Refuse),
+        Outage::Closed => Some(FaultAction::Close),
+        Outage::None if faults.refuse_streams.iter().any(|s| s == name) => {
+            Some(FaultAction::Refuse)
+        }
         Outage::None => None,
     }
 }
 
-async fn delay(shared: &Shared) {
+async fn delay(shared: &SharedState) {
     match shared.faults().delay_ms {
         0 => {}
         ms => sleep(Duration::from_millis(ms)).await,
     }
 }
 
-fn refuse(shared: &Shared, refusal: Refusal) -> Response {
+fn refusal_response(shared: &SharedState, refusal: Refusal) -> Response {
     shared.count_refusal(refusal);
     let status = match refusal {
         Refusal::Name | Refusal::Body => StatusCode::BAD_REQUEST,
@@ -223,7 +228,7 @@
     });
     match refusal {
         Refusal::Rate | Refusal::Outage => {
-            (status, [(RETRY_AFTER, RETRY_SECONDS)], body).into_response()
+            (status, [(RETRY_AFTER, RETRY_AFTER_SECONDS)], body).into_response()
         }
         _ => (status, body).into_response(),
     }
--- a/crates/swiftcart-standin/src/log/settings.rs
+++ b/crates/swiftcart-standin/src/log/settings.rs
@@ -1,23 +1,23 @@
-//! The log's bounds.
+//! Limits of the log.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Holds the log's bounds: retention, record counts and the append rate.
+/// Limits of the log: retention, number of records and append rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Age in milliseconds at which records expire.
+    /// Retention period of records in milliseconds.
     pub retention_ms: u64,
-    /// Records kept for each stream; older ones expire early.
+    /// Maximum number of records per stream; an append beyond it evicts the oldest record.
     pub records: usize,
-    /// Appends a second over all streams; as many may come at once.
+    /// Maximum appends per second over all streams; also the burst size.
     pub append_rate: u32,
 }
 
 impl LogSettings {
-    /// Creates the default bounds: a day, a million records, 300 appends a second.
+    /// Creates the default limits: one day, a million records, 300 appends per second.
     #[must_use]
     pub const fn new() -> Self {
         Self {
@@ -27,21 +27,21 @@
         }
     }
 
-    /// Sets the age at which records expire.
+    /// Sets the retention period of records.
     #[must_use]
     pub const fn with_retention(mut self, age: Duration) -> Self {
         self.retention_ms = age.as_millis() as u64;
         self
     }
 
-    /// Sets the records kept for each stream.
+    /// Sets the maximum number of records per stream.
     #[must_use]
     pub const fn with_records(mut self, records: usize) -> Self {
         self.records = records;
         self
     }
 
-    /// Sets the appends a second over all streams.
+    /// Sets the maximum appends per second over all streams.
     #[must_use]
     pub const fn with_append_rate(mut self, rate: u32) -> Self {
         self.append_rate = rate;
--- a/crates/swiftcart-standin/src/log/state.rs
+++ b/crates/swiftcart-standin/src/log/state.rs
@@ -1,4 +1,4 @@
-//! The streams, the append rate, the clock and the faults that the routes share.
+//! State shared by the routes: the streams, the append rate limit, the clock and the faults.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -12,47 +12,47 @@
 use super::stream::Stream;
 use super::{LogFaults, LogSettings, Page, StreamStats};
 
-/// Largest body of a record in bytes.
-pub(super) const RECORD_BYTES: usize = 256 * 1024;
+/// Maximum size of a record's body in bytes.
+pub(super) const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Streams that the log keeps.
-const STREAMS: usize = 4096;
-const NAME_BYTES: usize = 128;
+/// Maximum number of streams.
+const MAX_STREAMS: usize = 4096;
+const MAX_NAME_BYTES: usize = 128;
 
 quick_error! {
-    /// Tells why the log refuses a request.
+    /// Reason why the log rejects a request.
     #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
     #[non_exhaustive]
     pub enum Refusal {
-        /// The stream's name is empty, too long or has other characters than `[A-Za-z0-9._-]`.
+        /// The stream name is empty, too long or contains characters other than `[A-Za-z0-9._-]`.
         Name {
-            display("malformed stream name; use 1 to 128 of [A-Za-z0-9._-]")
+            display("malformed stream name; use 1 to 128 characters of [A-Za-z0-9._-]")
         }
-        /// The body is not UTF-8 or broke off.
+        /// The body is not UTF-8 or ended early, or the query is malformed.
         Body {
-            display("malformed body; send UTF-8")
+            display("malformed request; send a complete UTF-8 body and a valid query")
         }
-        /// The record is over 256 KiB.
+        /// The record is larger than 256 KiB.
         Size {
-            display("record over 256 KiB; split it")
+            display("record larger than 256 KiB; split the record")
         }
-        /// The append comes over the rate.
+        /// The append exceeds the rate limit.
         Rate {
-            display("over the append rate; come back later")
+            display("append rate limit exceeded; retry later")
         }
-        /// The log has as many streams as it keeps.
+        /// The log has reached its maximum number of streams.
         Streams {
-            display("too many streams; use those that exist")
+            display("too many streams; use an existing stream")
         }
-        /// The log is out of service, by a fault.
+        /// The log is unavailable because of an injected fault.
         Outage {
-            display("out of service; come back later")
+            display("log unavailable; retry later")
         }
     }
 }
 
 impl Refusal {
-    /// Returns the name used in the stats.
+    /// Returns the name used in statistics and responses.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -66,35 +66,35 @@
     }
 }
 
-/// Holds what the log has counted; `GET /standin/stats` answers it.
+/// Counters of the log, as returned by `GET /standin/stats`.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStats {
-    /// Counts of each stream, by name.
+    /// Counters of each stream, by name.
     pub streams: BTreeMap<String, StreamStats>,
-    /// Refusals by reason.
+    /// Rejected requests by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Appends that took effect and lost their answer.
+    /// Appends that were executed and whose response was dropped.
     pub lost_answers: u64,
-    /// Requests held now: long polls, stalled and late ones.
+    /// Requests that are currently waiting: long polls, stalled requests and delayed appends.
     pub held: u64,
 }
 
-/// Holds all that the routes share.
+/// State shared by the routes.
 #[derive(Debug)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     settings: LogSettings,
     state: Mutex<State>,
     faults: watch::Sender<LogFaults>,
-    /// Milliseconds that the clock was moved forward.
+    /// Offset of the log's clock from the system clock, in milliseconds.
     skew: AtomicU64,
     held: AtomicU64,
 }
 
-/// Counts a request as held while it exists.
+/// Guard that counts a request as waiting until it is dropped.
 #[derive(Debug)]
-pub(super) struct Held<'a>(&'a AtomicU64);
+pub(super) struct HeldGuard<'a>(&'a AtomicU64);
 
-impl Drop for Held<'_> {
+impl Drop for HeldGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Relaxed);
     }
@@ -103,23 +103,23 @@
 #[derive(Debug)]
 struct State {
     streams: BTreeMap<String, Stream>,
-    bucket: Bucket,
+    bucket: TokenBucket,
     refused: BTreeMap<Refusal, u64>,
     lost_answers: u64,
 }
 
-/// Bounds the append rate: holds at most one second's appends.
+/// Token bucket that limits the append rate; its capacity is one second's appends.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    filled: u64,
+    refilled_ms: u64,
 }
 
-impl Shared {
+impl SharedState {
     pub(super) fn new(settings: LogSettings) -> Self {
-        let bucket = Bucket {
+        let bucket = TokenBucket {
             tokens: f64::from(settings.append_rate),
-            filled: unix_ms(),
+            refilled_ms: unix_ms(),
         };
         Self {
             settings,
@@ -152,14 +152,14 @@
         self.skew.fetch_add(ms, Relaxed);
     }
 
-    /// Counts a request as held until the result is dropped.
-    pub(super) fn hold(&self) -> Held<'_> {
+    /// Counts a request as waiting until the returned guard is dropped.
+    pub(super) fn track_held(&self) -> HeldGuard<'_> {
         self.held.fetch_add(1, Relaxed);
-        Held(&self.held)
+        HeldGuard(&self.held)
     }
 
-    /// Takes one of the answers to lose and returns whether there was one.
-    pub(super) fn lose_answer(&self) -> bool {
+    /// Consumes one of the responses to be dropped and returns `true` if there was one.
+    pub(super) fn take_lost_answer(&self) -> bool {
         let lost = self.faults.send_if_modified(|f| match f.lose_answers {
             0 => false,
             n => {
@@ -177,7 +177,7 @@
     pub(super) fn append(&self, name: &str, body: &str) -> Result<(u64, u64), Refusal> {
         let now = self.now();
         let mut state = self.state();
-        if body.len() > RECORD_BYTES {
+        if body.len() > MAX_RECORD_BYTES {
             return Err(Refusal::Size);
         }
         state.stream(name)?;
@@ -188,7 +188,7 @@
         Ok((offset, now))
     }
 
-    /// Reads a page and returns it with the means to wait for later records.
+    /// Reads a page and returns it with a receiver that is notified of later appends.
     pub(super) fn read(
         &self,
         name: &str,
@@ -249,8 +249,8 @@
     fn stream(&mut self, name: &str) -> Result<&mut Stream, Refusal> {
         let known = self.streams.contains_key(name);
         match known {
-            false if !is_name(name) => Err(Refusal::Name),
-            false if self.streams.len() >= STREAMS => Err(Refusal::Streams),
+            false if !is_valid_name(name) => Err(Refusal::Name),
+            false if self.streams.len() >= MAX_STREAMS => Err(Refusal::Streams),
             _ => Ok(self
                 .streams
                 .entry(name.to_owned())
@@ -259,12 +259,12 @@
     }
 }
 
-impl Bucket {
+impl TokenBucket {
     fn take(&mut self, now: u64, rate: u32) -> Result<(), Refusal> {
         let rate = f64::from(rate);
-        let passed = now.saturating_sub(self.filled) as f64 / 1000.0;
+        let passed = now.saturating_sub(self.refilled_ms) as f64 / 1000.0;
         self.tokens = (self.tokens + passed * rate).min(rate);
-        self.filled = self.filled.max(now);
+        self.refilled_ms = self.refilled_ms.max(now);
         if self.tokens < 1.0 {
             return Err(Refusal::Rate);
         }
@@ -273,9 +273,9 @@
     }
 }
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let known = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
-    (1..=NAME_BYTES).contains(&name.len()) && name.bytes().all(known)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(known)
 }
 
 fn unix_ms() -> u64 {
--- a/crates/swiftcart-standin/src/log/stream.rs
+++ b/crates/swiftcart-standin/src/log/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: its kept records and its counts.
+//! A single stream: its retained records and its counters.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,56 +6,57 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// Largest sum of bodies in one answer, in bytes; one record always fits.
-const PAGE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum total size of the bodies in one page, in bytes. The first record is included
+/// whatever its size.
+const MAX_PAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Holds one record as the log answers it.
+/// Record of a stream, as returned by reads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Place in the stream, counted from 0.
+    /// Offset in the stream, starting at 0.
     pub offset: u64,
     /// Time of the append in Unix milliseconds.
     pub at: u64,
-    /// What was appended.
+    /// Appended text.
     pub body: Arc<str>,
 }
 
-/// Holds the answer to a read.
+/// Response to a read.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest kept offset; equal to `next` when none is kept.
+    /// Oldest retained offset; equal to `next` when no record is retained.
     pub first: u64,
-    /// The offset that the next append gets.
+    /// Offset of the next append.
     pub next: u64,
-    /// The log's clock in Unix milliseconds.
+    /// Time of the log's clock in Unix milliseconds.
     pub now: u64,
-    /// The kept records from the asked offset on.
+    /// Retained records from the requested offset on.
     pub records: Vec<Record>,
 }
 
-/// Counts what happened to one stream.
+/// Counters of one stream.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StreamStats {
-    /// The oldest kept offset.
+    /// Oldest retained offset; equal to `next` when no record is retained.
     pub first: u64,
-    /// The offset that the next append gets.
+    /// Offset of the next append.
     pub next: u64,
-    /// Appends that took effect.
+    /// Executed appends.
     pub appends: u64,
-    /// Answered reads.
+    /// Reads that returned a page.
     pub reads: u64,
-    /// Body bytes appended.
+    /// Total body bytes of the appended records.
     pub bytes_in: u64,
-    /// Body bytes answered to reads.
+    /// Total body bytes returned to reads.
     pub bytes_out: u64,
 }
 
-/// Holds one stream.
+/// Retained records and counters of one stream.
 #[derive(Debug)]
 pub(super) struct Stream {
     records: VecDeque<Record>,
     stats: StreamStats,
-    /// Wakes held reads: carries `next`.
+    /// Channel that carries `next` and wakes long polls.
     head: watch::Sender<u64>,
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Adds a record and returns its offset.
+    /// Appends a record and returns its offset.
     pub(super) fn append(&mut self, at: u64, body: &str) -> u64 {
         let offset = self.stats.next;
         self.stats.next += 1;
@@ -83,7 +84,7 @@
         offset
     }
 
-    /// Forgets records appended at `until` or before, and those above `limit` in number.
+    /// Removes records appended at `until` or earlier, and the oldest records beyond `limit`.
     pub(super) fn expire(&mut self, until: Option<u64>, limit: usize) {
         let old = |r: &Record| until.is_some_and(|t| r.at <= t);
         while self.records.len() > limit || self.records.front().is_some_and(old) {
@@ -92,7 +93,7 @@
         self.stats.first = self.records.front().map_or(self.stats.next, |r| r.offset);
     }
 
-    /// Returns up to `limit` kept records from `from` on.
+    /// Returns a page of up to `limit` retained records from offset `from` on.
     pub(super) fn page(&mut self, from: u64, limit: usize, now: u64) -> Page {
         let skip = from.saturating_sub(self.stats.first);
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
@@ -100,7 +101,7 @@
         let fits = |r: &&Record| {
             let empty = bytes == 0;
             bytes += r.body.len();
-            empty || bytes <= PAGE_BYTES
+            empty || bytes <= MAX_PAGE_BYTES
         };
         let records: Vec<_> = self
             .records
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Counts an answered read.
+    /// Updates the counters for a read that returned `page`.
     pub(super) fn count(&mut self, page: &Page) {
         self.stats.reads += 1;
         self.stats.bytes_out += page
--- a/crates/swiftcart-standin/src/serve.rs
+++ b/crates/swiftcart-standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts connections for a stand-in's router, with a bound and with ways to break them.
+//! HTTP server of the stand-ins, with a connection limit and with aborted connections as a fault.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -23,86 +23,88 @@
 
 use crate::Error;
 
-/// Pause after a failed accept, which mostly means that file descriptors have run out.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which is mostly caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 quick_error! {
-    /// Ends a connection in place of an answer.
+    /// Error that closes a connection instead of sending a response.
     #[derive(Debug)]
-    pub enum Broken {
-        /// The stand-in plays a lost answer or a closed connection.
-        ByFault {
-            display("connection broken by a fault of the stand-in")
+    pub enum AbortError {
+        /// An injected fault drops the response or closes the connection.
+        InjectedFault {
+            display("connection closed by an injected fault of the stand-in")
         }
     }
 }
 
-/// Marks an answer that must not be sent: its connection is closed instead.
+/// Marker of a response that must not be sent; its connection is closed instead.
 #[derive(Debug, Clone, Copy)]
-struct Break;
+struct AbortMarker;
 
-/// Returns the answer that closes its connection without a byte being sent.
-pub(crate) fn broken() -> Response {
+/// Returns a response that makes the server close the connection without sending a byte.
+pub(crate) fn aborted_response() -> Response {
     let mut answer = Response::new(Body::empty());
-    answer.extensions_mut().insert(Break);
+    answer.extensions_mut().insert(AbortMarker);
     answer
 }
 
-/// Counts connections.
+/// Connection counters of a server.
 #[derive(Debug, Default)]
-pub(crate) struct Connections {
+pub(crate) struct ConnectionCounts {
     open: AtomicU64,
-    most: AtomicU64,
+    peak: AtomicU64,
     refused: AtomicU64,
 }
 
-impl Connections {
-    /// Returns the connections open now.
+impl ConnectionCounts {
+    /// Returns the number of open connections.
     pub(crate) fn open(&self) -> u64 {
         self.open.load(Relaxed)
     }
 
-    /// Returns the most connections that were open at once.
-    pub(crate) fn most(&self) -> u64 {
-        self.most.load(Relaxed)
+    /// Returns the highest number of connections that were open at the same time.
+    pub(crate) fn peak(&self) -> u64 {
+        self.peak.load(Relaxed)
     }
 
-    /// Returns the connections closed at once because of the bound.
+    /// Returns the number of connections closed on accept because of the connection limit.
     pub(crate) fn refused(&self) -> u64 {
         self.refused.load(Relaxed)
     }
 }
 
-/// A listener and its connections; dropping it closes all of them.
+/// Listener with its connections; dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub(crate) struct Server {
     addr: SocketAddr,
-    quit: CancellationToken,
+    abort: CancellationToken,
     drain: CancellationToken,
     tasks: TaskTracker,
 }
 
 impl Server {
-    /// Listens on `addr` and serves `router` on at most `limit` connections, counted in `counts`.
+    /// Listens on `addr` and serves `router` on at most `limit` connections.
+    ///
+    /// The connections are counted in `counts`.
     pub(crate) async fn start(
         addr: SocketAddr,
         limit: usize,
         router: Router,
-        counts: Arc<Connections>,
+        counts: Arc<ConnectionCounts>,
     ) -> Result<Self, Error> {
         let fail = |err| Error::Listen(addr, err);
         let listener = TcpListener::bind(addr).await.map_err(fail)?;
         let server = Self {
             addr: listener.local_addr().map_err(fail)?,
-            quit: CancellationToken::new(),
+            abort: CancellationToken::new(),
             drain: CancellationToken::new(),
             tasks: TaskTracker::new(),
         };
         let acceptor = Acceptor {
             router,
             counts,
-            room: Arc::new(Semaphore::new(limit)),
-            quit: server.quit.clone(),
+            permits: Arc::new(Semaphore::new(limit)),
+            abort: server.abort.clone(),
             drain: server.drain.clone(),
             tasks: server.tasks.clone(),
         };
@@ -110,12 +112,12 @@
         Ok(server)
     }
 
-    /// Returns the address that the listener got.
+    /// Returns the address that the listener is bound to.
     pub(crate) const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Stops listening, finishes the requests in flight and closes the connections.
+    /// Stops listening, completes the requests in flight and closes the connections.
     pub(crate) async fn shutdown(&self) {
         self.drain.cancel();
         self.tasks.close();
@@ -125,15 +127,15 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.quit.cancel();
+        self.abort.cancel();
     }
 }
 
 struct Acceptor {
     router: Router,
-    counts: Arc<Connections>,
-    room: Arc<Semaphore>,
-    quit: CancellationToken,
+    counts: Arc<ConnectionCounts>,
+    permits: Arc<Semaphore>,
+    abort: CancellationToken,
     drain: CancellationToken,
     tasks: TaskTracker,
 }
@@ -142,15 +144,15 @@
     async fn run(self, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
-                () = self.quit.cancelled() => return,
+                () = self.abort.cancelled() => return,
                 () = self.drain.cancelled() => return,
                 accepted = listener.accept() => accepted,
             };
             let Ok((stream, _)) = accepted else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            match self.room.clone().try_acquire_owned() {
+            match self.permits.clone().try_acquire_owned() {
                 Ok(permit) => self.spawn(stream, permit),
                 Err(_) => {
                     self.counts.refused.fetch_add(1, Relaxed);
@@ -161,15 +163,15 @@
 
     fn spawn(&self, stream: TcpStream, permit: OwnedSemaphorePermit) {
         let open = self.counts.open.fetch_add(1, Relaxed) + 1;
-        self.counts.most.fetch_max(open, Relaxed);
+        self.counts.peak.fetch_max(open, Relaxed);
         let router = self.router.clone();
         let counts = self.counts.clone();
-        let quit = self.quit.clone();
+        let abort = self.abort.clone();
         let drain = self.drain.clone();
         self.tasks.spawn(async move {
             tokio::select! {
-                () = quit.cancelled() => {}
-                () = connection(stream, router, drain) => {}
+                () = abort.cancelled() => {}
+                () = handle_connection(stream, router, drain) => {}
             }
             counts.open.fetch_sub(1, Relaxed);
             drop(permit);
@@ -177,8 +179,10 @@
     }
 }
 
-/// Serves one connection; the errors that end it are the peer's or a fault's.
-async fn connection(stream: TcpStream, router: Router, drain: CancellationToken) {
+/// Serves one connection until it ends.
+///
+/// Errors are ignored, since the peer or an injected fault causes them.
+async fn handle_connection(stream: TcpStream, router: Router, drain: CancellationToken) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -186,8 +190,8 @@
         let router = router.clone();
         async move {
             let Ok(answer) = router.oneshot(request.map(Body::new)).await;
-            match answer.extensions().get::<Break>() {
-                Some(Break) => Err(Broken::ByFault),
+            match answer.extensions().get::<AbortMarker>() {
+                Some(AbortMarker) => Err(AbortError::InjectedFault),
                 None => Ok(answer),
             }
         }
--- a/crates/swiftcart-standin/tests/load.rs
+++ b/crates/swiftcart-standin/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load counts latency from the intended time and checks every answer.
+//! Tests of the load generator: latency from the scheduled send time, and response verification.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,13 +10,13 @@
 use rstest::rstest;
 use serde_json::json;
 use swiftcart_standin::{
-    Audit, BackendFaults, BackendServer, BackendSettings, Error, Ledger, Load, Runs, ServiceTime,
-    Shape, Told,
+    Audit, BackendFaults, BackendServer, BackendSettings, CallRecord, Error, Ledger, Load, Runs,
+    ServiceTime, Shape,
 };
 
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Ten requests in 100 ms.
+/// Creates a load of ten requests in 100 ms.
 fn load(addr: SocketAddr) -> Load {
     Load::new(vec![addr]).with_duration_ms(100)
 }
@@ -28,8 +28,8 @@
         .collect()
 }
 
-/// Serves one answer to every request but the first, which is refused as not run.
-async fn refuse_once(then: fn() -> Response) -> SocketAddr {
+/// Starts a server that rejects the first request as `not-run` and answers the others with `then`.
+async fn reject_first_request(then: fn() -> Response) -> SocketAddr {
     let calls = Arc::new(AtomicU64::new(0));
     let answer = async move || match calls.fetch_add(1, Relaxed) {
         0 => {
@@ -42,39 +42,42 @@
         }
         _ => then(),
     };
-    let listener = tokio::net::TcpListener::bind(ANY).await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = tokio::net::TcpListener::bind(ANY_PORT)
+        .await
+        .expect("bind to a free port");
+    let addr = listener.local_addr().expect("read the local address");
     let router = Router::new().fallback(answer);
     tokio::spawn(async move { axum::serve(listener, router).await });
     addr
 }
 
 #[tokio::test]
-async fn latency_counts_from_the_intended_time() {
+async fn latency_is_measured_from_scheduled_time() {
     let time = ServiceTime::Fixed(20.0);
     let settings = BackendSettings::default().with_service_time(time);
-    let backend = BackendServer::start(ANY, settings).await.unwrap();
+    let backend = BackendServer::start(ANY_PORT, settings).await.unwrap();
     let load = load(backend.addr()).with_shape(Shape::read("/"), 1);
     let report = load.with_connections(1).run().await.unwrap();
-    // The tenth is due after 90 ms and answered after ten times 20 ms at the earliest.
+    // The tenth request is due after 90 ms. With one connection, its response arrives after ten
+    // times 20 ms at the earliest.
     assert_eq!((report.good, report.latency_us.count), (10, 10));
     assert!(report.latency_us.max >= 110_000, "{report:?}");
 }
 
 #[rstest]
 #[case::good(BackendFaults::new(), "good")]
-#[case::body_breaks(BackendFaults::new().with_break_body(20), "broken")]
-#[case::status(BackendFaults::new().with_fail_status(500), "refused")]
-#[case::lost(BackendFaults::new().with_lose_answers(100), "unanswered")]
+#[case::body_ends_early(BackendFaults::new().with_break_body(20), "broken")]
+#[case::error_status(BackendFaults::new().with_fail_status(500), "refused")]
+#[case::response_lost(BackendFaults::new().with_lose_answers(100), "unanswered")]
 #[case::hangs(BackendFaults::new().with_hang(true), "timeout")]
 #[tokio::test]
-async fn verdict_names_the_fault(
+async fn fault_determines_verdict(
     #[case] faults: BackendFaults,
     #[case] verdict: &str,
     #[values(Shape::read("/"), Shape::keyed("/"), Shape::upload("/", 200_000))] shape: Shape,
 ) {
     let timeout = if faults.hang { 200 } else { 30_000 };
-    let backend = BackendServer::start(ANY, BackendSettings::default())
+    let backend = BackendServer::start(ANY_PORT, BackendSettings::default())
         .await
         .unwrap();
     backend.set_faults(faults);
@@ -84,19 +87,19 @@
 }
 
 #[rstest]
-#[case::other_requests_answer(Shape::read("/"), || body("id=other\n"), "foreign")]
-#[case::cut_short(Shape::read("/"), || "id=1-1\n".into_response(), "corrupt")]
-#[case::other_bytes(Shape::read("/"), || body("id=1-1\n"), "corrupt")]
-#[case::other_requests_receipt(Shape::keyed("/"), || receipt("1-2", 64), "foreign")]
-#[case::receipt_for_less(Shape::keyed("/"), || receipt("1-1", 63), "corrupt")]
-#[case::receipt_for_other_bytes(Shape::keyed("/"), || receipt("1-1", 64), "corrupt")]
+#[case::response_of_other_request(Shape::read("/"), || body("id=other\n"), "foreign")]
+#[case::wrong_length(Shape::read("/"), || "id=1-1\n".into_response(), "corrupt")]
+#[case::wrong_digest(Shape::read("/"), || body("id=1-1\n"), "corrupt")]
+#[case::receipt_of_other_request(Shape::keyed("/"), || receipt("1-2", 64), "foreign")]
+#[case::receipt_with_wrong_length(Shape::keyed("/"), || receipt("1-1", 63), "corrupt")]
+#[case::receipt_with_wrong_digest(Shape::keyed("/"), || receipt("1-1", 64), "corrupt")]
 #[tokio::test]
-async fn wrong_answer_is_not_good(
+async fn wrong_response_is_not_good(
     #[case] shape: Shape,
     #[case] answer: fn() -> Response,
     #[case] verdict: &str,
 ) {
-    let addr = refuse_once(answer).await;
+    let addr = reject_first_request(answer).await;
     let load = Load::new(vec![addr])
         .with_duration_ms(20)
         .with_shape(shape, 1);
@@ -105,7 +108,7 @@
     assert_eq!(report.reasons, counts([("slots", 1)]));
 }
 
-/// A body of the length that was asked for, and a digest that is not its own.
+/// Creates a response with the requested body length and a wrong digest.
 fn body(head: &str) -> Response {
     ([("x-standin-digest", "00")], format!("{head:x<64}")).into_response()
 }
@@ -116,14 +119,14 @@
 }
 
 #[rstest]
-#[case::by_default_never(0, counts([("refused", 1)]))]
-#[case::as_a_caller_would(1, counts([("corrupt", 1)]))]
+#[case::without_retries(0, counts([("refused", 1)]))]
+#[case::with_one_retry(1, counts([("corrupt", 1)]))]
 #[tokio::test]
-async fn refusal_is_tried_again_only_on_request(
+async fn rejected_request_is_retried_only_when_retries_are_set(
     #[case] retries: u32,
     #[case] verdicts: BTreeMap<String, u64>,
 ) {
-    let addr = refuse_once(|| "id=1-0\n".into_response()).await;
+    let addr = reject_first_request(|| "id=1-0\n".into_response()).await;
     let load = Load::new(vec![addr])
         .with_duration_ms(10)
         .with_shape(Shape::read("/"), 1);
@@ -135,11 +138,11 @@
 }
 
 #[tokio::test]
-async fn comparison_alternates_between_the_sides() {
-    let a = BackendServer::start(ANY, BackendSettings::default())
+async fn comparison_alternates_between_groups() {
+    let a = BackendServer::start(ANY_PORT, BackendSettings::default())
         .await
         .unwrap();
-    let b = BackendServer::start(ANY, BackendSettings::default())
+    let b = BackendServer::start(ANY_PORT, BackendSettings::default())
         .await
         .unwrap();
     let load = load(a.addr()).with_shape(Shape::keyed("/"), 1);
@@ -149,38 +152,38 @@
 }
 
 #[rstest]
-#[case::no_shape(Load::new(vec![ANY]))]
+#[case::no_shape(Load::new(vec![ANY_PORT]))]
 #[case::no_target(Load::new(vec![]).with_shape(Shape::read("/"), 1))]
-#[case::no_rate(Load::new(vec![ANY]).with_shape(Shape::read("/"), 1).with_rate(0.0))]
+#[case::no_rate(Load::new(vec![ANY_PORT]).with_shape(Shape::read("/"), 1).with_rate(0.0))]
 #[tokio::test]
-async fn load_that_cannot_run_is_refused(#[case] load: Load) {
+async fn invalid_load_is_rejected(#[case] load: Load) {
     assert!(matches!(load.run().await, Err(Error::Load(_))));
 }
 
 #[rstest]
-#[case::started_once_and_told_done("good", "done", runs(1, 1), Audit::default())]
+#[case::started_once_and_reported_done("good", "done", runs(1, 1), Audit::default())]
 #[case::not_run_and_not_started("refused", "not-run", runs(0, 0), Audit::default())]
 #[case::unknown_may_have_started("unanswered", "unknown", runs(1, 0), Audit::default())]
-#[case::not_run_yet_started("refused", "not-run", runs(1, 1), Audit { ran: id(), ..Audit::default() })]
+#[case::reported_not_run_but_started("refused", "not-run", runs(1, 1), Audit { ran: id(), ..Audit::default() })]
 #[case::started_twice("good", "done", runs(2, 1), Audit { twice: id(), ..Audit::default() })]
-#[case::done_yet_unfinished("good", "done", runs(1, 0), Audit { lost: id(), ..Audit::default() })]
-fn audit_names_the_broken_promise(
+#[case::reported_done_but_unfinished("good", "done", runs(1, 0), Audit { lost: id(), ..Audit::default() })]
+fn audit_lists_violated_guarantee(
     #[case] verdict: &str,
     #[case] outcome: &str,
     #[case] runs: Runs,
     #[case] expected: Audit,
 ) {
-    let told = Told {
+    let record = CallRecord {
         id: "1-0".into(),
         key: Some("k".into()),
         verdict: verdict.into(),
         outcome: Some(outcome.into()),
-        ..Told::default()
+        ..CallRecord::default()
     };
     let mut ledger = Ledger::default();
     ledger.keys.insert("k".into(), runs);
     let load = Load::new(vec![]).with_shape(Shape::keyed("/"), 1);
-    assert_eq!(Audit::new(&load, &[told], &ledger), expected);
+    assert_eq!(Audit::new(&load, &[record], &ledger), expected);
 }
 
 fn id() -> Vec<String> {
--- a/xtask/src/demo/figures.rs
+++ b/xtask/src/demo/figures.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use swiftcart_standin::{Quantiles, Report, Told};
+use swiftcart_standin::{CallRecord, Quantiles, Report};
 
 use crate::Verdict;
 
@@ -129,7 +129,7 @@
 }
 
 /// Returns what became of a failed call, in words.
-fn failed(told: &Told) -> String {
+fn failed(told: &CallRecord) -> String {
     let text = |value: &Option<String>| value.clone().unwrap_or_else(|| "-".to_owned());
     format!(
         "{} (shape {}, key {}): {}, status {}, outcome {}, reason {}, sent again {} times",
