--- a/crates/swiftcart-standin/tests/backend.rs
+++ b/crates/swiftcart-standin/tests/backend.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use self::http::{ANY, fetch, send, until};
+use self::http::{ANY_PORT, fetch, send, wait_until};
 use ::http::{HeaderMap, Method, Request};
 use axum::Router;
 use axum::body::{Body, to_bytes};
@@ -20,7 +20,9 @@
 use tokio::time::timeout;
 
 async fn start(settings: BackendSettings) -> BackendServer {
-    BackendServer::start(ANY, settings).await.expect("a port")
+    BackendServer::start(ANY_PORT, settings)
+        .await
+        .expect("a port")
 }
 
 const fn runs(started: u64, finished: u64, cancelled: u64) -> Runs {
@@ -49,7 +51,9 @@
         log.lock().expect("no panic").push(entry);
         ().into_response()
     };
-    let listener = tokio::net::TcpListener::bind(ANY).await.expect("a port");
+    let listener = tokio::net::TcpListener::bind(ANY_PORT)
+        .await
+        .expect("a port");
     let addr = listener.local_addr().expect("an address");
     let router = Router::new().fallback(record);
     tokio::spawn(async move { axum::serve(listener, router).await });
@@ -76,14 +80,14 @@
         assert_eq!(answer.status.as_u16(), 503);
     }
     let stats = || backend.stats();
-    until(|| stats().active + stats().queued + shed == 6).await;
+    wait_until(|| stats().active + stats().queued + shed == 6).await;
     assert_eq!((stats().max_active, stats().runs), (2, runs(2, 0, 0)));
     assert_eq!(
         (stats().queued, stats().refused["slots"]),
         (u64::from(queue), shed)
     );
     calls.shutdown().await;
-    until(|| stats().active == 0).await;
+    wait_until(|| stats().active == 0).await;
     assert_eq!(stats().max_active, 2);
 }
 
@@ -125,7 +129,7 @@
         .expect("a connection");
     let head = format!("PUT / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n{header}\r\npart");
     stream.write_all(head.as_bytes()).await.expect("room");
-    until(|| backend.stats().bytes_in == 4).await;
+    wait_until(|| backend.stats().bytes_in == 4).await;
     stream
 }
 
@@ -133,7 +137,7 @@
 async fn upload_that_breaks_off_is_not_finished() {
     let backend = start(BackendSettings::default()).await;
     drop(begin_upload(&backend, "").await);
-    until(|| backend.stats().runs == runs(1, 0, 1)).await;
+    wait_until(|| backend.stats().runs == runs(1, 0, 1)).await;
 }
 
 #[tokio::test]
@@ -176,9 +180,9 @@
     backend.set_faults(BackendFaults::new().with_hang(true));
     let addr = backend.addr();
     let call = tokio::spawn(async move { fetch(addr, "/").await });
-    until(|| backend.stats().active == 1).await;
+    wait_until(|| backend.stats().active == 1).await;
     call.abort();
-    until(|| backend.stats().runs == runs(1, 0, 1)).await;
+    wait_until(|| backend.stats().runs == runs(1, 0, 1)).await;
 }
 
 #[rstest]
@@ -235,7 +239,7 @@
     assert_eq!(fetch(addr, "/load").await.unwrap().body, "0\n");
     backend.set_faults(BackendFaults::new().with_hang(true));
     let call = tokio::spawn(async move { fetch(addr, "/").await });
-    until(|| backend.stats().active == 1).await;
+    wait_until(|| backend.stats().active == 1).await;
     assert_eq!(fetch(addr, "/load").await.unwrap().body, load);
     call.abort();
 }
@@ -262,7 +266,7 @@
     let first = tokio::net::TcpStream::connect(backend.addr())
         .await
         .unwrap();
-    until(|| backend.stats().connections == 1).await;
+    wait_until(|| backend.stats().connections == 1).await;
     assert!(fetch(backend.addr(), "/").await.is_none());
     assert_eq!(
         (
@@ -281,13 +285,13 @@
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
     let addr = backend.addr();
     let count = || seen.lock().unwrap().len();
-    until(|| count() == 2).await;
+    wait_until(|| count() == 2).await;
     backend.set_faults(BackendFaults::new().with_readiness(Readiness::Warming));
-    until(|| count() == 3).await;
+    wait_until(|| count() == 3).await;
     backend.set_faults(BackendFaults::new());
-    until(|| count() == 4).await;
+    wait_until(|| count() == 4).await;
     backend.drain();
-    until(|| count() == 5).await;
+    wait_until(|| count() == 5).await;
     backend.stop(Duration::ZERO).await;
     let told = |(method, path, _, body): &(Method, String, HeaderMap, Bytes)| {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
@@ -311,7 +315,7 @@
     let backend = start(BackendSettings::default().with_service_time(time)).await;
     let addr = backend.addr();
     let call = tokio::spawn(async move { fetch(addr, "/").await });
-    until(|| backend.stats().active == 1).await;
+    wait_until(|| backend.stats().active == 1).await;
     backend.stop(Duration::ZERO).await;
     assert_eq!(call.await.unwrap().unwrap().status.as_u16(), 200);
 }
@@ -360,15 +364,15 @@
     let (admin, seen) = node().await;
     let settings = BackendSettings::new("booking").with_id("s-1", "norte");
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
-    until(|| seen.lock().unwrap().len() == 1).await;
+    wait_until(|| seen.lock().unwrap().len() == 1).await;
     backend.set_faults(BackendFaults::new().with_hang(true));
     let addr = backend.addr();
     let call = tokio::spawn(async move { fetch(addr, "/").await });
-    until(|| backend.stats().active == 1).await;
-    until(|| seen.lock().unwrap().len() == 2).await;
+    wait_until(|| backend.stats().active == 1).await;
+    wait_until(|| seen.lock().unwrap().len() == 2).await;
     backend.set_faults(BackendFaults::new().with_restart(restart));
     assert!(call.await.unwrap().is_none(), "its connection breaks");
-    until(|| seen.lock().unwrap().len() == 3).await;
+    wait_until(|| seen.lock().unwrap().len() == 3).await;
     assert_eq!(backend.stats().runs, runs(1, 0, 1));
     let words: Vec<Value> = seen.lock().unwrap().iter().map(word).collect();
     let start = |i: usize| words[i]["start_ms"].as_u64().unwrap();
@@ -388,9 +392,9 @@
     let (admin, seen) = node().await;
     let settings = BackendSettings::new("booking").with_id("s-1", "norte");
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
-    until(|| seen.lock().unwrap().len() == 1).await;
+    wait_until(|| seen.lock().unwrap().len() == 1).await;
     backend.set_faults(BackendFaults::new().with_malformed(true));
-    until(|| seen.lock().unwrap().len() == 3).await;
+    wait_until(|| seen.lock().unwrap().len() == 3).await;
     let sound = |(_, _, _, body): &(Method, String, HeaderMap, Bytes)| {
         serde_json::from_slice::<Value>(body).is_ok_and(|body| body["seq"].is_u64())
     };
--- a/crates/swiftcart-standin/tests/http/mod.rs
+++ b/crates/swiftcart-standin/tests/http/mod.rs
@@ -1,4 +1,4 @@
-//! A caller for the tests, and the waiting on conditions.
+//! HTTP client of the tests, and polling for conditions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,12 @@
 use hyper_util::rt::TokioExecutor;
 use tokio::time::{sleep, timeout};
 
-/// Bounds what would hang; no test waits for it to pass.
-const PATIENCE: Duration = Duration::from_secs(20);
-const GAP: Duration = Duration::from_millis(2);
+/// Timeout that turns a hang into a test failure; no passing test waits for it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+pub const ANY_PORT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 #[derive(Debug)]
 pub struct Answer {
@@ -24,7 +25,8 @@
     pub body: Bytes,
 }
 
-/// Sends a request on a connection of its own; `None` when no whole answer comes back.
+/// Sends a request on a new connection and returns the response, or `None` if no complete response
+/// arrives.
 pub async fn send(
     method: Method,
     addr: SocketAddr,
@@ -38,7 +40,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let request = request.body(body.into()).expect("a request");
+    let request = request.body(body.into()).expect("build the request");
     let client = Client::builder(TokioExecutor::new()).build_http();
     let call = async {
         let (head, body) = client.request(request).await.ok()?.into_parts();
@@ -48,22 +50,26 @@
             body: body.collect().await.ok()?.to_bytes(),
         })
     };
-    timeout(PATIENCE, call)
+    timeout(TEST_TIMEOUT, call)
         .await
-        .expect("an end of the call in time")
+        .expect("the call ends within the test timeout")
 }
 
 pub async fn fetch(addr: SocketAddr, path: &str) -> Option<Answer> {
     send(Method::GET, addr, path, &[], Body::empty()).await
 }
 
-/// Waits until `condition` holds; one that never does fails its test.
-pub async fn until(condition: impl Fn() -> bool) {
+/// Polls until `condition` is true.
+///
+/// # Panics
+///
+/// Panics if `condition` is still false after the test timeout.
+pub async fn wait_until(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
-            sleep(GAP).await;
+            sleep(POLL_INTERVAL).await;
         }
     };
-    let held = timeout(PATIENCE, wait).await;
-    held.expect("the condition holds in time");
+    let held = timeout(TEST_TIMEOUT, wait).await;
+    held.expect("the condition becomes true within the test timeout");
 }
--- a/crates/swiftcart-standin/tests/log.rs
+++ b/crates/swiftcart-standin/tests/log.rs
@@ -1,10 +1,10 @@
-//! The log keeps the page of the platform's contract, and plays its faults.
+//! Tests of the log: the platform's HTTP contract and the injected faults.
 
 mod http;
 
 use std::time::Duration;
 
-use self::http::{ANY, fetch, send, until};
+use self::http::{ANY_PORT, fetch, send, wait_until};
 use ::http::{Method, StatusCode};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 const STREAM: &str = "/v1/streams/config";
 
 fn bodies(log: &Log) -> Vec<String> {
-    let page = log.read("config", 0).expect("a stream");
+    let page = log.read("config", 0).expect("read the stream");
     page.records.iter().map(|r| r.body.to_string()).collect()
 }
 
@@ -23,20 +23,20 @@
 }
 
 #[rstest]
-#[case::no_fault_answers_and_keeps(LogFaults::new(), Some(201), &["a"])]
-#[case::lost_answer_takes_effect(LogFaults::new().with_lose_answers(1), None, &["a"])]
-#[case::late_effect_answers_and_keeps(LogFaults::new().with_late_ms(1), Some(201), &["a"])]
-#[case::unavailable_keeps_nothing(LogFaults::new().with_outage(Outage::Unavailable), Some(503), &[])]
-#[case::closed_keeps_nothing(LogFaults::new().with_outage(Outage::Closed), None, &[])]
-#[case::refused_stream_keeps_nothing(LogFaults::new().with_refused_stream("config"), Some(503), &[])]
+#[case::no_fault_responds_and_stores(LogFaults::new(), Some(201), &["a"])]
+#[case::lost_response_stores(LogFaults::new().with_lose_answers(1), None, &["a"])]
+#[case::delayed_append_responds_and_stores(LogFaults::new().with_late_ms(1), Some(201), &["a"])]
+#[case::unavailable_stores_nothing(LogFaults::new().with_outage(Outage::Unavailable), Some(503), &[])]
+#[case::closed_stores_nothing(LogFaults::new().with_outage(Outage::Closed), None, &[])]
+#[case::refused_stream_stores_nothing(LogFaults::new().with_refused_stream("config"), Some(503), &[])]
 #[case::other_stream_is_not_refused(LogFaults::new().with_refused_stream("claims"), Some(201), &["a"])]
 #[tokio::test]
-async fn fault_decides_answer_and_effect(
+async fn fault_determines_response_and_stored_records(
     #[case] faults: LogFaults,
     #[case] status: Option<u16>,
     #[case] kept: &[&str],
 ) {
-    let log = Log::start(ANY).await.unwrap();
+    let log = Log::start(ANY_PORT).await.unwrap();
     log.set_faults(faults);
     let answer = append(&log, "a").await;
     assert_eq!(
@@ -46,8 +46,8 @@
 }
 
 #[tokio::test]
-async fn each_lost_answer_is_lost_once() {
-    let log = Log::start(ANY).await.unwrap();
+async fn lost_responses_count_down() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     log.set_faults(LogFaults::new().with_lose_answers(2));
     let mut answers = Vec::new();
     for body in ["a", "b", "c"] {
@@ -58,22 +58,22 @@
 }
 
 #[tokio::test]
-async fn late_effect_comes_after_the_caller_left() {
-    let log = Log::start(ANY).await.unwrap();
+async fn delayed_append_is_stored_after_client_disconnects() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     log.set_faults(LogFaults::new().with_late_ms(200));
     tokio::select! {
         answer = append(&log, "a") => panic!("answered {answer:?}"),
-        () = until(|| log.stats().held == 1) => {}
+        () = wait_until(|| log.stats().held == 1) => {}
     }
-    until(|| bodies(&log) == ["a"]).await;
+    wait_until(|| bodies(&log) == ["a"]).await;
 }
 
 #[tokio::test]
-async fn stalled_append_is_never_answered_and_has_no_effect() {
-    let log = Log::start(ANY).await.unwrap();
+async fn stalled_append_gets_no_response_and_stores_nothing() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     log.set_faults(LogFaults::new().with_stall(true));
     let lift = async {
-        until(|| log.stats().held == 1).await;
+        wait_until(|| log.stats().held == 1).await;
         log.set_faults(LogFaults::new());
     };
     let (answer, ()) = tokio::join!(append(&log, "a"), lift);
@@ -82,15 +82,15 @@
 
 #[rstest]
 #[case::by_age(LogSettings::new().with_retention(Duration::from_secs(10)), 10, 3)]
-#[case::young_records_stay(LogSettings::new().with_retention(Duration::from_secs(600)), 10, 0)]
+#[case::not_before_retention(LogSettings::new().with_retention(Duration::from_secs(600)), 10, 0)]
 #[case::by_count(LogSettings::new().with_records(2), 0, 1)]
 #[tokio::test]
-async fn expiry_moves_first_and_never_next(
+async fn expiry_advances_first_but_not_next(
     #[case] settings: LogSettings,
     #[case] seconds: u64,
     #[case] first: u64,
 ) {
-    let log = Log::start_with(ANY, settings).await.unwrap();
+    let log = Log::start_with(ANY_PORT, settings).await.unwrap();
     for body in ["a", "b", "c"] {
         log.append("config", body).unwrap();
     }
@@ -111,12 +111,12 @@
 }
 
 #[tokio::test]
-async fn long_poll_wakes_on_the_awaited_offset() {
-    let log = Log::start(ANY).await.unwrap();
+async fn long_poll_returns_when_awaited_offset_is_appended() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     log.append("config", "a").unwrap();
     let path = format!("{STREAM}?from=1&wait=60000");
     let write = async {
-        until(|| log.stats().held == 1).await;
+        wait_until(|| log.stats().held == 1).await;
         log.append("config", "b").unwrap();
     };
     let (answer, ()) = tokio::join!(fetch(log.addr(), &path), write);
@@ -128,11 +128,11 @@
 }
 
 #[tokio::test]
-async fn outage_ends_a_long_poll() {
-    let log = Log::start(ANY).await.unwrap();
+async fn outage_ends_long_poll() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     let path = format!("{STREAM}?wait=60000");
     let outage = async {
-        until(|| log.stats().held == 1).await;
+        wait_until(|| log.stats().held == 1).await;
         log.set_faults(LogFaults::new().with_outage(Outage::Unavailable));
     };
     let (answer, ()) = tokio::join!(fetch(log.addr(), &path), outage);
@@ -140,8 +140,8 @@
 }
 
 #[tokio::test]
-async fn append_over_the_rate_is_refused_until_time_passes() {
-    let log = Log::start_with(ANY, LogSettings::new().with_append_rate(1))
+async fn append_over_rate_limit_is_rejected_until_refill() {
+    let log = Log::start_with(ANY_PORT, LogSettings::new().with_append_rate(1))
         .await
         .unwrap();
     append(&log, "a").await.unwrap();
@@ -158,17 +158,17 @@
 }
 
 #[rstest]
-#[case::largest_record(STREAM, vec![b'x'; 256 * 1024], 201)]
-#[case::larger_record(STREAM, vec![b'x'; 256 * 1024 + 1], 413)]
-#[case::no_utf8(STREAM, vec![0xff], 400)]
-#[case::bad_name("/v1/streams/a%20b", vec![b'x'], 400)]
+#[case::maximum_size(STREAM, vec![b'x'; 256 * 1024], 201)]
+#[case::over_maximum_size(STREAM, vec![b'x'; 256 * 1024 + 1], 413)]
+#[case::invalid_utf8(STREAM, vec![0xff], 400)]
+#[case::malformed_name("/v1/streams/a%20b", vec![b'x'], 400)]
 #[tokio::test]
-async fn malformed_append_is_refused(
+async fn append_status_depends_on_size_encoding_and_name(
     #[case] path: &str,
     #[case] body: Vec<u8>,
     #[case] status: u16,
 ) {
-    let log = Log::start(ANY).await.unwrap();
+    let log = Log::start(ANY_PORT).await.unwrap();
     let answer = send(Method::POST, log.addr(), path, &[], body)
         .await
         .unwrap();
@@ -176,8 +176,8 @@
 }
 
 #[tokio::test]
-async fn faults_and_stats_are_reached_during_an_outage() {
-    let log = Log::start(ANY).await.unwrap();
+async fn faults_and_stats_are_served_during_outage() {
+    let log = Log::start(ANY_PORT).await.unwrap();
     let json = [("content-type", "application/json")];
     for (body, status) in [(r#"{"outage":"closed"}"#, 204), (r#"{"outrage":1}"#, 422)] {
         let answer = send(Method::PUT, log.addr(), "/standin/faults", &json, body).await;
