--- a/crates/swiftcart-node/tests/calls.rs
+++ b/crates/swiftcart-node/tests/calls.rs
@@ -15,7 +15,7 @@
 use http_body_util::{BodyExt, Full};
 use rstest::rstest;
 use swiftcart_core::Limits;
-use swiftcart_standin::{BackendFaults, BackendSettings, Load, Runs, Shape};
+use swiftcart_standin::{BackendFaults, BackendSettings, ExecutionCounts, Load, Shape};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -248,7 +248,7 @@
     let (first, second) = tokio::join!(first, rest);
     assert_eq!(first.summary(), (200, "-", "-"));
     assert_eq!(second.summary(), (503, "not-run", "not-ready"));
-    assert_eq!(backend.runs_by_id("second"), Runs::default());
+    assert_eq!(backend.runs_by_id("second"), ExecutionCounts::default());
 }
 
 #[rstest]
--- a/crates/swiftcart-node/tests/keyed.rs
+++ b/crates/swiftcart-node/tests/keyed.rs
@@ -12,14 +12,14 @@
 use swiftcart_core::Limits;
 use swiftcart_node::Node;
 use swiftcart_standin::{
-    BackendFaults, BackendServer, BackendSettings, Log, LogFaults, Outage, Runs,
+    BackendFaults, BackendServer, BackendSettings, ExecutionCounts, Log, LogFaults, Outage,
 };
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
 const KEY: (&str, &str) = ("idempotency-key", "irrigate-7");
 
-const ONCE: Runs = Runs {
+const ONCE: ExecutionCounts = ExecutionCounts {
     started: 1,
     finished: 1,
     cancelled: 0,
@@ -135,7 +135,7 @@
         .insert("swiftcart-deadline-ms", deadline);
     let got = call(&node, request).await;
     assert_eq!(got.summary(), summary);
-    assert_eq!(backend.runs_by_key(KEY.1), Runs::default());
+    assert_eq!(backend.runs_by_key(KEY.1), ExecutionCounts::default());
 }
 
 #[tokio::test]
--- a/crates/swiftcart-standin/src/backend.rs
+++ b/crates/swiftcart-standin/src/backend.rs
@@ -1,17 +1,17 @@
 //! A backend server over HTTP, with slots, cold start, drain and faults.
 
+mod advertised;
 mod announce;
+mod cached;
+mod downstream;
+mod execution;
 mod faults;
-mod lagging;
+mod incarnation;
 mod ledger;
-mod life;
-mod named;
-mod onward;
 mod routes;
 mod settings;
 mod state;
 mod stats;
-mod work;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 pub use faults::{BackendFaults, Restart};
-pub use ledger::{Ledger, Runs};
+pub use ledger::{ExecutionCounts, Ledger};
 pub use settings::{BackendSettings, ServiceTime};
 pub use stats::BackendStats;
 pub use swiftcart_core::Readiness;
@@ -37,7 +37,7 @@
     server: Server,
     announcer: Option<Announcer>,
     /// Ends the announcements with the handle.
-    beat: Option<AbortOnDropHandle<()>>,
+    announce_task: Option<AbortOnDropHandle<()>>,
 }
 
 impl BackendServer {
@@ -52,12 +52,12 @@
         let router = routes::router(shared.clone());
         let server = Server::start(addr, limit, router, shared.conns.clone()).await?;
         let announcer = Announcer::new(&shared, server.addr());
-        let beat = announcer.clone().map(|a| tokio::spawn(a.run()));
+        let announce_task = announcer.clone().map(|a| tokio::spawn(a.run()));
         Ok(Self {
             shared,
             server,
             announcer,
-            beat: beat.map(AbortOnDropHandle::new),
+            announce_task: announce_task.map(AbortOnDropHandle::new),
         })
     }
 
@@ -80,13 +80,13 @@
 
     /// Returns the executions of one request, by the node's request id or the caller's.
     #[must_use]
-    pub fn runs_by_id(&self, id: &str) -> Runs {
+    pub fn runs_by_id(&self, id: &str) -> ExecutionCounts {
         self.shared.with_ledger(|l| l.by_id(id))
     }
 
     /// Returns the executions under one idempotency key.
     #[must_use]
-    pub fn runs_by_key(&self, key: &str) -> Runs {
+    pub fn runs_by_key(&self, key: &str) -> ExecutionCounts {
         self.shared.with_ledger(|l| l.by_key(key))
     }
 
@@ -105,9 +105,9 @@
     pub async fn stop(self, grace: Duration) {
         self.drain();
         tokio::time::sleep(grace).await;
-        self.shared.idle().await;
+        self.shared.wait_idle().await;
         // No announcement may follow the withdrawal.
-        drop(self.beat);
+        drop(self.announce_task);
         if let Some(announcer) = &self.announcer {
             announcer.withdraw().await;
         }
--- a/crates/swiftcart-standin/src/backend/announce.rs
+++ b/crates/swiftcart-standin/src/backend/announce.rs
@@ -15,13 +15,13 @@
 use crate::client::{self, Client};
 
 /// Shortest gap between two announcements.
-const GAP: Duration = Duration::from_millis(10);
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest wait for the node's answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bodies that another program might send, one after the other.
-const MALFORMED: [&str; 5] = [
+const MALFORMED_BODIES: [&str; 5] = [
     "{",
     "{\"service\":7}",
     "{\"service\":\"nobody\",\"addr\":\"10.0.0.1:1\",\"slots\":1,\"readiness\":\"asleep\"}",
@@ -41,7 +41,7 @@
 
 /// What a backend server with an id says.
 #[derive(Debug, Serialize)]
-struct Named<'a> {
+struct AnnouncementWithId<'a> {
     service: &'a str,
     addr: SocketAddr,
     slots: u32,
@@ -55,7 +55,7 @@
 
 /// What one that leaves says.
 #[derive(Debug, Serialize)]
-struct Departure {
+struct Withdrawal {
     start_ms: u64,
 }
 
@@ -86,7 +86,7 @@
             changes.mark_unchanged();
             self.announce().await;
             tokio::select! {
-                () = sleep(self.gap()) => {}
+                () = sleep(self.interval()) => {}
                 _ = changes.changed() => {}
             }
         }
@@ -94,9 +94,9 @@
 
     /// Withdraws the announcement; an unreachable node lets it expire.
     pub(super) async fn withdraw(&self) {
-        let start_ms = self.shared.next_word().start_ms;
-        let departure = serde_json::to_vec(&Departure { start_ms });
-        match (&self.shared.settings.id, departure) {
+        let start_ms = self.shared.next_announcement().start_ms;
+        let withdrawal = serde_json::to_vec(&Withdrawal { start_ms });
+        match (&self.shared.settings.id, withdrawal) {
             (Some(_), Ok(json)) => self.send(Method::DELETE, Body::from(json)).await,
             _ => self.send(Method::DELETE, Body::empty()).await,
         }
@@ -104,20 +104,20 @@
 
     async fn announce(&self) {
         if self.shared.faults().malformed {
-            let life = self.shared.next_word();
-            let malformed = MALFORMED[life.seq as usize % MALFORMED.len()];
+            let incarnation = self.shared.next_announcement();
+            let malformed = MALFORMED_BODIES[incarnation.seq as usize % MALFORMED_BODIES.len()];
             self.send(Method::PUT, Body::from(malformed)).await;
         }
         match &self.shared.settings.id {
-            Some(_) => self.announce_named().await,
-            None => self.announce_plain().await,
+            Some(_) => self.announce_with_id().await,
+            None => self.announce_without_id().await,
         }
     }
 
-    async fn announce_named(&self) {
+    async fn announce_with_id(&self) {
         let settings = &self.shared.settings;
-        let life = self.shared.next_word();
-        let named = Named {
+        let incarnation = self.shared.next_announcement();
+        let announcement = AnnouncementWithId {
             service: &settings.service,
             addr: self.addr,
             slots: settings.slots,
@@ -125,15 +125,15 @@
             warmup_ms: self.shared.warming_left().as_millis(),
             domain: &settings.domain,
             release: "standin",
-            seq: life.seq,
-            start_ms: life.start_ms,
+            seq: incarnation.seq,
+            start_ms: incarnation.start_ms,
         };
-        if let Ok(json) = serde_json::to_vec(&named) {
+        if let Ok(json) = serde_json::to_vec(&announcement) {
             self.send(Method::PUT, Body::from(json)).await;
         }
     }
 
-    async fn announce_plain(&self) {
+    async fn announce_without_id(&self) {
         let settings = &self.shared.settings;
         let announcement = Announcement {
             service: &settings.service,
@@ -149,15 +149,15 @@
     }
 
     /// Returns the time to the next announcement: a cold start's end is announced at once.
-    fn gap(&self) -> Duration {
-        let gap = Duration::from_millis(self.shared.settings.ttl_ms / 3).max(GAP);
+    fn interval(&self) -> Duration {
+        let interval = Duration::from_millis(self.shared.settings.ttl_ms / 3).max(MIN_INTERVAL);
         match self.shared.warming_left() {
-            left if left.is_zero() => gap,
-            left => gap.min(left + Duration::from_millis(1)),
+            remaining if remaining.is_zero() => interval,
+            remaining => interval.min(remaining + Duration::from_millis(1)),
         }
     }
 
-    fn target(&self) -> String {
+    fn url(&self) -> String {
         let id = self.shared.settings.id.as_ref();
         let id = id.map_or_else(String::new, |id| format!("/{id}"));
         format!("http://{}/v1/backend{id}", self.admin)
@@ -166,11 +166,11 @@
     async fn send(&self, method: Method, body: Body) {
         let request = Request::builder()
             .method(method)
-            .uri(self.target())
+            .uri(self.url())
             .header(CONTENT_TYPE, "application/json")
             .body(body);
         let Ok(request) = request else { return };
         // The next announcement comes soon, so that a failed one needs no care.
-        let _ = timeout(PATIENCE, self.client.request(request)).await;
+        let _ = timeout(ANNOUNCE_TIMEOUT, self.client.request(request)).await;
     }
 }
--- a/crates/swiftcart-standin/src/backend/onward.rs
+++ b/crates/swiftcart-standin/src/backend/downstream.rs
@@ -7,8 +7,8 @@
 use quick_error::quick_error;
 use tokio::time::Instant;
 
-use super::work::Work;
-use crate::client::{Client, Failure};
+use super::execution::Execution;
+use crate::client::{CallError, Client};
 use crate::headers::{ATTEMPT, CALLER_ID, DEADLINE_LEFT, KEY, text};
 
 quick_error! {
@@ -22,7 +22,7 @@
             from()
         }
         /// No answer came.
-        Call(err: Failure) {
+        Call(err: CallError) {
             display("{}", err)
             source(err)
             from()
@@ -47,7 +47,7 @@
     client: &Client,
     node: std::net::SocketAddr,
     paths: &[String],
-    work: &Work,
+    execution: &Execution,
     method: &Method,
     headers: &HeaderMap,
 ) -> Result<(), Error> {
@@ -61,23 +61,25 @@
         if let Some(attempt) = text(headers, ATTEMPT) {
             request = request.header(ATTEMPT, attempt);
         }
-        if let Some(deadline) = work.deadline {
-            let left = deadline.saturating_duration_since(Instant::now());
-            request = request.header(DEADLINE_LEFT, left.as_millis().to_string());
+        if let Some(deadline) = execution.deadline {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            request = request.header(DEADLINE_LEFT, remaining.as_millis().to_string());
         }
-        if let Some(key) = work.key() {
+        if let Some(key) = execution.key() {
             request = request.header(KEY, format!("{key}{path}"));
         }
         if method != Method::GET {
             request = request.header(CONTENT_LENGTH, 0);
         }
-        let request = request.header(CALLER_ID, work.id()).body(Body::empty())?;
-        let mut answer = client.request(request).await?;
-        while let Some(frame) = answer.body_mut().frame().await {
+        let request = request
+            .header(CALLER_ID, execution.id())
+            .body(Body::empty())?;
+        let mut response = client.request(request).await?;
+        while let Some(frame) = response.body_mut().frame().await {
             frame?;
         }
-        if !answer.status().is_success() {
-            return Err(Error::Status(answer.status()));
+        if !response.status().is_success() {
+            return Err(Error::Status(response.status()));
         }
     }
     Ok(())
--- a/crates/swiftcart-standin/src/backend/work.rs
+++ b/crates/swiftcart-standin/src/backend/execution.rs
@@ -8,34 +8,34 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::ledger::Names;
+use super::ledger::RequestIds;
 use super::state::Shared;
 use super::stats::Refusal;
 use crate::headers::{CALLER_ID, DEADLINE, KEY, REQUEST_ID, text};
 
-/// Holds a slot; dropped before [`Work::finish`] it counts as cancelled.
-pub(super) struct Work {
+/// Holds a slot; dropped before [`Execution::finish`] it counts as cancelled.
+pub(super) struct Execution {
     shared: Arc<Shared>,
-    names: Names,
+    request_ids: RequestIds,
     finished: bool,
     /// The end of the caller's patience.
     pub(super) deadline: Option<Instant>,
     _slot: OwnedSemaphorePermit,
 }
 
-impl Work {
+impl Execution {
     /// Waits for a slot and counts the start of an execution.
     pub(super) async fn start(shared: &Arc<Shared>, headers: &HeaderMap) -> Result<Self, Refusal> {
         let deadline = deadline(headers)?;
         let slot = match shared.slots.clone().try_acquire_owned() {
             Ok(slot) => slot,
-            Err(_) => queue(shared, deadline).await?,
+            Err(_) => wait_for_slot(shared, deadline).await?,
         };
-        let names = names(headers);
-        shared.count_start(&names);
+        let request_ids = request_ids(headers);
+        shared.count_start(&request_ids);
         Ok(Self {
             shared: shared.clone(),
-            names,
+            request_ids,
             finished: false,
             deadline,
             _slot: slot,
@@ -44,12 +44,16 @@
 
     /// Returns the id that the answer names: the caller's, else the node's.
     pub(super) fn id(&self) -> &str {
-        let id = self.names.caller.as_ref().or(self.names.id.as_ref());
+        let id = self
+            .request_ids
+            .caller
+            .as_ref()
+            .or(self.request_ids.id.as_ref());
         id.map_or("", String::as_str)
     }
 
     pub(super) fn key(&self) -> Option<&str> {
-        self.names.key.as_deref()
+        self.request_ids.key.as_deref()
     }
 
     /// Takes the service time, or all time when a fault says so.
@@ -67,44 +71,49 @@
     }
 }
 
-impl Drop for Work {
+impl Drop for Execution {
     fn drop(&mut self) {
-        self.shared.count_end(&self.names, self.finished);
+        self.shared.count_end(&self.request_ids, self.finished);
     }
 }
 
 /// Holds a place in the queue; a caller that leaves gives it up.
-struct Place(Arc<Shared>);
+struct QueuePlace(Arc<Shared>);
 
-impl Drop for Place {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         self.0.leave_queue();
     }
 }
 
-async fn queue(
+async fn wait_for_slot(
     shared: &Arc<Shared>,
     deadline: Option<Instant>,
 ) -> Result<OwnedSemaphorePermit, Refusal> {
     if !shared.enter_queue() {
         return Err(Refusal::Slots);
     }
-    let _place = Place(shared.clone());
+    let _queue_place = QueuePlace(shared.clone());
     let slot = shared.slots.clone().acquire_owned();
-    let slot = within(deadline, slot).await.ok_or(Refusal::Deadline)?;
+    let slot = before_deadline(deadline, slot)
+        .await
+        .ok_or(Refusal::Deadline)?;
     slot.map_err(|_| Refusal::Slots)
 }
 
-/// Completes with the output of `work`, or with `None` when the deadline passes first.
-pub(super) async fn within<F: Future>(deadline: Option<Instant>, work: F) -> Option<F::Output> {
+/// Completes with the output of `future`, or with `None` when the deadline passes first.
+pub(super) async fn before_deadline<F: Future>(
+    deadline: Option<Instant>,
+    future: F,
+) -> Option<F::Output> {
     match deadline {
-        Some(at) => timeout_at(at, work).await.ok(),
-        None => Some(work.await),
+        Some(at) => timeout_at(at, future).await.ok(),
+        None => Some(future.await),
     }
 }
 
-fn names(headers: &HeaderMap) -> Names {
-    Names {
+fn request_ids(headers: &HeaderMap) -> RequestIds {
+    RequestIds {
         id: text(headers, REQUEST_ID),
         caller: text(headers, CALLER_ID),
         key: text(headers, KEY),
@@ -116,9 +125,9 @@
     let ms = text(headers, DEADLINE).and_then(|t| t.parse().ok());
     let Some(ms) = ms else { return Ok(None) };
     let at = UNIX_EPOCH.checked_add(Duration::from_millis(ms));
-    let left = at.map(|at| at.duration_since(SystemTime::now()));
-    match left {
-        Some(Ok(left)) => Ok(Instant::now().checked_add(left)),
+    let remaining = at.map(|at| at.duration_since(SystemTime::now()));
+    match remaining {
+        Some(Ok(remaining)) => Ok(Instant::now().checked_add(remaining)),
         Some(Err(_)) => Err(Refusal::Deadline),
         None => Ok(None),
     }
--- a/crates/swiftcart-standin/src/backend/life.rs
+++ b/crates/swiftcart-standin/src/backend/incarnation.rs
@@ -5,18 +5,18 @@
 use super::faults::Restart;
 
 /// How far the clock is set back between two lives, in milliseconds.
-const SET_BACK_MS: u64 = 60_000;
+const CLOCK_SETBACK_MS: u64 = 60_000;
 
 /// One life of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Life {
+pub(super) struct Incarnation {
     /// When it began, in Unix milliseconds by its own clock.
     pub(super) start_ms: u64,
     /// The number of its last announcement.
     pub(super) seq: u64,
 }
 
-impl Life {
+impl Incarnation {
     /// Begins the first life.
     pub(super) fn new() -> Self {
         Self {
@@ -26,10 +26,10 @@
     }
 
     /// Begins another life after this one.
-    pub(super) fn again(self, restart: Restart) -> Self {
+    pub(super) fn restarted(self, restart: Restart) -> Self {
         let start_ms = match restart {
             Restart::Later => unix_ms().max(self.start_ms + 1),
-            Restart::SetBack => self.start_ms.saturating_sub(SET_BACK_MS),
+            Restart::SetBack => self.start_ms.saturating_sub(CLOCK_SETBACK_MS),
         };
         Self { start_ms, seq: 0 }
     }
@@ -42,8 +42,8 @@
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| {
-        u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| {
+        u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
     })
 }
--- a/crates/swiftcart-standin/src/backend/ledger.rs
+++ b/crates/swiftcart-standin/src/backend/ledger.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Entries that each of the ledger's maps keeps; later ones are only counted.
-const ENTRIES: usize = 1_000_000;
+const MAX_ENTRIES: usize = 1_000_000;
 
 /// Counts the executions of one request or under one key.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Runs {
+pub struct ExecutionCounts {
     /// Executions that got a slot: from here on the work may have taken effect.
     pub started: u64,
     /// Executions whose work was completed.
@@ -19,7 +19,7 @@
     pub cancelled: u64,
 }
 
-impl AddAssign for Runs {
+impl AddAssign for ExecutionCounts {
     fn add_assign(&mut self, rhs: Self) {
         self.started += rhs.started;
         self.finished += rhs.finished;
@@ -32,11 +32,11 @@
 #[serde(default)]
 pub struct Ledger {
     /// By the node's `Swiftcart-Request-Id`.
-    pub ids: BTreeMap<String, Runs>,
+    pub ids: BTreeMap<String, ExecutionCounts>,
     /// By the caller's `X-Request-Id`.
-    pub callers: BTreeMap<String, Runs>,
+    pub callers: BTreeMap<String, ExecutionCounts>,
     /// By `Idempotency-Key`.
-    pub keys: BTreeMap<String, Runs>,
+    pub keys: BTreeMap<String, ExecutionCounts>,
     /// Entries that were not kept because of the bound; above zero the maps are incomplete.
     pub forgotten: u64,
 }
@@ -44,14 +44,14 @@
 impl Ledger {
     /// Returns the executions of one request, by the node's id or else by the caller's.
     #[must_use]
-    pub fn by_id(&self, id: &str) -> Runs {
-        let runs = self.ids.get(id).or_else(|| self.callers.get(id));
-        runs.copied().unwrap_or_default()
+    pub fn by_id(&self, id: &str) -> ExecutionCounts {
+        let counts = self.ids.get(id).or_else(|| self.callers.get(id));
+        counts.copied().unwrap_or_default()
     }
 
     /// Returns the executions under one key.
     #[must_use]
-    pub fn by_key(&self, key: &str) -> Runs {
+    pub fn by_key(&self, key: &str) -> ExecutionCounts {
         self.keys.get(key).copied().unwrap_or_default()
     }
 
@@ -60,9 +60,9 @@
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_standin::{Ledger, Runs};
+    /// use swiftcart_standin::{Ledger, ExecutionCounts};
     ///
-    /// let run = Runs { started: 1, finished: 1, cancelled: 0 };
+    /// let run = ExecutionCounts { started: 1, finished: 1, cancelled: 0 };
     /// let mut one = Ledger::default();
     /// one.keys.insert("k".into(), run);
     /// let mut sum = one.clone();
@@ -76,28 +76,28 @@
             (&mut self.keys, &other.keys),
         ];
         for (to, from) in maps {
-            for (name, runs) in from {
-                *to.entry(name.clone()).or_default() += *runs;
+            for (name, counts) in from {
+                *to.entry(name.clone()).or_default() += *counts;
             }
         }
         self.forgotten += other.forgotten;
     }
 
-    /// Adds `runs` to the entries of one request.
-    pub(super) fn add(&mut self, names: &Names, runs: Runs) {
+    /// Adds `counts` to the entries of one request.
+    pub(super) fn add(&mut self, request: &RequestIds, counts: ExecutionCounts) {
         let entries = [
-            (&mut self.ids, &names.id),
-            (&mut self.callers, &names.caller),
-            (&mut self.keys, &names.key),
+            (&mut self.ids, &request.id),
+            (&mut self.callers, &request.caller),
+            (&mut self.keys, &request.key),
         ];
         for (map, name) in entries {
             let Some(name) = name else { continue };
-            let full = map.len() >= ENTRIES;
+            let full = map.len() >= MAX_ENTRIES;
             match map.get_mut(name) {
-                Some(entry) => *entry += runs,
+                Some(entry) => *entry += counts,
                 None if full => self.forgotten += 1,
                 None => {
-                    map.insert(name.clone(), runs);
+                    map.insert(name.clone(), counts);
                 }
             }
         }
@@ -106,7 +106,7 @@
 
 /// Holds the names that a request carries.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub(super) struct Names {
+pub(super) struct RequestIds {
     pub(super) id: Option<String>,
     pub(super) caller: Option<String>,
     pub(super) key: Option<String>,
--- a/crates/swiftcart-standin/src/backend/routes.rs
+++ b/crates/swiftcart-standin/src/backend/routes.rs
@@ -12,16 +12,16 @@
 use http_body_util::BodyExt;
 use serde::{Deserialize, Serialize};
 
-use super::onward;
+use super::downstream;
+use super::execution::{Execution, before_deadline};
 use super::state::Shared;
-use super::work::{Work, within};
 use super::{BackendFaults, BackendStats};
 use crate::client::{self, Client};
 use crate::content::{Content, Stream};
 use crate::headers::{DIGEST, LEAVING, LOAD, RATE, STANDIN_REASON};
 use crate::serve::broken;
 
-const DEFAULT_BYTES: u64 = 64;
+const DEFAULT_BODY_BYTES: u64 = 64;
 
 #[derive(Debug, Clone)]
 struct App {
@@ -37,75 +37,82 @@
         .route("/standin/executions", get(executions))
         .route("/standin/faults", put(set_faults).get(faults))
         .route("/standin/stats", get(stats))
-        .fallback(any)
+        .fallback(handle_request)
         .with_state(App { shared, client })
 }
 
 /// The answer to a body that was taken whole.
 #[derive(Debug, Serialize)]
-struct Taken {
+struct UploadReceipt {
     id: String,
     bytes: u64,
     digest: String,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Size {
+struct ContentQuery {
     bytes: Option<u64>,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Which {
+struct ExecutionsQuery {
     id: Option<String>,
     key: Option<String>,
 }
 
 /// Answers a request, unless the backend server crashes meanwhile.
-async fn any(State(app): State<App>, request: Request) -> Response {
+async fn handle_request(State(app): State<App>, request: Request) -> Response {
     let mut crashes = app.shared.watch_crashes();
     tokio::select! {
-        answer = work(&app, request) => answer,
+        response = respond(&app, request) => response,
         _ = crashes.changed() => broken(),
     }
 }
 
-async fn work(app: &App, request: Request) -> Response {
-    let mut answer = match Work::start(&app.shared, request.headers()).await {
-        Ok(work) => within(work.deadline, run(app, work, request))
+async fn respond(app: &App, request: Request) -> Response {
+    let mut response = match Execution::start(&app.shared, request.headers()).await {
+        Ok(execution) => before_deadline(execution.deadline, run(app, execution, request))
             .await
-            .unwrap_or_else(|| fail(StatusCode::GATEWAY_TIMEOUT, "deadline")),
+            .unwrap_or_else(|| error_response(StatusCode::GATEWAY_TIMEOUT, "deadline")),
         Err(refusal) => {
             app.shared.count_refusal(refusal);
-            fail(StatusCode::SERVICE_UNAVAILABLE, refusal.as_str())
+            error_response(StatusCode::SERVICE_UNAVAILABLE, refusal.as_str())
         }
     };
     let load = HeaderValue::from(u16::from(app.shared.load()));
-    answer.headers_mut().insert(LOAD, load);
-    let (rate, leaving) = app.shared.notice();
+    response.headers_mut().insert(LOAD, load);
+    let (rate, leaving) = app.shared.advertise();
     if let Some(rate) = rate.and_then(|rate| HeaderValue::try_from(rate.to_string()).ok()) {
-        answer.headers_mut().insert(RATE, rate);
+        response.headers_mut().insert(RATE, rate);
     }
     if leaving {
-        answer
+        response
             .headers_mut()
             .insert(LEAVING, HeaderValue::from_static("1"));
     }
-    answer
+    response
 }
 
-async fn run(app: &App, work: Work, request: Request) -> Response {
+async fn run(app: &App, execution: Execution, request: Request) -> Response {
     let (head, body) = request.into_parts();
-    let Some(taken) = take(app, &work, body).await else {
-        return fail(StatusCode::BAD_REQUEST, "body");
+    let Some(upload) = read_body(app, &execution, body).await else {
+        return error_response(StatusCode::BAD_REQUEST, "body");
     };
-    work.run().await;
+    execution.run().await;
     let settings = &app.shared.settings;
     if let Some(node) = settings.node {
         let paths = &settings.downstream;
-        let calls = onward::call_all(&app.client, node, paths, &work, &head.method, &head.headers);
+        let calls = downstream::call_all(
+            &app.client,
+            node,
+            paths,
+            &execution,
+            &head.method,
+            &head.headers,
+        );
         if let Err(err) = calls.await {
-            return fail(StatusCode::BAD_GATEWAY, &err.to_string());
+            return error_response(StatusCode::BAD_GATEWAY, &err.to_string());
         }
     }
     let faults = app.shared.faults();
@@ -114,29 +121,29 @@
         .and_then(|s| StatusCode::from_u16(s).ok());
     match status {
         _ if app.shared.lose_answer() => {
-            work.finish();
+            execution.finish();
             broken()
         }
         Some(status) => {
-            work.finish();
-            fail(status, "fault")
+            execution.finish();
+            error_response(status, "fault")
         }
         None if head.method == Method::HEAD => {
-            work.finish();
+            execution.finish();
             StatusCode::OK.into_response()
         }
         None if head.method == Method::GET => {
-            let size = Query::<Size>::try_from_uri(&head.uri).unwrap_or_default();
-            let len = size.bytes.unwrap_or(DEFAULT_BYTES);
-            let body = Content::new(work.id(), len);
-            content(work, body, faults.break_body).await
+            let query = Query::<ContentQuery>::try_from_uri(&head.uri).unwrap_or_default();
+            let len = query.bytes.unwrap_or(DEFAULT_BODY_BYTES);
+            let body = Content::new(execution.id(), len);
+            content(execution, body, faults.break_body).await
         }
-        None => receipt(work, &taken, faults.break_body),
+        None => receipt(execution, &upload, faults.break_body),
     }
 }
 
 /// Reads a request's body to its end, or returns `None` when it breaks off.
-async fn take(app: &App, work: &Work, mut body: Body) -> Option<Taken> {
+async fn read_body(app: &App, execution: &Execution, mut body: Body) -> Option<UploadReceipt> {
     let mut hasher = blake3::Hasher::new();
     let mut bytes = 0;
     while let Some(frame) = body.frame().await {
@@ -149,47 +156,47 @@
             app.shared.count_bytes(data.len() as u64);
         }
     }
-    Some(Taken {
-        id: work.id().to_owned(),
+    Some(UploadReceipt {
+        id: execution.id().to_owned(),
         bytes,
         digest: hasher.finalize().to_hex().to_string(),
     })
 }
 
 /// Answers with `content`; the work is finished when its last byte is handed over.
-async fn content(work: Work, content: Content, cut: Option<u64>) -> Response {
+async fn content(execution: Execution, content: Content, break_after: Option<u64>) -> Response {
     let headers = [
         (DIGEST, content.digest().await),
         (CONTENT_LENGTH.as_str(), content.len().to_string()),
     ];
-    let stream = Stream::new(content, cut, move || work.finish());
+    let stream = Stream::new(content, break_after, move || execution.finish());
     (headers, Body::new(stream)).into_response()
 }
 
 /// Answers what became of a body; the work's effect does not wait for the answer.
-fn receipt(work: Work, taken: &Taken, cut: Option<u64>) -> Response {
-    work.finish();
-    let json = serde_json::to_vec(taken).unwrap_or_default();
+fn receipt(execution: Execution, upload: &UploadReceipt, break_after: Option<u64>) -> Response {
+    execution.finish();
+    let json = serde_json::to_vec(upload).unwrap_or_default();
     let content = Content::from(json);
     let length = [(CONTENT_LENGTH, content.len())];
     let json = [(CONTENT_TYPE, "application/json")];
-    let stream = Stream::new(content, cut, || {});
+    let stream = Stream::new(content, break_after, || {});
     (length, json, Body::new(stream)).into_response()
 }
 
 async fn health(State(app): State<App>) -> Response {
-    match app.shared.lagging_health() {
+    match app.shared.reported_health() {
         true => (StatusCode::OK, "ok\n").into_response(),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response(),
     }
 }
 
 async fn load(State(app): State<App>) -> String {
-    format!("{}\n", app.shared.lagging_load())
+    format!("{}\n", app.shared.reported_load())
 }
 
-async fn executions(State(app): State<App>, Query(which): Query<Which>) -> Response {
-    match (which.id, which.key) {
+async fn executions(State(app): State<App>, Query(query): Query<ExecutionsQuery>) -> Response {
+    match (query.id, query.key) {
         (Some(id), _) => Json(app.shared.with_ledger(|l| l.by_id(&id))).into_response(),
         (None, Some(key)) => Json(app.shared.with_ledger(|l| l.by_key(&key))).into_response(),
         (None, None) => Json(app.shared.with_ledger(Clone::clone)).into_response(),
@@ -209,7 +216,7 @@
     Json(app.shared.stats())
 }
 
-fn fail(status: StatusCode, reason: &str) -> Response {
+fn error_response(status: StatusCode, reason: &str) -> Response {
     let value = HeaderValue::from_str(reason).unwrap_or(HeaderValue::from_static("error"));
     (status, [(STANDIN_REASON, value)], format!("{reason}\n")).into_response()
 }
--- a/crates/swiftcart-standin/src/backend/settings.rs
+++ b/crates/swiftcart-standin/src/backend/settings.rs
@@ -18,7 +18,7 @@
 
 impl ServiceTime {
     /// Draws the time of one request.
-    pub(super) fn draw(self, rng: &mut SmallRng) -> f64 {
+    pub(super) fn sample(self, rng: &mut SmallRng) -> f64 {
         match self {
             Self::Fixed(ms) => ms,
             Self::Exponential(mean) => -mean * (1.0 - rng.random::<f64>()).ln(),
--- a/crates/swiftcart-standin/src/backend/state.rs
+++ b/crates/swiftcart-standin/src/backend/state.rs
@@ -10,10 +10,10 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::Instant;
 
-use super::lagging::Lagging;
-use super::ledger::{Ledger, Names, Runs};
-use super::life::Life;
-use super::named::Named;
+use super::advertised::AdvertisedLimits;
+use super::cached::CachedValue;
+use super::incarnation::Incarnation;
+use super::ledger::{ExecutionCounts, Ledger, RequestIds};
 use super::stats::{BackendStats, Refusal};
 use super::{BackendFaults, BackendSettings};
 use crate::serve::Connections;
@@ -26,7 +26,7 @@
     pub(super) conns: Arc<Connections>,
     faults: watch::Sender<BackendFaults>,
     /// The life that runs; each change is a crash.
-    life: watch::Sender<Life>,
+    incarnation: watch::Sender<Incarnation>,
     state: Mutex<State>,
     active: watch::Sender<u64>,
     started: Instant,
@@ -38,10 +38,10 @@
     ledger: Ledger,
     stats: BackendStats,
     refused: BTreeMap<Refusal, u64>,
-    drained: Option<Instant>,
-    load: Lagging<u8>,
-    health: Lagging<bool>,
-    named: Named,
+    drain_started: Option<Instant>,
+    load: CachedValue<u8>,
+    health: CachedValue<bool>,
+    limits: AdvertisedLimits,
 }
 
 impl Shared {
@@ -50,16 +50,16 @@
             slots: Arc::new(Semaphore::new(settings.slots as usize)),
             conns: Arc::default(),
             faults: watch::Sender::default(),
-            life: watch::Sender::new(Life::new()),
+            incarnation: watch::Sender::new(Incarnation::new()),
             state: Mutex::new(State {
                 rng: SmallRng::seed_from_u64(settings.seed),
                 ledger: Ledger::default(),
                 stats: BackendStats::default(),
                 refused: BTreeMap::new(),
-                drained: None,
-                load: Lagging::default(),
-                health: Lagging::default(),
-                named: Named::default(),
+                drain_started: None,
+                load: CachedValue::default(),
+                health: CachedValue::default(),
+                limits: AdvertisedLimits::default(),
             }),
             active: watch::Sender::default(),
             started: Instant::now(),
@@ -69,25 +69,26 @@
 
     pub(super) fn set_faults(&self, faults: BackendFaults) {
         if let Some(restart) = faults.restart {
-            self.state().named.restart();
-            self.life.send_modify(|life| *life = life.again(restart));
+            self.state().limits.reset();
+            self.incarnation
+                .send_modify(|incarnation| *incarnation = incarnation.restarted(restart));
         }
         self.faults.send_replace(faults);
     }
 
     /// Wakes when the backend server crashes.
-    pub(super) fn watch_crashes(&self) -> watch::Receiver<Life> {
-        self.life.subscribe()
+    pub(super) fn watch_crashes(&self) -> watch::Receiver<Incarnation> {
+        self.incarnation.subscribe()
     }
 
     /// Returns the life that runs, with the number of its next announcement.
-    pub(super) fn next_word(&self) -> Life {
+    pub(super) fn next_announcement(&self) -> Incarnation {
         // A number is no crash.
-        self.life.send_if_modified(|life| {
-            life.next_seq();
+        self.incarnation.send_if_modified(|incarnation| {
+            incarnation.next_seq();
             false
         });
-        *self.life.borrow()
+        *self.incarnation.borrow()
     }
 
     pub(super) fn faults(&self) -> BackendFaults {
@@ -113,8 +114,8 @@
     pub(super) fn drain(&self) {
         let first = {
             let mut state = self.state();
-            let first = state.drained.is_none();
-            state.drained.get_or_insert_with(Instant::now);
+            let first = state.drain_started.is_none();
+            state.drain_started.get_or_insert_with(Instant::now);
             first
         };
         if first {
@@ -123,7 +124,7 @@
     }
 
     /// Completes when no request is in work or waits for a slot.
-    pub(super) async fn idle(&self) {
+    pub(super) async fn wait_idle(&self) {
         // The sender lives in `self`.
         let _ = self.active.subscribe().wait_for(|n| *n == 0).await;
     }
@@ -132,7 +133,7 @@
         let faults = self.faults.borrow();
         match faults.readiness {
             Some(readiness) => readiness,
-            None if self.state().drained.is_some() => Readiness::Draining,
+            None if self.state().drain_started.is_some() => Readiness::Draining,
             None if self.is_warming() => Readiness::Warming,
             None => Readiness::Ready,
         }
@@ -146,12 +147,12 @@
 
     /// Draws the time that one request takes.
     pub(super) fn service_time(&self) -> Duration {
-        let drawn = self.settings.service_time.draw(&mut self.state().rng);
+        let sampled_ms = self.settings.service_time.sample(&mut self.state().rng);
         let factor = match self.is_warming() {
             true => self.settings.warming_factor,
             false => 1.0,
         };
-        let secs = (drawn * factor).max(0.0) / 1000.0;
+        let secs = (sampled_ms * factor).max(0.0) / 1000.0;
         let time = Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX);
         time.saturating_add(Duration::from_millis(self.faults.borrow().slow_ms))
     }
@@ -167,30 +168,32 @@
     }
 
     /// Returns the rate that an answer names, and whether it says that the backend server leaves.
-    pub(super) fn notice(&self) -> (Option<f64>, bool) {
+    pub(super) fn advertise(&self) -> (Option<f64>, bool) {
         let faults = self.faults();
         let mut state = self.state();
         state
-            .named
-            .says(Instant::now(), faults.rate, faults.leaving);
+            .limits
+            .record_response(Instant::now(), faults.rate, faults.leaving);
         (faults.rate, faults.leaving)
     }
 
     /// Returns the load as `/load` reports it.
-    pub(super) fn lagging_load(&self) -> u8 {
+    pub(super) fn reported_load(&self) -> u8 {
         let load = self.load();
-        self.state().load.look(load, self.settings.load_lag_ms)
+        self.state()
+            .load
+            .get_or_update(load, self.settings.load_lag_ms)
     }
 
     /// Returns the health as `/health` reports it.
-    pub(super) fn lagging_health(&self) -> bool {
+    pub(super) fn reported_health(&self) -> bool {
         if let Some(health) = self.faults.borrow().lie_health {
             return health;
         }
         let health = self.readiness() == Readiness::Ready;
         self.state()
             .health
-            .look(health, self.settings.health_lag_ms)
+            .get_or_update(health, self.settings.health_lag_ms)
     }
 
     pub(super) fn count_refusal(&self, refusal: Refusal) {
@@ -204,12 +207,12 @@
     /// Enters the queue, or returns false when it is full.
     pub(super) fn enter_queue(&self) -> bool {
         let mut state = self.state();
-        let fits = state.stats.queued < u64::from(self.settings.queue);
-        if fits {
+        let admitted = state.stats.queued < u64::from(self.settings.queue);
+        if admitted {
             state.stats.queued += 1;
             self.active.send_modify(|n| *n += 1);
         }
-        fits
+        admitted
     }
 
     pub(super) fn leave_queue(&self) {
@@ -218,19 +221,19 @@
     }
 
     /// Counts the start of an execution.
-    pub(super) fn count_start(&self, names: &Names) {
-        let runs = Runs {
+    pub(super) fn count_start(&self, request: &RequestIds) {
+        let runs = ExecutionCounts {
             started: 1,
-            ..Runs::default()
+            ..ExecutionCounts::default()
         };
         let mut state = self.state();
-        let (beyond, late) = state.named.arrives(Instant::now());
-        state.stats.beyond_rate += u64::from(beyond);
-        state.stats.after_leaving += u64::from(late);
-        state.count(names, runs);
+        let (over_rate, after_leaving) = state.limits.record_request(Instant::now());
+        state.stats.beyond_rate += u64::from(over_rate);
+        state.stats.after_leaving += u64::from(after_leaving);
+        state.count(request, runs);
         state.stats.active += 1;
         state.stats.max_active = state.stats.max_active.max(state.stats.active);
-        if let Some(at) = state.drained {
+        if let Some(at) = state.drain_started {
             state.stats.drain_starts += 1;
             state.stats.drain_last_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
         }
@@ -238,14 +241,14 @@
     }
 
     /// Counts the end of an execution.
-    pub(super) fn count_end(&self, names: &Names, finished: bool) {
-        let runs = Runs {
+    pub(super) fn count_end(&self, request: &RequestIds, finished: bool) {
+        let runs = ExecutionCounts {
             started: 0,
             finished: u64::from(finished),
             cancelled: u64::from(!finished),
         };
         let mut state = self.state();
-        state.count(names, runs);
+        state.count(request, runs);
         state.stats.active -= 1;
         self.active.send_modify(|n| *n -= 1);
     }
@@ -277,8 +280,8 @@
 }
 
 impl State {
-    fn count(&mut self, names: &Names, runs: Runs) {
+    fn count(&mut self, request: &RequestIds, runs: ExecutionCounts) {
         self.stats.runs += runs;
-        self.ledger.add(names, runs);
+        self.ledger.add(request, runs);
     }
 }
--- a/crates/swiftcart-standin/src/backend/stats.rs
+++ b/crates/swiftcart-standin/src/backend/stats.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Runs;
+use super::ExecutionCounts;
 
 /// Tells why a request is refused without being run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -27,7 +27,7 @@
 #[serde(default)]
 pub struct BackendStats {
     /// All executions.
-    pub runs: Runs,
+    pub runs: ExecutionCounts,
     /// Executions in work now.
     pub active: u64,
     /// Most executions in work at once.
--- a/crates/swiftcart-standin/src/client.rs
+++ b/crates/swiftcart-standin/src/client.rs
@@ -3,25 +3,25 @@
 use std::time::Duration;
 
 use axum::body::Body;
-use hyper_util::client::legacy::Client as Pooled;
+use hyper_util::client::legacy::Client as PooledClient;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
 /// The error of a call that got no answer.
-pub(crate) type Failure = hyper_util::client::legacy::Error;
+pub(crate) type CallError = hyper_util::client::legacy::Error;
 
 /// A client that keeps connections open between calls.
-pub(crate) type Client = Pooled<HttpConnector, Body>;
+pub(crate) type Client = PooledClient<HttpConnector, Body>;
 
-const IDLE: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Creates a client that keeps at most `idle` unused connections to each address.
-pub(crate) fn new(idle: usize) -> Client {
+/// Creates a client that keeps at most `max_idle` unused connections to each address.
+pub(crate) fn new(max_idle: usize) -> Client {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    Pooled::builder(TokioExecutor::new())
+    PooledClient::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(IDLE)
-        .pool_max_idle_per_host(idle)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
--- a/crates/swiftcart-standin/src/lib.rs
+++ b/crates/swiftcart-standin/src/lib.rs
@@ -29,7 +29,7 @@
 //! | backend server | `GET` of any path `?bytes=N` | a body of N bytes that starts with `id=ID\n`; `X-Standin-Digest` has its BLAKE3 hash |
 //! | backend server | `POST`, `PUT` of any path | `{"id","bytes","digest"}` of the body that was taken |
 //! | backend server | `GET /health`, `GET /load` | 200 or 503; 0 to 100 |
-//! | backend server | `GET /standin/executions?id=`, `?key=`, or neither | [`Runs`]; without either the [`Ledger`] |
+//! | backend server | `GET /standin/executions?id=`, `?key=`, or neither | [`ExecutionCounts`]; without either the [`Ledger`] |
 //! | both | `GET /standin/stats` | [`LogStats`], [`BackendStats`] |
 //! | both | `GET`, `PUT /standin/faults` | [`LogFaults`], [`BackendFaults`] |
 //!
--- a/crates/swiftcart-standin/tests/backend.rs
+++ b/crates/swiftcart-standin/tests/backend.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use swiftcart_standin::{
-    BackendFaults, BackendServer, BackendSettings, Readiness, Restart, Runs, ServiceTime,
+    BackendFaults, BackendServer, BackendSettings, ExecutionCounts, Readiness, Restart, ServiceTime,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
@@ -23,8 +23,8 @@
     BackendServer::start(ANY, settings).await.expect("a port")
 }
 
-const fn runs(started: u64, finished: u64, cancelled: u64) -> Runs {
-    Runs {
+const fn counts(started: u64, finished: u64, cancelled: u64) -> ExecutionCounts {
+    ExecutionCounts {
         started,
         finished,
         cancelled,
@@ -37,30 +37,30 @@
 }
 
 /// Collects what a fake node is sent: method, path, headers and body.
-type Seen = Arc<Mutex<Vec<(Method, String, HeaderMap, Bytes)>>>;
+type RecordedRequests = Arc<Mutex<Vec<(Method, String, HeaderMap, Bytes)>>>;
 
-async fn node() -> (std::net::SocketAddr, Seen) {
-    let seen = Seen::default();
-    let log = seen.clone();
+async fn start_recording_node() -> (std::net::SocketAddr, RecordedRequests) {
+    let recorded = RecordedRequests::default();
+    let recorder = recorded.clone();
     let record = async move |request: Request<Body>| -> Response {
         let (head, body) = request.into_parts();
         let body = to_bytes(body, 1024).await.expect("a body");
         let entry = (head.method, head.uri.path().to_owned(), head.headers, body);
-        log.lock().expect("no panic").push(entry);
+        recorder.lock().expect("no panic").push(entry);
         ().into_response()
     };
     let listener = tokio::net::TcpListener::bind(ANY).await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let router = Router::new().fallback(record);
     tokio::spawn(async move { axum::serve(listener, router).await });
-    (addr, seen)
+    (addr, recorded)
 }
 
 #[rstest]
-#[case::without_queue_the_rest_is_shed(0, 4)]
-#[case::queue_takes_some(3, 1)]
+#[case::without_queue_excess_is_rejected(0, 4)]
+#[case::queue_holds_excess(3, 1)]
 #[tokio::test]
-async fn slots_bound_the_work(#[case] queue: u32, #[case] shed: u64) {
+async fn slots_limit_concurrent_executions(#[case] queue: u32, #[case] rejected: u64) {
     let settings = BackendSettings::new("booking")
         .with_slots(2)
         .with_queue(queue);
@@ -71,16 +71,16 @@
         let addr = backend.addr();
         calls.spawn(async move { fetch(addr, "/").await });
     }
-    for _ in 0..shed {
-        let answer = calls.join_next().await.unwrap().unwrap().unwrap();
-        assert_eq!(answer.status.as_u16(), 503);
+    for _ in 0..rejected {
+        let response = calls.join_next().await.unwrap().unwrap().unwrap();
+        assert_eq!(response.status.as_u16(), 503);
     }
     let stats = || backend.stats();
-    until(|| stats().active + stats().queued + shed == 6).await;
-    assert_eq!((stats().max_active, stats().runs), (2, runs(2, 0, 0)));
+    until(|| stats().active + stats().queued + rejected == 6).await;
+    assert_eq!((stats().max_active, stats().runs), (2, counts(2, 0, 0)));
     assert_eq!(
         (stats().queued, stats().refused["slots"]),
-        (u64::from(queue), shed)
+        (u64::from(queue), rejected)
     );
     calls.shutdown().await;
     until(|| stats().active == 0).await;
@@ -88,15 +88,15 @@
 }
 
 #[rstest]
-#[case::finished(BackendFaults::new(), Some(200), runs(1, 1, 0))]
-#[case::failed_after_the_work(BackendFaults::new().with_fail_status(500), Some(500), runs(1, 1, 0))]
-#[case::answer_lost_after_the_work(BackendFaults::new().with_lose_answers(1), None, runs(1, 1, 0))]
-#[case::answer_broken_after_the_work(BackendFaults::new().with_break_body(5), None, runs(1, 1, 0))]
+#[case::finished(BackendFaults::new(), Some(200), counts(1, 1, 0))]
+#[case::error_status_after_execution(BackendFaults::new().with_fail_status(500), Some(500), counts(1, 1, 0))]
+#[case::connection_closed_before_response(BackendFaults::new().with_lose_answers(1), None, counts(1, 1, 0))]
+#[case::body_truncated_after_execution(BackendFaults::new().with_break_body(5), None, counts(1, 1, 0))]
 #[tokio::test]
-async fn execution_is_counted_by_id_and_key(
+async fn execution_is_counted_by_request_id_and_idempotency_key(
     #[case] faults: BackendFaults,
     #[case] status: Option<u16>,
-    #[case] counted: Runs,
+    #[case] counted: ExecutionCounts,
 ) {
     let backend = start(BackendSettings::default()).await;
     backend.set_faults(faults);
@@ -105,21 +105,24 @@
         ("x-request-id", "c1"),
         ("idempotency-key", "k1"),
     ];
-    let answer = send(Method::POST, backend.addr(), "/booking", &names, "body").await;
-    assert_eq!(answer.map(|a| a.status.as_u16()), status);
+    let response = send(Method::POST, backend.addr(), "/booking", &names, "body").await;
+    assert_eq!(response.map(|a| a.status.as_u16()), status);
     for path in ["?id=n1", "?id=c1", "?key=k1"] {
         let path = format!("/standin/executions{path}");
         let found = fetch(backend.addr(), &path).await.unwrap().body;
-        assert_eq!(serde_json::from_slice::<Runs>(&found).unwrap(), counted);
+        assert_eq!(
+            serde_json::from_slice::<ExecutionCounts>(&found).unwrap(),
+            counted
+        );
     }
     assert_eq!(
         (backend.stats().runs, backend.runs_by_key("k2")),
-        (counted, Runs::default())
+        (counted, ExecutionCounts::default())
     );
 }
 
 /// Sends a head and a part of its body on a connection of its own.
-async fn begin_upload(backend: &BackendServer, header: &str) -> tokio::net::TcpStream {
+async fn start_partial_upload(backend: &BackendServer, header: &str) -> tokio::net::TcpStream {
     let mut stream = tokio::net::TcpStream::connect(backend.addr())
         .await
         .expect("a connection");
@@ -130,82 +133,86 @@
 }
 
 #[tokio::test]
-async fn upload_that_breaks_off_is_not_finished() {
+async fn truncated_upload_counts_as_cancelled() {
     let backend = start(BackendSettings::default()).await;
-    drop(begin_upload(&backend, "").await);
-    until(|| backend.stats().runs == runs(1, 0, 1)).await;
+    drop(start_partial_upload(&backend, "").await);
+    until(|| backend.stats().runs == counts(1, 0, 1)).await;
 }
 
 #[tokio::test]
-async fn upload_that_passes_its_deadline_is_stopped() {
+async fn upload_past_its_deadline_is_cancelled() {
     let backend = start(BackendSettings::default()).await;
     let deadline = format!("swiftcart-deadline: {}\r\n", unix_ms() + 1000);
-    let mut stream = begin_upload(&backend, &deadline).await;
-    let mut answer = [0; 12];
-    let read = stream.read_exact(&mut answer);
+    let mut stream = start_partial_upload(&backend, &deadline).await;
+    let mut response = [0; 12];
+    let read = stream.read_exact(&mut response);
     let read = timeout(Duration::from_secs(20), read).await;
     read.expect("an answer in time").unwrap();
     assert_eq!(
-        (&answer, backend.stats().runs),
-        (b"HTTP/1.1 504", runs(1, 0, 1))
+        (&response, backend.stats().runs),
+        (b"HTTP/1.1 504", counts(1, 0, 1))
     );
 }
 
 #[rstest]
-#[case::past_is_refused_without_a_run(-1000, 503, runs(0, 0, 0))]
-#[case::passing_stops_the_work(500, 504, runs(1, 0, 1))]
-#[case::far_is_no_hindrance(60_000, 200, runs(1, 1, 0))]
+#[case::expired_deadline_is_rejected_without_execution(-1000, 503, counts(0, 0, 0))]
+#[case::deadline_during_execution_cancels_it(500, 504, counts(1, 0, 1))]
+#[case::distant_deadline_has_no_effect(60_000, 200, counts(1, 1, 0))]
 #[tokio::test]
-async fn deadline_is_honoured(#[case] left: i64, #[case] status: u16, #[case] counted: Runs) {
+async fn deadline_is_enforced(
+    #[case] left: i64,
+    #[case] status: u16,
+    #[case] counted: ExecutionCounts,
+) {
     let time = ServiceTime::Fixed(if left == 500 { 10_000.0 } else { 0.0 });
     let backend = start(BackendSettings::default().with_service_time(time)).await;
     let deadline = unix_ms().saturating_add_signed(left).to_string();
     let header = [("swiftcart-deadline", deadline.as_str())];
-    let answer = send(Method::GET, backend.addr(), "/", &header, Body::empty())
+    let response = send(Method::GET, backend.addr(), "/", &header, Body::empty())
         .await
         .unwrap();
     assert_eq!(
-        (answer.status.as_u16(), backend.stats().runs),
+        (response.status.as_u16(), backend.stats().runs),
         (status, counted)
     );
 }
 
 #[tokio::test]
-async fn disconnect_cancels_the_work() {
+async fn disconnect_cancels_execution() {
     let backend = start(BackendSettings::default()).await;
     backend.set_faults(BackendFaults::new().with_hang(true));
     let addr = backend.addr();
     let call = tokio::spawn(async move { fetch(addr, "/").await });
     until(|| backend.stats().active == 1).await;
     call.abort();
-    until(|| backend.stats().runs == runs(1, 0, 1)).await;
+    until(|| backend.stats().runs == counts(1, 0, 1)).await;
 }
 
 #[rstest]
 #[case::short(1, 8)]
 #[case::long(300_000, 300_000)]
 #[tokio::test]
-async fn answer_is_whole_and_names_its_request(#[case] asked: u64, #[case] len: usize) {
+async fn response_is_complete_and_contains_the_request_id(#[case] asked: u64, #[case] len: usize) {
     let backend = start(BackendSettings::default()).await;
     let path = format!("/report?bytes={asked}");
     let id = [("x-request-id", "abcd")];
-    let answer = send(Method::GET, backend.addr(), &path, &id, Body::empty())
+    let response = send(Method::GET, backend.addr(), &path, &id, Body::empty())
         .await
         .unwrap();
-    let digest = blake3::hash(&answer.body).to_hex().to_string();
+    let digest = blake3::hash(&response.body).to_hex().to_string();
     assert_eq!(
-        (answer.body.len(), &answer.body[..8]),
+        (response.body.len(), &response.body[..8]),
         (len, &b"id=abcd\n"[..])
     );
-    assert_eq!(answer.headers["x-standin-digest"], digest.as_str());
+    assert_eq!(response.headers["x-standin-digest"], digest.as_str());
 }
 
 #[tokio::test]
-async fn broken_body_is_seen_by_the_caller() {
+async fn truncated_response_body_fails_the_call() {
     let backend = start(BackendSettings::default()).await;
     backend.set_faults(BackendFaults::new().with_break_body(1000));
     assert!(fetch(backend.addr(), "/?bytes=100000").await.is_none());
-    assert_eq!(backend.stats().runs, runs(1, 0, 1));
+    assert_eq!(backend.stats().runs, counts(1, 0, 1));
 }
 
 #[tokio::test]
@@ -214,10 +221,10 @@
     let body = vec![7; 3_000_000];
     let digest = blake3::hash(&body).to_hex().to_string();
     let id = [("x-request-id", "u1")];
-    let answer = send(Method::PUT, backend.addr(), "/footage", &id, body)
+    let response = send(Method::PUT, backend.addr(), "/footage", &id, body)
         .await
         .unwrap();
-    let receipt: Value = serde_json::from_slice(&answer.body).unwrap();
+    let receipt: Value = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(
         receipt,
         json!({"id": "u1", "bytes": 3_000_000, "digest": digest})
@@ -225,10 +232,10 @@
 }
 
 #[rstest]
-#[case::at_once(0, "25\n")]
-#[case::late(60_000, "0\n")]
+#[case::without_lag(0, "25\n")]
+#[case::with_lag(60_000, "0\n")]
 #[tokio::test]
-async fn load_is_the_share_of_busy_slots(#[case] lag: u64, #[case] load: &str) {
+async fn load_is_the_percentage_of_busy_slots(#[case] lag: u64, #[case] load: &str) {
     let settings = BackendSettings::default().with_slots(4).with_lag_ms(lag);
     let backend = start(settings).await;
     let addr = backend.addr();
@@ -241,23 +248,23 @@
 }
 
 #[tokio::test]
-async fn health_and_load_lie_on_command() {
+async fn faults_override_reported_health_and_load() {
     let backend = start(BackendSettings::default()).await;
     let faults = BackendFaults::new().with_lie_load(3).with_lie_health(false);
     backend.set_faults(faults);
     let health = fetch(backend.addr(), "/health").await.unwrap();
     let load = fetch(backend.addr(), "/load").await.unwrap();
     let work = fetch(backend.addr(), "/").await.unwrap();
-    let told = (
+    let reported = (
         health.status.as_u16(),
         &load.body[..],
         work.headers["swiftcart-load"].as_bytes(),
     );
-    assert_eq!(told, (503, &b"3\n"[..], &b"3"[..]));
+    assert_eq!(reported, (503, &b"3\n"[..], &b"3"[..]));
 }
 
 #[tokio::test]
-async fn connections_beyond_the_bound_are_closed() {
+async fn connections_beyond_the_limit_are_closed() {
     let backend = start(BackendSettings::default().with_connections(1)).await;
     let first = tokio::net::TcpStream::connect(backend.addr())
         .await
@@ -275,12 +282,12 @@
 }
 
 #[tokio::test]
-async fn announcements_tell_cold_start_drain_and_end() {
-    let (admin, seen) = node().await;
+async fn announcements_report_warming_draining_and_withdrawal() {
+    let (admin, recorded) = start_recording_node().await;
     let settings = BackendSettings::new("booking").with_warming(1500, 1.0);
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
     let addr = backend.addr();
-    let count = || seen.lock().unwrap().len();
+    let count = || recorded.lock().unwrap().len();
     until(|| count() == 2).await;
     backend.set_faults(BackendFaults::new().with_readiness(Readiness::Warming));
     until(|| count() == 3).await;
@@ -289,11 +296,11 @@
     backend.drain();
     until(|| count() == 5).await;
     backend.stop(Duration::ZERO).await;
-    let told = |(method, path, _, body): &(Method, String, HeaderMap, Bytes)| {
+    let reported = |(method, path, _, body): &(Method, String, HeaderMap, Bytes)| {
         let body: Value = serde_json::from_slice(body).unwrap_or_default();
         (method.to_string(), path.clone(), body)
     };
-    let told: Vec<_> = seen.lock().unwrap().iter().map(told).collect();
+    let reported: Vec<_> = recorded.lock().unwrap().iter().map(reported).collect();
     let put = |readiness: &str| {
         let body = json!({"service": "booking", "addr": addr, "slots": 10, "connections": 130,
             "readiness": readiness, "ttl_ms": 60_000});
@@ -302,11 +309,11 @@
     let end = ("DELETE".to_owned(), "/v1/backend".to_owned(), Value::Null);
     let puts = ["warming", "ready", "warming", "ready", "draining"];
     let expected: Vec<_> = puts.into_iter().map(put).chain([end]).collect();
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
 
 #[tokio::test]
-async fn stop_finishes_the_work_in_flight() {
+async fn stop_waits_for_in_flight_requests() {
     let time = ServiceTime::Fixed(100.0);
     let backend = start(BackendSettings::default().with_service_time(time)).await;
     let addr = backend.addr();
@@ -317,8 +324,8 @@
 }
 
 #[tokio::test]
-async fn deeper_call_carries_attempt_key_and_time_left() {
-    let (ingress, seen) = node().await;
+async fn downstream_call_carries_attempt_key_and_remaining_time() {
+    let (ingress, recorded) = start_recording_node().await;
     let settings = BackendSettings::default()
         .with_downstream(ingress, "/b")
         .with_downstream(ingress, "/c");
@@ -330,10 +337,10 @@
         ("x-request-id", "c1"),
         ("swiftcart-deadline", deadline.as_str()),
     ];
-    let answer = send(Method::POST, backend.addr(), "/a", &headers, "body")
+    let response = send(Method::POST, backend.addr(), "/a", &headers, "body")
         .await
         .unwrap();
-    assert_eq!(answer.status.as_u16(), 200);
+    assert_eq!(response.status.as_u16(), 200);
     let text = |h: &HeaderMap, name: &str| h[name].to_str().unwrap().to_owned();
     let sent = |(method, path, h, _): &(Method, String, HeaderMap, Bytes)| {
         let left: u64 = text(h, "swiftcart-deadline-ms").parse().unwrap();
@@ -341,7 +348,7 @@
         let names = ["swiftcart-attempt", "idempotency-key", "x-request-id"];
         (method.clone(), path.clone(), names.map(|n| text(h, n)))
     };
-    let sent: Vec<_> = seen.lock().unwrap().iter().map(sent).collect();
+    let sent: Vec<_> = recorded.lock().unwrap().iter().map(sent).collect();
     let call = |path: &str| {
         let names = ["2".to_owned(), format!("k{path}"), "c1".to_owned()];
         (Method::POST, path.to_owned(), names)
@@ -351,49 +358,52 @@
 
 #[rstest]
 #[case::later(Restart::Later, |start, before| start > before)]
-#[case::by_a_clock_that_was_set_back(Restart::SetBack, |start, before| start < before)]
+#[case::clock_set_back(Restart::SetBack, |start, before| start < before)]
 #[tokio::test]
-async fn a_restart_cancels_the_work_and_numbers_announcements_anew(
+async fn restart_cancels_requests_and_resets_announcement_sequence(
     #[case] restart: Restart,
-    #[case] fits: fn(u64, u64) -> bool,
+    #[case] start_matches: fn(u64, u64) -> bool,
 ) {
-    let (admin, seen) = node().await;
+    let (admin, recorded) = start_recording_node().await;
     let settings = BackendSettings::new("booking").with_id("s-1", "norte");
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
-    until(|| seen.lock().unwrap().len() == 1).await;
+    until(|| recorded.lock().unwrap().len() == 1).await;
     backend.set_faults(BackendFaults::new().with_hang(true));
     let addr = backend.addr();
     let call = tokio::spawn(async move { fetch(addr, "/").await });
     until(|| backend.stats().active == 1).await;
-    until(|| seen.lock().unwrap().len() == 2).await;
+    until(|| recorded.lock().unwrap().len() == 2).await;
     backend.set_faults(BackendFaults::new().with_restart(restart));
     assert!(call.await.unwrap().is_none(), "its connection breaks");
-    until(|| seen.lock().unwrap().len() == 3).await;
-    assert_eq!(backend.stats().runs, runs(1, 0, 1));
-    let words: Vec<Value> = seen.lock().unwrap().iter().map(word).collect();
-    let start = |i: usize| words[i]["start_ms"].as_u64().unwrap();
-    let seqs: Vec<_> = words.iter().map(|word| word["seq"].as_u64()).collect();
+    until(|| recorded.lock().unwrap().len() == 3).await;
+    assert_eq!(backend.stats().runs, counts(1, 0, 1));
+    let announcements: Vec<Value> = recorded.lock().unwrap().iter().map(announcement).collect();
+    let start = |i: usize| announcements[i]["start_ms"].as_u64().unwrap();
+    let seqs: Vec<_> = announcements
+        .iter()
+        .map(|announcement| announcement["seq"].as_u64())
+        .collect();
     assert_eq!(seqs, [Some(1), Some(2), Some(1)]);
-    assert!(fits(start(2), start(1)) && start(0) == start(1));
+    assert!(start_matches(start(2), start(1)) && start(0) == start(1));
 }
 
 /// Returns what one announcement under an id says.
-fn word((method, path, _, body): &(Method, String, HeaderMap, Bytes)) -> Value {
+fn announcement((method, path, _, body): &(Method, String, HeaderMap, Bytes)) -> Value {
     assert_eq!((method, path.as_str()), (&Method::PUT, "/v1/backend/s-1"));
     serde_json::from_slice(body).expect("an announcement")
 }
 
 #[tokio::test]
-async fn odd_announcements_come_before_sound_ones() {
-    let (admin, seen) = node().await;
+async fn malformed_announcements_precede_valid_ones() {
+    let (admin, recorded) = start_recording_node().await;
     let settings = BackendSettings::new("booking").with_id("s-1", "norte");
     let backend = start(settings.with_admin(admin).with_ttl_ms(60_000)).await;
-    until(|| seen.lock().unwrap().len() == 1).await;
+    until(|| recorded.lock().unwrap().len() == 1).await;
     backend.set_faults(BackendFaults::new().with_malformed(true));
-    until(|| seen.lock().unwrap().len() == 3).await;
-    let sound = |(_, _, _, body): &(Method, String, HeaderMap, Bytes)| {
+    until(|| recorded.lock().unwrap().len() == 3).await;
+    let valid = |(_, _, _, body): &(Method, String, HeaderMap, Bytes)| {
         serde_json::from_slice::<Value>(body).is_ok_and(|body| body["seq"].is_u64())
     };
-    let sound: Vec<_> = seen.lock().unwrap().iter().map(sound).collect();
-    assert_eq!(sound, [true, false, true]);
+    let valid: Vec<_> = recorded.lock().unwrap().iter().map(valid).collect();
+    assert_eq!(valid, [true, false, true]);
 }
--- a/crates/swiftcart-standin/tests/load.rs
+++ b/crates/swiftcart-standin/tests/load.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use serde_json::json;
 use swiftcart_standin::{
-    Audit, BackendFaults, BackendServer, BackendSettings, Error, Ledger, Load, Runs, ServiceTime,
-    Shape, Told,
+    Audit, BackendFaults, BackendServer, BackendSettings, Error, ExecutionCounts, Ledger, Load,
+    ServiceTime, Shape, Told,
 };
 
 const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -167,7 +167,7 @@
 fn audit_names_the_broken_promise(
     #[case] verdict: &str,
     #[case] outcome: &str,
-    #[case] runs: Runs,
+    #[case] runs: ExecutionCounts,
     #[case] expected: Audit,
 ) {
     let told = Told {
@@ -187,8 +187,8 @@
     vec!["1-0".into()]
 }
 
-const fn runs(started: u64, finished: u64) -> Runs {
-    Runs {
+const fn runs(started: u64, finished: u64) -> ExecutionCounts {
+    ExecutionCounts {
         started,
         finished,
         cancelled: 0,
