--- a/crates/swiftcart-standin/src/backend.rs
+++ b/crates/swiftcart-standin/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server over HTTP, with slots, cold start, drain and faults.
+//! HTTP backend server with a concurrency limit, cold start, draining and fault injection.
 
 mod advertised;
 mod announce;
@@ -30,22 +30,27 @@
 use announce::Announcer;
 use state::Shared;
 
-/// Runs a backend server and holds its listener; dropping it kills the backend server.
+/// Handle of a running backend server.
+///
+/// Dropping the handle closes the listener and all connections at once, as if the process were
+/// killed.
 #[derive(Debug)]
 pub struct BackendServer {
     shared: Arc<Shared>,
     server: Server,
     announcer: Option<Announcer>,
-    /// Ends the announcements with the handle.
+    /// Task that sends the announcements; it is aborted when the handle is dropped.
     announce_task: Option<AbortOnDropHandle<()>>,
 }
 
 impl BackendServer {
-    /// Starts a backend server on `addr`; it announces itself when `settings` name a node.
+    /// Starts a backend server on `addr`.
+    ///
+    /// The backend server announces itself when `settings` contain the admin address of a node.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Listen`] when the address cannot be listened on.
+    /// Returns [`Error::Listen`] when the listener cannot be bound to `addr`.
     pub async fn start(addr: SocketAddr, settings: BackendSettings) -> Result<Self, Error> {
         let limit = settings.connections as usize;
         let shared = Arc::new(Shared::new(settings));
@@ -61,52 +66,58 @@
         })
     }
 
-    /// Returns the address that the backend server listens on.
+    /// Returns the listen address.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Replaces the faults; a changed readiness is announced at once.
+    /// Replaces the active faults and triggers an announcement at once, so that a changed readiness
+    /// is reported without delay.
     pub fn set_faults(&self, faults: BackendFaults) {
         self.shared.set_faults(faults);
     }
 
-    /// Returns what the backend server has counted.
+    /// Returns a snapshot of the statistics.
     #[must_use]
     pub fn stats(&self) -> BackendStats {
         self.shared.stats()
     }
 
-    /// Returns the executions of one request, by the node's request id or the caller's.
+    /// Returns the execution counts of the request with this node or caller request id.
     #[must_use]
     pub fn runs_by_id(&self, id: &str) -> ExecutionCounts {
         self.shared.with_ledger(|l| l.by_id(id))
     }
 
-    /// Returns the executions under one idempotency key.
+    /// Returns the execution counts of an idempotency key.
     #[must_use]
     pub fn runs_by_key(&self, key: &str) -> ExecutionCounts {
         self.shared.with_ledger(|l| l.by_key(key))
     }
 
-    /// Returns a copy of all executions, to be summed over backend servers.
+    /// Returns a copy of the ledger, which can be merged with those of other backend servers.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.shared.with_ledger(Ledger::clone)
     }
 
-    /// Announces draining; the backend server goes on with what still reaches it.
+    /// Announces that the backend server is draining.
+    ///
+    /// Requests that still arrive are processed.
     pub fn drain(&self) {
         self.shared.drain();
     }
 
-    /// Drains, serves for `grace`, finishes what is in flight, withdraws and stops.
+    /// Shuts the backend server down gracefully.
+    ///
+    /// Announces draining and serves requests for `grace`. Then waits for in-flight and queued
+    /// requests, withdraws the announcement and stops the listener.
     pub async fn stop(self, grace: Duration) {
         self.drain();
         tokio::time::sleep(grace).await;
         self.shared.wait_idle().await;
-        // No announcement may follow the withdrawal.
+        // Stops the announcements first: none may follow the withdrawal.
         drop(self.announce_task);
         if let Some(announcer) = &self.announcer {
             announcer.withdraw().await;
--- a/crates/swiftcart-standin/src/backend/advertised.rs
+++ b/crates/swiftcart-standin/src/backend/advertised.rs
@@ -1,25 +1,28 @@
-//! What a backend server has said of itself in its answers, and what it got all the same.
+//! Check of received requests against the limits that the backend server advertises.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long answers may take to be known to all who were told.
+/// Maximum time until an advertised value is known to all nodes that are informed of it.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
-/// The time over which requests are counted against a rate.
+/// Sliding window in which requests are counted against the rate.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Times the rate, and requests on top, that may come in the window: what is under way when the
-/// rate becomes known, and the first requests of those who were not told.
+/// Factor on the advertised rate that is allowed within the window.
+///
+/// Together with [`BURST_ALLOWANCE`] it covers requests already in flight when the rate becomes
+/// known, and the first requests of nodes that have not been informed.
 const RATE_TOLERANCE: f64 = 1.5;
+/// Number of requests allowed within the window in addition to the scaled rate.
 const BURST_ALLOWANCE: f64 = 4.0;
 
-/// The time after which nothing may come to a backend server that has said that it leaves.
+/// Time after the first leaving notice from which no request may arrive.
 const LEAVING_GRACE: Duration = Duration::from_secs(1);
 
-/// Counts what a backend server gets against what it says of itself.
+/// Limits that the backend server advertises in its responses, and recent arrivals.
 #[derive(Debug, Default)]
 pub(super) struct AdvertisedLimits {
     rate: Option<(f64, Instant)>,
@@ -28,7 +31,7 @@
 }
 
 impl AdvertisedLimits {
-    /// Notes what an answer says that leaves now.
+    /// Records the values advertised in a response that is sent at `now`.
     pub(super) fn record_response(&mut self, now: Instant, rate: Option<f64>, leaving: bool) {
         self.rate = rate.map(|rate| match self.rate {
             Some((old, since)) if old <= rate => (rate, since),
@@ -40,8 +43,10 @@
         }
     }
 
-    /// Notes a request; returns whether it is one too many for the rate, and whether it comes after all
-    /// know that the backend server leaves.
+    /// Records a request that arrives at `now`.
+    ///
+    /// The first flag of the result is `true` if the request exceeds the advertised rate. The
+    /// second flag is `true` if it arrives [`LEAVING_GRACE`] or more after the leaving notice.
     pub(super) fn record_request(&mut self, now: Instant) -> (bool, bool) {
         self.arrivals.push_back(now);
         while self
@@ -66,7 +71,7 @@
         (over_rate, after_leaving)
     }
 
-    /// Forgets all of it: another process has taken the place.
+    /// Clears the state after a restart, since the new process has not advertised anything yet.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/swiftcart-standin/src/backend/announce.rs
+++ b/crates/swiftcart-standin/src/backend/announce.rs
@@ -1,4 +1,4 @@
-//! Announces the backend server to the node beside it.
+//! Announcements of the backend server to the node beside it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use super::state::Shared;
 use crate::client::{self, Client};
 
-/// Shortest gap between two announcements.
+/// Minimum interval between two announcements.
 const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for the node's answer.
+/// Time-out for the node's response.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bodies that another program might send, one after the other.
+/// Invalid announcement bodies, as a foreign program might send them; used in rotation.
 const MALFORMED_BODIES: [&str; 5] = [
     "{",
     "{\"service\":7}",
@@ -29,6 +29,7 @@
     "\u{feff}ready",
 ];
 
+/// Body of an announcement without an id.
 #[derive(Debug, Serialize)]
 struct Announcement<'a> {
     service: &'a str,
@@ -39,7 +40,7 @@
     ttl_ms: u64,
 }
 
-/// What a backend server with an id says.
+/// Body of an announcement under an id.
 #[derive(Debug, Serialize)]
 struct AnnouncementWithId<'a> {
     service: &'a str,
@@ -53,13 +54,13 @@
     start_ms: u64,
 }
 
-/// What one that leaves says.
+/// Body of the withdrawal of an announcement under an id.
 #[derive(Debug, Serialize)]
 struct Withdrawal {
     start_ms: u64,
 }
 
-/// Sends announcements; a clone sends the same.
+/// Sender of the announcements of a backend server.
 #[derive(Debug, Clone)]
 pub(super) struct Announcer {
     shared: Arc<Shared>,
@@ -69,7 +70,7 @@
 }
 
 impl Announcer {
-    /// Creates the announcer, or none when the settings name no node.
+    /// Creates an announcer, or returns `None` when the settings contain no admin address.
     pub(super) fn new(shared: &Arc<Shared>, addr: SocketAddr) -> Option<Self> {
         Some(Self {
             shared: shared.clone(),
@@ -79,7 +80,9 @@
         })
     }
 
-    /// Announces at the start, at every change and three times within the validity.
+    /// Sends announcements until the task is aborted.
+    ///
+    /// Announces at the start, after every change and three times per validity period.
     pub(super) async fn run(self) {
         let mut changes = self.shared.watch_faults();
         loop {
@@ -92,9 +95,11 @@
         }
     }
 
-    /// Withdraws the announcement; an unreachable node lets it expire.
+    /// Withdraws the announcement.
+    ///
+    /// If the node is unreachable, the announcement expires there.
     pub(super) async fn withdraw(&self) {
-        let start_ms = self.shared.next_announcement().start_ms;
+        let start_ms = self.shared.advance_sequence().start_ms;
         let withdrawal = serde_json::to_vec(&Withdrawal { start_ms });
         match (&self.shared.settings.id, withdrawal) {
             (Some(_), Ok(json)) => self.send(Method::DELETE, Body::from(json)).await,
@@ -104,7 +109,7 @@
 
     async fn announce(&self) {
         if self.shared.faults().malformed {
-            let incarnation = self.shared.next_announcement();
+            let incarnation = self.shared.advance_sequence();
             let malformed = MALFORMED_BODIES[incarnation.seq as usize % MALFORMED_BODIES.len()];
             self.send(Method::PUT, Body::from(malformed)).await;
         }
@@ -116,7 +121,7 @@
 
     async fn announce_with_id(&self) {
         let settings = &self.shared.settings;
-        let incarnation = self.shared.next_announcement();
+        let incarnation = self.shared.advance_sequence();
         let announcement = AnnouncementWithId {
             service: &settings.service,
             addr: self.addr,
@@ -148,7 +153,9 @@
         }
     }
 
-    /// Returns the time to the next announcement: a cold start's end is announced at once.
+    /// Returns the time until the next announcement.
+    ///
+    /// The end of a cold start is announced at once, so it may shorten the interval.
     fn interval(&self) -> Duration {
         let interval = Duration::from_millis(self.shared.settings.ttl_ms / 3).max(MIN_INTERVAL);
         match self.shared.warming_left() {
@@ -170,7 +177,7 @@
             .header(CONTENT_TYPE, "application/json")
             .body(body);
         let Ok(request) = request else { return };
-        // The next announcement comes soon, so that a failed one needs no care.
+        // Errors are ignored because the announcement is repeated after a short interval.
         let _ = timeout(ANNOUNCE_TIMEOUT, self.client.request(request)).await;
     }
 }
--- a/crates/swiftcart-standin/src/backend/downstream.rs
+++ b/crates/swiftcart-standin/src/backend/downstream.rs
@@ -1,4 +1,4 @@
-//! The calls that a backend server makes through its own node, level by level.
+//! Downstream calls that a backend server makes through its own node.
 
 use axum::body::Body;
 use http::header::CONTENT_LENGTH;
@@ -12,37 +12,38 @@
 use crate::headers::{ATTEMPT, CALLER_ID, DEADLINE_LEFT, KEY, text};
 
 quick_error! {
-    /// Tells why a call on a deeper level failed.
+    /// Error of a downstream call.
     #[derive(Debug)]
     pub enum Error {
-        /// The path makes no request.
+        /// The path does not form a valid request.
         Request(err: http::Error) {
             display("{}", err)
             source(err)
             from()
         }
-        /// No answer came.
+        /// The call received no response.
         Call(err: CallError) {
             display("{}", err)
             source(err)
             from()
         }
-        /// The answer's body broke off.
+        /// The response body was truncated.
         Body(err: hyper::Error) {
             display("{}", err)
             source(err)
             from()
         }
-        /// The answer was no success.
+        /// The response status was not a success.
         Status(status: http::StatusCode) {
             display("status {}", status)
         }
     }
 }
 
-/// Calls every path in turn and reads the answers to their ends.
+/// Calls all paths one after the other and reads each response to its end.
 ///
-/// The attempt, the time left and a key of the path's own go with each call.
+/// Each call carries the attempt number, the time until the deadline and an idempotency key that is
+/// unique to the path.
 pub(super) async fn call_all(
     client: &Client,
     node: std::net::SocketAddr,
--- a/crates/swiftcart-standin/src/backend/execution.rs
+++ b/crates/swiftcart-standin/src/backend/execution.rs
@@ -1,4 +1,4 @@
-//! One execution: its slot, its time, its deadline and its end.
+//! Execution of a request, with its slot, service time and deadline.
 
 use std::future::{Future, pending};
 use std::sync::Arc;
@@ -13,12 +13,14 @@
 use super::stats::Refusal;
 use crate::headers::{CALLER_ID, DEADLINE, KEY, REQUEST_ID, text};
 
-/// Holds a slot; dropped before [`Execution::finish`] it counts as cancelled.
+/// Running request that occupies a slot.
+///
+/// It counts as cancelled when it is dropped without a call of [`Execution::finish`].
 pub(super) struct Execution {
     shared: Arc<Shared>,
     request_ids: RequestIds,
     finished: bool,
-    /// The end of the caller's patience.
+    /// Deadline set by the caller.
     pub(super) deadline: Option<Instant>,
     _slot: OwnedSemaphorePermit,
 }
@@ -42,7 +44,7 @@
         })
     }
 
-    /// Returns the id that the answer names: the caller's, else the node's.
+    /// Returns the request id of the caller, or else that of the node.
     pub(super) fn id(&self) -> &str {
         let id = self
             .request_ids
@@ -56,7 +58,7 @@
         self.request_ids.key.as_deref()
     }
 
-    /// Takes the service time, or all time when a fault says so.
+    /// Waits for the service time, or forever when the `hang` fault is active.
     pub(super) async fn run(&self) {
         match self.shared.service_time() {
             _ if self.shared.faults().hang => pending().await,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Holds a place in the queue; a caller that leaves gives it up.
+/// Place in the queue, released on drop, for example when the caller disconnects.
 struct QueuePlace(Arc<Shared>);
 
 impl Drop for QueuePlace {
@@ -101,7 +103,7 @@
     slot.map_err(|_| Refusal::Slots)
 }
 
-/// Completes with the output of `future`, or with `None` when the deadline passes first.
+/// Returns the output of `future`, or `None` when the deadline passes first.
 pub(super) async fn before_deadline<F: Future>(
     deadline: Option<Instant>,
     future: F,
@@ -120,7 +122,11 @@
     }
 }
 
-/// Returns the deadline on this process's clock; one that has passed is a refusal.
+/// Converts the deadline header to an instant of this process's clock.
+///
+/// # Errors
+///
+/// Returns [`Refusal::Deadline`] when the deadline has passed.
 fn deadline(headers: &HeaderMap) -> Result<Option<Instant>, Refusal> {
     let ms = text(headers, DEADLINE).and_then(|t| t.parse().ok());
     let Some(ms) = ms else { return Ok(None) };
--- a/crates/swiftcart-standin/src/backend/incarnation.rs
+++ b/crates/swiftcart-standin/src/backend/incarnation.rs
@@ -1,23 +1,23 @@
-//! The lives of one backend server: each has a start and numbers its announcements.
+//! Incarnations of a backend server, each with a start time and sequence numbers of its own.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use super::faults::Restart;
 
-/// How far the clock is set back between two lives, in milliseconds.
+/// Amount by which [`Restart::SetBack`] sets the clock back, in milliseconds.
 const CLOCK_SETBACK_MS: u64 = 60_000;
 
-/// One life of a backend server.
+/// Incarnation of a backend server, which lasts from its start to a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Incarnation {
-    /// When it began, in Unix milliseconds by its own clock.
+    /// Start time in Unix milliseconds, by the simulated clock of the backend server.
     pub(super) start_ms: u64,
-    /// The number of its last announcement.
+    /// Sequence number of the last announcement.
     pub(super) seq: u64,
 }
 
 impl Incarnation {
-    /// Begins the first life.
+    /// Creates the first incarnation.
     pub(super) fn new() -> Self {
         Self {
             start_ms: unix_ms(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Begins another life after this one.
+    /// Returns the incarnation that follows this one after a restart.
     pub(super) fn restarted(self, restart: Restart) -> Self {
         let start_ms = match restart {
             Restart::Later => unix_ms().max(self.start_ms + 1),
@@ -34,7 +34,7 @@
         Self { start_ms, seq: 0 }
     }
 
-    /// Returns the number of the next announcement.
+    /// Increments the sequence number and returns it.
     pub(super) const fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
--- a/crates/swiftcart-standin/src/backend/ledger.rs
+++ b/crates/swiftcart-standin/src/backend/ledger.rs
@@ -1,21 +1,21 @@
-//! Counts every execution by request id and by idempotency key.
+//! Execution counts by request id and by idempotency key.
 
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 
 use serde::{Deserialize, Serialize};
 
-/// Entries that each of the ledger's maps keeps; later ones are only counted.
+/// Maximum number of entries per map of the ledger; further ones are only counted.
 const MAX_ENTRIES: usize = 1_000_000;
 
-/// Counts the executions of one request or under one key.
+/// Number of executions by result, in total or of one request or idempotency key.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExecutionCounts {
-    /// Executions that got a slot: from here on the work may have taken effect.
+    /// Executions that acquired a slot; from then on the request may have taken effect.
     pub started: u64,
-    /// Executions whose work was completed.
+    /// Executions that completed.
     pub finished: u64,
-    /// Executions stopped by the caller's disconnect, a deadline or a broken body.
+    /// Executions stopped by a disconnect of the caller, a deadline or a truncated body.
     pub cancelled: u64,
 }
 
@@ -27,44 +27,47 @@
     }
 }
 
-/// Holds the executions of one backend server.
+/// Execution counts of one or several backend servers.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Ledger {
-    /// By the node's `Swiftcart-Request-Id`.
+    /// Counts by `Swiftcart-Request-Id`, set by the node.
     pub ids: BTreeMap<String, ExecutionCounts>,
-    /// By the caller's `X-Request-Id`.
+    /// Counts by `X-Request-Id`, set by the caller.
     pub callers: BTreeMap<String, ExecutionCounts>,
-    /// By `Idempotency-Key`.
+    /// Counts by `Idempotency-Key`.
     pub keys: BTreeMap<String, ExecutionCounts>,
-    /// Entries that were not kept because of the bound; above zero the maps are incomplete.
+    /// Updates that were dropped because a map was full; the maps are incomplete when this is
+    /// above zero.
     pub forgotten: u64,
 }
 
 impl Ledger {
-    /// Returns the executions of one request, by the node's id or else by the caller's.
+    /// Returns the counts of a request.
+    ///
+    /// Looks `id` up among the request ids of nodes first, then among those of callers.
     #[must_use]
     pub fn by_id(&self, id: &str) -> ExecutionCounts {
         let counts = self.ids.get(id).or_else(|| self.callers.get(id));
         counts.copied().unwrap_or_default()
     }
 
-    /// Returns the executions under one key.
+    /// Returns the counts of an idempotency key.
     #[must_use]
     pub fn by_key(&self, key: &str) -> ExecutionCounts {
         self.keys.get(key).copied().unwrap_or_default()
     }
 
-    /// Adds the executions of another backend server.
+    /// Adds the counts of another ledger.
     ///
     /// # Examples
     ///
     /// ```
     /// use swiftcart_standin::{Ledger, ExecutionCounts};
     ///
-    /// let run = ExecutionCounts { started: 1, finished: 1, cancelled: 0 };
+    /// let counts = ExecutionCounts { started: 1, finished: 1, cancelled: 0 };
     /// let mut one = Ledger::default();
-    /// one.keys.insert("k".into(), run);
+    /// one.keys.insert("k".into(), counts);
     /// let mut sum = one.clone();
     /// sum.merge(&one);
     /// assert_eq!(sum.by_key("k").started, 2);
@@ -83,7 +86,7 @@
         self.forgotten += other.forgotten;
     }
 
-    /// Adds `counts` to the entries of one request.
+    /// Adds `counts` to all entries of `request`.
     pub(super) fn add(&mut self, request: &RequestIds, counts: ExecutionCounts) {
         let entries = [
             (&mut self.ids, &request.id),
@@ -104,7 +107,7 @@
     }
 }
 
-/// Holds the names that a request carries.
+/// Identifiers from the headers of a request.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct RequestIds {
     pub(super) id: Option<String>,
--- a/crates/swiftcart-standin/src/backend/routes.rs
+++ b/crates/swiftcart-standin/src/backend/routes.rs
@@ -1,4 +1,4 @@
-//! A backend server's HTTP side.
+//! HTTP routes of a backend server.
 
 use std::sync::Arc;
 
@@ -21,6 +21,7 @@
 use crate::headers::{DIGEST, LEAVING, LOAD, RATE, STANDIN_REASON};
 use crate::serve::broken;
 
+/// Default length of a response body in bytes.
 const DEFAULT_BODY_BYTES: u64 = 64;
 
 #[derive(Debug, Clone)]
@@ -41,7 +42,7 @@
         .with_state(App { shared, client })
 }
 
-/// The answer to a body that was taken whole.
+/// Response to a request whose body was received completely.
 #[derive(Debug, Serialize)]
 struct UploadReceipt {
     id: String,
@@ -61,7 +62,7 @@
     key: Option<String>,
 }
 
-/// Answers a request, unless the backend server crashes meanwhile.
+/// Responds to a request, or closes the connection when a crash is simulated meanwhile.
 async fn handle_request(State(app): State<App>, request: Request) -> Response {
     let mut crashes = app.shared.watch_crashes();
     tokio::select! {
@@ -142,7 +143,7 @@
     }
 }
 
-/// Reads a request's body to its end, or returns `None` when it breaks off.
+/// Reads a request body to its end, or returns `None` when the body is truncated.
 async fn read_body(app: &App, execution: &Execution, mut body: Body) -> Option<UploadReceipt> {
     let mut hasher = blake3::Hasher::new();
     let mut bytes = 0;
@@ -163,7 +164,7 @@
     })
 }
 
-/// Answers with `content`; the work is finished when its last byte is handed over.
+/// Responds with `content` and finishes the execution when the last byte has been handed over.
 async fn content(execution: Execution, content: Content, break_after: Option<u64>) -> Response {
     let headers = [
         (DIGEST, content.digest().await),
@@ -173,7 +174,9 @@
     (headers, Body::new(stream)).into_response()
 }
 
-/// Answers what became of a body; the work's effect does not wait for the answer.
+/// Responds with the receipt of an upload.
+///
+/// The execution is finished before the response is sent, since its effect does not depend on it.
 fn receipt(execution: Execution, upload: &UploadReceipt, break_after: Option<u64>) -> Response {
     execution.finish();
     let json = serde_json::to_vec(upload).unwrap_or_default();
--- a/crates/swiftcart-standin/src/backend/settings.rs
+++ b/crates/swiftcart-standin/src/backend/settings.rs
@@ -1,4 +1,4 @@
-//! What a backend server is like when no fault is in force.
+//! Settings of a backend server.
 
 use std::net::SocketAddr;
 
@@ -6,18 +6,18 @@
 use rand::rngs::SmallRng;
 use serde::{Deserialize, Serialize};
 
-/// Tells how long one request takes, in milliseconds.
+/// Distribution of the service time of a request, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceTime {
-    /// Every request takes as long.
+    /// Same time for every request.
     Fixed(f64),
-    /// Times are exponentially distributed around this mean.
+    /// Exponentially distributed times with this mean.
     Exponential(f64),
 }
 
 impl ServiceTime {
-    /// Draws the time of one request.
+    /// Samples the service time of a request in milliseconds.
     pub(super) fn sample(self, rng: &mut SmallRng) -> f64 {
         match self {
             Self::Fixed(ms) => ms,
@@ -26,41 +26,43 @@
     }
 }
 
-/// Holds a backend server's settings; all have defaults.
+/// Settings of a backend server; all of them have defaults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSettings {
-    /// The service that it belongs to.
+    /// Name of the service that the backend server belongs to.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests beyond the slots that wait inside; those beyond get 503.
+    /// Maximum number of requests that wait for a slot; further ones are rejected with 503.
     pub queue: u32,
-    /// Connections that it accepts; those beyond are closed at once.
+    /// Maximum number of open connections; further ones are closed at once.
     pub connections: u32,
-    /// How long one request takes.
+    /// Service time of a request.
     pub service_time: ServiceTime,
-    /// Seed of the service times.
+    /// Random seed of the service times.
     pub seed: u64,
-    /// Cold start: the time after the start during which it announces `warming`.
+    /// Duration of the cold start in milliseconds, during which `warming` is announced.
     pub warming_ms: u64,
-    /// Factor on the service time during the cold start.
+    /// Factor applied to the service time during the cold start.
     pub warming_factor: f64,
-    /// `/health` answers a state that is up to this old.
+    /// Maximum age of the health reported at `/health`, in milliseconds.
     pub health_lag_ms: u64,
-    /// `/load` answers a load that is up to this old.
+    /// Maximum age of the load reported at `/load`, in milliseconds.
     pub load_lag_ms: u64,
-    /// The admin address of the node beside it, to announce itself.
+    /// Admin address of the node beside the backend server; without it nothing is announced.
     pub admin: Option<SocketAddr>,
-    /// How long an announcement is valid; it is repeated three times as often.
+    /// Validity of an announcement in milliseconds; it is repeated three times per validity period.
     pub ttl_ms: u64,
-    /// The id under which it announces itself, with its start; without one it has no name.
+    /// Id under which the backend server announces itself with its start time.
+    ///
+    /// Without an id, announcements contain neither.
     pub id: Option<String>,
-    /// The failure domain that announcements under an id name.
+    /// Failure domain in announcements under an id.
     pub domain: String,
-    /// The callers' address of its own node, for the calls of `downstream`.
+    /// Address at which its node accepts requests of callers; used for the calls of `downstream`.
     pub node: Option<SocketAddr>,
-    /// Paths that every request calls in turn through `node`.
+    /// Paths that every request calls one after the other through `node`.
     pub downstream: Vec<String>,
 }
 
@@ -89,35 +91,35 @@
         }
     }
 
-    /// Sets the requests that it works on at once.
+    /// Sets the maximum number of concurrent requests.
     #[must_use]
     pub const fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets how many requests beyond the slots wait inside.
+    /// Sets the maximum number of requests that wait for a slot.
     #[must_use]
     pub const fn with_queue(mut self, queue: u32) -> Self {
         self.queue = queue;
         self
     }
 
-    /// Sets the connections that it accepts.
+    /// Sets the maximum number of open connections.
     #[must_use]
     pub const fn with_connections(mut self, connections: u32) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Sets how long one request takes.
+    /// Sets the service time of a request.
     #[must_use]
     pub const fn with_service_time(mut self, time: ServiceTime) -> Self {
         self.service_time = time;
         self
     }
 
-    /// Sets the cold start's length in milliseconds and its factor on the service time.
+    /// Sets the duration of the cold start in milliseconds and its factor on the service time.
     #[must_use]
     pub const fn with_warming(mut self, ms: u64, factor: f64) -> Self {
         self.warming_ms = ms;
@@ -125,7 +127,7 @@
         self
     }
 
-    /// Sets how old the state may be that `/health` and `/load` answer, in milliseconds.
+    /// Sets the maximum age of the values reported at `/health` and `/load`, in milliseconds.
     #[must_use]
     pub const fn with_lag_ms(mut self, lag: u64) -> Self {
         self.health_lag_ms = lag;
@@ -133,28 +135,28 @@
         self
     }
 
-    /// Sets the seed of the service times.
+    /// Sets the random seed of the service times.
     #[must_use]
     pub const fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Sets the admin address of the node that it announces itself to.
+    /// Sets the admin address of the node that receives the announcements.
     #[must_use]
     pub const fn with_admin(mut self, admin: SocketAddr) -> Self {
         self.admin = Some(admin);
         self
     }
 
-    /// Sets how long an announcement is valid, in milliseconds.
+    /// Sets the validity of an announcement in milliseconds.
     #[must_use]
     pub const fn with_ttl_ms(mut self, ttl: u64) -> Self {
         self.ttl_ms = ttl;
         self
     }
 
-    /// Sets the id and the failure domain under which it announces itself.
+    /// Sets the id and the failure domain in announcements.
     #[must_use]
     pub fn with_id(mut self, id: impl Into<String>, domain: impl Into<String>) -> Self {
         self.id = Some(id.into());
@@ -162,7 +164,7 @@
         self
     }
 
-    /// Adds a path that every request calls through the node at `node`.
+    /// Sets the address of the node and adds a path that every request calls through it.
     #[must_use]
     pub fn with_downstream(mut self, node: SocketAddr, path: impl Into<String>) -> Self {
         self.node = Some(node);
--- a/crates/swiftcart-standin/src/backend/state.rs
+++ b/crates/swiftcart-standin/src/backend/state.rs
@@ -1,4 +1,4 @@
-//! The slots, the counts and the faults that a backend server's parts share.
+//! Shared state of a backend server: slots, statistics and faults.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,14 +18,14 @@
 use super::{BackendFaults, BackendSettings};
 use crate::serve::Connections;
 
-/// Holds all that a backend server's parts share.
+/// State shared by the routes, the executions and the announcer of a backend server.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) settings: BackendSettings,
     pub(super) slots: Arc<Semaphore>,
     pub(super) conns: Arc<Connections>,
     faults: watch::Sender<BackendFaults>,
-    /// The life that runs; each change is a crash.
+    /// Current incarnation; observers are notified only when a crash replaces it.
     incarnation: watch::Sender<Incarnation>,
     state: Mutex<State>,
     active: watch::Sender<u64>,
@@ -76,14 +76,14 @@
         self.faults.send_replace(faults);
     }
 
-    /// Wakes when the backend server crashes.
+    /// Returns a receiver that is notified when a crash is simulated.
     pub(super) fn watch_crashes(&self) -> watch::Receiver<Incarnation> {
         self.incarnation.subscribe()
     }
 
-    /// Returns the life that runs, with the number of its next announcement.
-    pub(super) fn next_announcement(&self) -> Incarnation {
-        // A number is no crash.
+    /// Increments the sequence number of announcements and returns the current incarnation.
+    pub(super) fn advance_sequence(&self) -> Incarnation {
+        // Observers are not notified, since a new sequence number is not a crash.
         self.incarnation.send_if_modified(|incarnation| {
             incarnation.next_seq();
             false
@@ -95,12 +95,13 @@
         self.faults.borrow().clone()
     }
 
-    /// Wakes when the faults or the drain change.
+    /// Returns a receiver that is notified when the faults change or draining begins.
     pub(super) fn watch_faults(&self) -> watch::Receiver<BackendFaults> {
         self.faults.subscribe()
     }
 
-    /// Takes one of the answers to lose and returns whether there was one.
+    /// Returns `true` if the response must be dropped, and decrements the number of responses to
+    /// drop.
     pub(super) fn lose_answer(&self) -> bool {
         self.faults.send_if_modified(|f| match f.lose_answers {
             0 => false,
@@ -123,9 +124,9 @@
         }
     }
 
-    /// Completes when no request is in work or waits for a slot.
+    /// Waits until no request is in flight or queued.
     pub(super) async fn wait_idle(&self) {
-        // The sender lives in `self`.
+        // The channel cannot close, since `self` owns the sender.
         let _ = self.active.subscribe().wait_for(|n| *n == 0).await;
     }
 
@@ -139,13 +140,13 @@
         }
     }
 
-    /// Returns the time left of the cold start.
+    /// Returns the remaining duration of the cold start.
     pub(super) fn warming_left(&self) -> Duration {
         let warming = Duration::from_millis(self.settings.warming_ms);
         warming.saturating_sub(self.started.elapsed())
     }
 
-    /// Draws the time that one request takes.
+    /// Samples the service time of a request, including the effects of cold start and faults.
     pub(super) fn service_time(&self) -> Duration {
         let sampled_ms = self.settings.service_time.sample(&mut self.state().rng);
         let factor = match self.is_warming() {
@@ -157,7 +158,7 @@
         time.saturating_add(Duration::from_millis(self.faults.borrow().slow_ms))
     }
 
-    /// Returns the share of busy slots, 0 to 100, or the load that a fault puts in its place.
+    /// Returns the percentage of busy slots, 0 to 100, or the load set by a fault.
     pub(super) fn load(&self) -> u8 {
         if let Some(load) = self.faults.borrow().lie_load {
             return load;
@@ -167,7 +168,7 @@
         u8::try_from(busy * 100 / slots).unwrap_or(100)
     }
 
-    /// Returns the rate that an answer names, and whether it says that the backend server leaves.
+    /// Records and returns the advertised values of a response: the rate and the leaving flag.
     pub(super) fn advertise(&self) -> (Option<f64>, bool) {
         let faults = self.faults();
         let mut state = self.state();
@@ -177,7 +178,7 @@
         (faults.rate, faults.leaving)
     }
 
-    /// Returns the load as `/load` reports it.
+    /// Returns the load reported at `/load`, which may be outdated.
     pub(super) fn reported_load(&self) -> u8 {
         let load = self.load();
         self.state()
@@ -185,7 +186,7 @@
             .get_or_update(load, self.settings.load_lag_ms)
     }
 
-    /// Returns the health as `/health` reports it.
+    /// Returns the health reported at `/health`, which may be outdated.
     pub(super) fn reported_health(&self) -> bool {
         if let Some(health) = self.faults.borrow().lie_health {
             return health;
@@ -204,7 +205,7 @@
         self.state().stats.bytes_in += bytes;
     }
 
-    /// Enters the queue, or returns false when it is full.
+    /// Enters the queue and returns `true` if it has room.
     pub(super) fn enter_queue(&self) -> bool {
         let mut state = self.state();
         let admitted = state.stats.queued < u64::from(self.settings.queue);
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Looks at the ledger.
+    /// Calls `f` with the ledger while the state is locked.
     pub(super) fn with_ledger<T>(&self, f: impl FnOnce(&Ledger) -> T) -> T {
         f(&self.state().ledger)
     }
--- a/crates/swiftcart-standin/src/backend/stats.rs
+++ b/crates/swiftcart-standin/src/backend/stats.rs
@@ -1,4 +1,4 @@
-//! What a backend server counts.
+//! Statistics of a backend server.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::ExecutionCounts;
 
-/// Tells why a request is refused without being run.
+/// Reason for rejecting a request without executing it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Refusal {
     Slots,
@@ -22,34 +22,34 @@
     }
 }
 
-/// Holds what a backend server has counted; `GET /standin/stats` answers it.
+/// Statistics of a backend server, returned by `GET /standin/stats`.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BackendStats {
-    /// All executions.
+    /// Counts of all executions.
     pub runs: ExecutionCounts,
-    /// Executions in work now.
+    /// Executions in progress.
     pub active: u64,
-    /// Most executions in work at once.
+    /// Maximum number of concurrent executions so far.
     pub max_active: u64,
-    /// Requests that wait for a slot now.
+    /// Requests waiting for a slot.
     pub queued: u64,
-    /// Connections open now.
+    /// Open connections.
     pub connections: u64,
-    /// Most connections open at once.
+    /// Maximum number of open connections so far.
     pub max_connections: u64,
-    /// Connections closed because of the bound.
+    /// Connections closed because of the connection limit.
     pub refused_connections: u64,
-    /// Requests refused without being run, by reason (`slots`, `deadline`).
+    /// Requests rejected without execution, by reason (`slots`, `deadline`).
     pub refused: BTreeMap<String, u64>,
     /// Body bytes received.
     pub bytes_in: u64,
     /// Executions started since draining was announced.
     pub drain_starts: u64,
-    /// Milliseconds from the drain's announcement to the last execution started.
+    /// Milliseconds from the announcement of draining to the start of the latest execution.
     pub drain_last_ms: u64,
-    /// Requests beyond the rate that answers named.
+    /// Requests that exceeded the rate advertised in responses by more than the tolerance.
     pub beyond_rate: u64,
-    /// Requests that came more than a second after an answer had said that it leaves.
+    /// Requests that arrived a second or more after a response had announced leaving.
     pub after_leaving: u64,
 }
--- a/crates/swiftcart-standin/src/client.rs
+++ b/crates/swiftcart-standin/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the stand-ins share.
+//! HTTP client shared by the stand-ins.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// The error of a call that got no answer.
+/// Error of a call that received no response.
 pub(crate) type CallError = hyper_util::client::legacy::Error;
 
-/// A client that keeps connections open between calls.
+/// HTTP client with a connection pool.
 pub(crate) type Client = PooledClient<HttpConnector, Body>;
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Creates a client that keeps at most `max_idle` unused connections to each address.
+/// Creates a client that keeps at most `max_idle` idle connections per address.
 pub(crate) fn new(max_idle: usize) -> Client {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
--- a/crates/swiftcart-standin/tests/backend.rs
+++ b/crates/swiftcart-standin/tests/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server bounds its slots, counts its executions and plays its faults.
+//! Tests of the backend server: concurrency limit, execution counts, faults and announcements.
 
 mod http;
 
@@ -20,7 +20,9 @@
 use tokio::time::timeout;
 
 async fn start(settings: BackendSettings) -> BackendServer {
-    BackendServer::start(ANY, settings).await.expect("a port")
+    BackendServer::start(ANY, settings)
+        .await
+        .expect("a local port is free")
 }
 
 const fn counts(started: u64, finished: u64, cancelled: u64) -> ExecutionCounts {
@@ -33,10 +35,11 @@
 
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    u64::try_from(since.expect("a clock").as_millis()).expect("a time")
+    u64::try_from(since.expect("the clock is past 1970").as_millis())
+        .expect("the time fits into 64 bits")
 }
 
-/// Collects what a fake node is sent: method, path, headers and body.
+/// Requests received by a fake node: method, path, headers and body.
 type RecordedRequests = Arc<Mutex<Vec<(Method, String, HeaderMap, Bytes)>>>;
 
 async fn start_recording_node() -> (std::net::SocketAddr, RecordedRequests) {
@@ -44,13 +47,20 @@
     let recorder = recorded.clone();
     let record = async move |request: Request<Body>| -> Response {
         let (head, body) = request.into_parts();
-        let body = to_bytes(body, 1024).await.expect("a body");
+        let body = to_bytes(body, 1024)
+            .await
+            .expect("the body has at most 1024 bytes");
         let entry = (head.method, head.uri.path().to_owned(), head.headers, body);
-        recorder.lock().expect("no panic").push(entry);
+        recorder
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(entry);
         ().into_response()
     };
-    let listener = tokio::net::TcpListener::bind(ANY).await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = tokio::net::TcpListener::bind(ANY)
+        .await
+        .expect("a local port is free");
+    let addr = listener.local_addr().expect("the listener has an address");
     let router = Router::new().fallback(record);
     tokio::spawn(async move { axum::serve(listener, router).await });
     (addr, recorded)
@@ -121,13 +131,16 @@
     );
 }
 
-/// Sends a head and a part of its body on a connection of its own.
+/// Sends the head and 4 of 9 body bytes of an upload on a new connection.
 async fn start_partial_upload(backend: &BackendServer, header: &str) -> tokio::net::TcpStream {
     let mut stream = tokio::net::TcpStream::connect(backend.addr())
         .await
-        .expect("a connection");
+        .expect("the backend server accepts the connection");
     let head = format!("PUT / HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n{header}\r\npart");
-    stream.write_all(head.as_bytes()).await.expect("room");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the socket accepts the request");
     until(|| backend.stats().bytes_in == 4).await;
     stream
 }
@@ -147,7 +160,7 @@
     let mut response = [0; 12];
     let read = stream.read_exact(&mut response);
     let read = timeout(Duration::from_secs(20), read).await;
-    read.expect("an answer in time").unwrap();
+    read.expect("a response within 20 s").unwrap();
     assert_eq!(
         (&response, backend.stats().runs),
         (b"HTTP/1.1 504", counts(1, 0, 1))
@@ -374,7 +387,10 @@
     until(|| backend.stats().active == 1).await;
     until(|| recorded.lock().unwrap().len() == 2).await;
     backend.set_faults(BackendFaults::new().with_restart(restart));
-    assert!(call.await.unwrap().is_none(), "its connection breaks");
+    assert!(
+        call.await.unwrap().is_none(),
+        "the restart closes the connection"
+    );
     until(|| recorded.lock().unwrap().len() == 3).await;
     assert_eq!(backend.stats().runs, counts(1, 0, 1));
     let announcements: Vec<Value> = recorded.lock().unwrap().iter().map(announcement).collect();
@@ -387,10 +403,10 @@
     assert!(start_matches(start(2), start(1)) && start(0) == start(1));
 }
 
-/// Returns what one announcement under an id says.
+/// Parses the body of an announcement under an id.
 fn announcement((method, path, _, body): &(Method, String, HeaderMap, Bytes)) -> Value {
     assert_eq!((method, path.as_str()), (&Method::PUT, "/v1/backend/s-1"));
-    serde_json::from_slice(body).expect("an announcement")
+    serde_json::from_slice(body).expect("the announcement is valid JSON")
 }
 
 #[tokio::test]
