--- a/crates/swiftcart-standin/src/backend/advertised.rs
+++ b/crates/swiftcart-standin/src/backend/advertised.rs
@@ -5,7 +5,9 @@
 
 use tokio::time::Instant;
 
-/// Maximum time until an advertised value is known to all nodes that are informed of it.
+/// Maximum time until all nodes that are informed of an advertised rate know the rate.
+///
+/// Requests that arrive earlier are not counted against the rate.
 const PROPAGATION_DELAY: Duration = Duration::from_millis(500);
 
 /// Sliding window in which requests are counted against the rate.
--- a/crates/swiftcart-standin/src/backend/faults.rs
+++ b/crates/swiftcart-standin/src/backend/faults.rs
@@ -34,8 +34,9 @@
     pub hang: bool,
     /// Readiness that is announced instead of the real one.
     pub readiness: Option<Readiness>,
-    /// Number of following requests whose connection is closed after processing, before the first byte of
-    /// the response.
+    /// Number of following requests whose connection is closed after processing.
+    ///
+    /// The connection is closed before the first byte of the response.
     pub lose_answers: u32,
     /// Simulates one crash with an immediate restart when it is set.
     ///
@@ -106,7 +107,7 @@
         self
     }
 
-    /// Sets the number of requests whose connection is closed after processing.
+    /// Sets the number of following requests whose connection is closed after processing.
     #[must_use]
     pub const fn with_lose_answers(mut self, count: u32) -> Self {
         self.lose_answers = count;
--- a/crates/swiftcart-standin/src/backend/ledger.rs
+++ b/crates/swiftcart-standin/src/backend/ledger.rs
@@ -5,7 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of entries per map of the ledger; further ones are only counted.
+/// Maximum number of entries per map of the ledger.
+///
+/// Executions of further entries are only counted in [`Ledger::forgotten`].
 const MAX_ENTRIES: usize = 1_000_000;
 
 /// Number of executions by result, in total or of one request or idempotency key.
@@ -63,7 +65,7 @@
     /// # Examples
     ///
     /// ```
-    /// use swiftcart_standin::{Ledger, ExecutionCounts};
+    /// use swiftcart_standin::{ExecutionCounts, Ledger};
     ///
     /// let counts = ExecutionCounts { started: 1, finished: 1, cancelled: 0 };
     /// let mut one = Ledger::default();
--- a/crates/swiftcart-standin/src/backend/routes.rs
+++ b/crates/swiftcart-standin/src/backend/routes.rs
@@ -176,7 +176,8 @@
 
 /// Responds with the receipt of an upload.
 ///
-/// The execution is finished before the response is sent, since its effect does not depend on it.
+/// The execution is finished before the response is sent, since its effect does not depend on
+/// delivery of the response.
 fn receipt(execution: Execution, upload: &UploadReceipt, break_after: Option<u64>) -> Response {
     execution.finish();
     let json = serde_json::to_vec(upload).unwrap_or_default();
--- a/crates/swiftcart-standin/src/backend/settings.rs
+++ b/crates/swiftcart-standin/src/backend/settings.rs
@@ -34,9 +34,9 @@
     pub service: String,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Maximum number of requests that wait for a slot; further ones are rejected with 503.
+    /// Maximum number of requests that wait for a slot; further requests are rejected with 503.
     pub queue: u32,
-    /// Maximum number of open connections; further ones are closed at once.
+    /// Maximum number of open connections; further connections are closed at once.
     pub connections: u32,
     /// Service time of a request.
     pub service_time: ServiceTime,
@@ -52,7 +52,9 @@
     pub load_lag_ms: u64,
     /// Admin address of the node beside the backend server; without it nothing is announced.
     pub admin: Option<SocketAddr>,
-    /// Validity of an announcement in milliseconds; it is repeated three times per validity period.
+    /// Validity of an announcement in milliseconds.
+    ///
+    /// The announcement is repeated three times per validity period.
     pub ttl_ms: u64,
     /// Id under which the backend server announces itself with its start time.
     ///
--- a/crates/swiftcart-standin/src/backend/state.rs
+++ b/crates/swiftcart-standin/src/backend/state.rs
@@ -100,8 +100,9 @@
         self.faults.subscribe()
     }
 
-    /// Returns `true` if the response must be dropped, and decrements the number of responses to
-    /// drop.
+    /// Returns `true` if the `lose_answers` fault applies to this response.
+    ///
+    /// Decrements the number of responses that the fault still affects.
     pub(super) fn lose_answer(&self) -> bool {
         self.faults.send_if_modified(|f| match f.lose_answers {
             0 => false,
