--- a/crates/swiftcart-standin/src/backend/announce.rs
+++ b/crates/swiftcart-standin/src/backend/announce.rs
@@ -1,4 +1,4 @@
-//! Announces the backend server to the node beside it.
+//! Announcements of the backend server to the node beside it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use super::state::Shared;
 use crate::client::{self, Client};
 
-/// Shortest gap between two announcements.
-const GAP: Duration = Duration::from_millis(10);
+/// Minimum interval between two announcements.
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest wait for the node's answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time-out for the node's response.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bodies that another program might send, one after the other.
-const MALFORMED: [&str; 5] = [
+/// Invalid announcement bodies, as a foreign program might send them; used in rotation.
+const MALFORMED_BODIES: [&str; 5] = [
     "{",
     "{\"service\":7}",
     "{\"service\":\"nobody\",\"addr\":\"10.0.0.1:1\",\"slots\":1,\"readiness\":\"asleep\"}",
@@ -29,6 +29,7 @@
     "\u{feff}ready",
 ];
 
+/// Body of an announcement without an id.
 #[derive(Debug, Serialize)]
 struct Announcement<'a> {
     service: &'a str,
@@ -39,9 +40,9 @@
     ttl_ms: u64,
 }
 
-/// What a backend server with an id says.
+/// Body of an announcement under an id.
 #[derive(Debug, Serialize)]
-struct Named<'a> {
+struct AnnouncementWithId<'a> {
     service: &'a str,
     addr: SocketAddr,
     slots: u32,
@@ -53,13 +54,13 @@
     start_ms: u64,
 }
 
-/// What one that leaves says.
+/// Body of the withdrawal of an announcement under an id.
 #[derive(Debug, Serialize)]
-struct Departure {
+struct Withdrawal {
     start_ms: u64,
 }
 
-/// Sends announcements; a clone sends the same.
+/// Sender of the announcements of a backend server.
 #[derive(Debug, Clone)]
 pub(super) struct Announcer {
     shared: Arc<Shared>,
@@ -69,7 +70,7 @@
 }
 
 impl Announcer {
-    /// Creates the announcer, or none when the settings name no node.
+    /// Creates an announcer, or returns `None` when the settings contain no admin address.
     pub(super) fn new(shared: &Arc<Shared>, addr: SocketAddr) -> Option<Self> {
         Some(Self {
             shared: shared.clone(),
@@ -79,24 +80,28 @@
         })
     }
 
-    /// Announces at the start, at every change and three times within the validity.
+    /// Sends announcements until the task is aborted.
+    ///
+    /// Announces at the start, after every change and three times per validity period.
     pub(super) async fn run(self) {
         let mut changes = self.shared.watch_faults();
         loop {
             changes.mark_unchanged();
             self.announce().await;
             tokio::select! {
-                () = sleep(self.gap()) => {}
+                () = sleep(self.interval()) => {}
                 _ = changes.changed() => {}
             }
         }
     }
 
-    /// Withdraws the announcement; an unreachable node lets it expire.
+    /// Withdraws the announcement.
+    ///
+    /// If the node is unreachable, the announcement expires there.
     pub(super) async fn withdraw(&self) {
-        let start_ms = self.shared.next_word().start_ms;
-        let departure = serde_json::to_vec(&Departure { start_ms });
-        match (&self.shared.settings.id, departure) {
+        let start_ms = self.shared.advance_sequence().start_ms;
+        let withdrawal = serde_json::to_vec(&Withdrawal { start_ms });
+        match (&self.shared.settings.id, withdrawal) {
             (Some(_), Ok(json)) => self.send(Method::DELETE, Body::from(json)).await,
             _ => self.send(Method::DELETE, Body::empty()).await,
         }
@@ -104,20 +109,20 @@
 
     async fn announce(&self) {
         if self.shared.faults().malformed {
-            let life = self.shared.next_word();
-            let malformed = MALFORMED[life.seq as usize % MALFORMED.len()];
+            let incarnation = self.shared.advance_sequence();
+            let malformed = MALFORMED_BODIES[incarnation.seq as usize % MALFORMED_BODIES.len()];
             self.send(Method::PUT, Body::from(malformed)).await;
         }
         match &self.shared.settings.id {
-            Some(_) => self.announce_named().await,
-            None => self.announce_plain().await,
+            Some(_) => self.announce_with_id().await,
+            None => self.announce_without_id().await,
         }
     }
 
-    async fn announce_named(&self) {
+    async fn announce_with_id(&self) {
         let settings = &self.shared.settings;
-        let life = self.shared.next_word();
-        let named = Named {
+        let incarnation = self.shared.advance_sequence();
+        let announcement = AnnouncementWithId {
             service: &settings.service,
             addr: self.addr,
             slots: settings.slots,
@@ -125,15 +130,15 @@
             warmup_ms: self.shared.warming_left().as_millis(),
             domain: &settings.domain,
             release: "standin",
-            seq: life.seq,
-            start_ms: life.start_ms,
+            seq: incarnation.seq,
+            start_ms: incarnation.start_ms,
         };
-        if let Ok(json) = serde_json::to_vec(&named) {
+        if let Ok(json) = serde_json::to_vec(&announcement) {
             self.send(Method::PUT, Body::from(json)).await;
         }
     }
 
-    async fn announce_plain(&self) {
+    async fn announce_without_id(&self) {
         let settings = &self.shared.settings;
         let announcement = Announcement {
             service: &settings.service,
@@ -148,16 +153,18 @@
         }
     }
 
-    /// Returns the time to the next announcement: a cold start's end is announced at once.
-    fn gap(&self) -> Duration {
-        let gap = Duration::from_millis(self.shared.settings.ttl_ms / 3).max(GAP);
+    /// Returns the time until the next announcement.
+    ///
+    /// The end of a cold start is announced at once, so it may shorten the interval.
+    fn interval(&self) -> Duration {
+        let interval = Duration::from_millis(self.shared.settings.ttl_ms / 3).max(MIN_INTERVAL);
         match self.shared.warming_left() {
-            left if left.is_zero() => gap,
-            left => gap.min(left + Duration::from_millis(1)),
+            remaining if remaining.is_zero() => interval,
+            remaining => interval.min(remaining + Duration::from_millis(1)),
         }
     }
 
-    fn target(&self) -> String {
+    fn url(&self) -> String {
         let id = self.shared.settings.id.as_ref();
         let id = id.map_or_else(String::new, |id| format!("/{id}"));
         format!("http://{}/v1/backend{id}", self.admin)
@@ -166,11 +173,11 @@
     async fn send(&self, method: Method, body: Body) {
         let request = Request::builder()
             .method(method)
-            .uri(self.target())
+            .uri(self.url())
             .header(CONTENT_TYPE, "application/json")
             .body(body);
         let Ok(request) = request else { return };
-        // The next announcement comes soon, so that a failed one needs no care.
-        let _ = timeout(PATIENCE, self.client.request(request)).await;
+        // Errors are ignored because the announcement is repeated after a short interval.
+        let _ = timeout(ANNOUNCE_TIMEOUT, self.client.request(request)).await;
     }
 }
--- a/crates/swiftcart-standin/src/backend/state.rs
+++ b/crates/swiftcart-standin/src/backend/state.rs
@@ -1,4 +1,4 @@
-//! The slots, the counts and the faults that a backend server's parts share.
+//! Shared state of a backend server: slots, statistics and faults.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,23 +10,23 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::Instant;
 
-use super::lagging::Lagging;
-use super::ledger::{Ledger, Names, Runs};
-use super::life::Life;
-use super::named::Named;
+use super::advertised::AdvertisedLimits;
+use super::cached::CachedValue;
+use super::incarnation::Incarnation;
+use super::ledger::{ExecutionCounts, Ledger, RequestIds};
 use super::stats::{BackendStats, Refusal};
 use super::{BackendFaults, BackendSettings};
 use crate::serve::ConnectionCounts;
 
-/// Holds all that a backend server's parts share.
+/// State shared by the routes, the executions and the announcer of a backend server.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) settings: BackendSettings,
     pub(super) slots: Arc<Semaphore>,
     pub(super) conns: Arc<ConnectionCounts>,
     faults: watch::Sender<BackendFaults>,
-    /// The life that runs; each change is a crash.
-    life: watch::Sender<Life>,
+    /// Current incarnation; observers are notified only when a crash replaces it.
+    incarnation: watch::Sender<Incarnation>,
     state: Mutex<State>,
     active: watch::Sender<u64>,
     started: Instant,
@@ -38,10 +38,10 @@
     ledger: Ledger,
     stats: BackendStats,
     refused: BTreeMap<Refusal, u64>,
-    drained: Option<Instant>,
-    load: Lagging<u8>,
-    health: Lagging<bool>,
-    named: Named,
+    drain_started: Option<Instant>,
+    load: CachedValue<u8>,
+    health: CachedValue<bool>,
+    limits: AdvertisedLimits,
 }
 
 impl Shared {
@@ -50,16 +50,16 @@
             slots: Arc::new(Semaphore::new(settings.slots as usize)),
             conns: Arc::default(),
             faults: watch::Sender::default(),
-            life: watch::Sender::new(Life::new()),
+            incarnation: watch::Sender::new(Incarnation::new()),
             state: Mutex::new(State {
                 rng: SmallRng::seed_from_u64(settings.seed),
                 ledger: Ledger::default(),
                 stats: BackendStats::default(),
                 refused: BTreeMap::new(),
-                drained: None,
-                load: Lagging::default(),
-                health: Lagging::default(),
-                named: Named::default(),
+                drain_started: None,
+                load: CachedValue::default(),
+                health: CachedValue::default(),
+                limits: AdvertisedLimits::default(),
             }),
             active: watch::Sender::default(),
             started: Instant::now(),
@@ -69,37 +69,40 @@
 
     pub(super) fn set_faults(&self, faults: BackendFaults) {
         if let Some(restart) = faults.restart {
-            self.state().named.restart();
-            self.life.send_modify(|life| *life = life.again(restart));
+            self.state().limits.reset();
+            self.incarnation
+                .send_modify(|incarnation| *incarnation = incarnation.restarted(restart));
         }
         self.faults.send_replace(faults);
     }
 
-    /// Wakes when the backend server crashes.
-    pub(super) fn watch_crashes(&self) -> watch::Receiver<Life> {
-        self.life.subscribe()
+    /// Returns a receiver that is notified when a crash is simulated.
+    pub(super) fn watch_crashes(&self) -> watch::Receiver<Incarnation> {
+        self.incarnation.subscribe()
     }
 
-    /// Returns the life that runs, with the number of its next announcement.
-    pub(super) fn next_word(&self) -> Life {
-        // A number is no crash.
-        self.life.send_if_modified(|life| {
-            life.next_seq();
+    /// Increments the sequence number of announcements and returns the current incarnation.
+    pub(super) fn advance_sequence(&self) -> Incarnation {
+        // Observers are not notified, since a new sequence number is not a crash.
+        self.incarnation.send_if_modified(|incarnation| {
+            incarnation.next_seq();
             false
         });
-        *self.life.borrow()
+        *self.incarnation.borrow()
     }
 
     pub(super) fn faults(&self) -> BackendFaults {
         self.faults.borrow().clone()
     }
 
-    /// Wakes when the faults or the drain change.
+    /// Returns a receiver that is notified when the faults change or draining begins.
     pub(super) fn watch_faults(&self) -> watch::Receiver<BackendFaults> {
         self.faults.subscribe()
     }
 
-    /// Takes one of the answers to lose and returns whether there was one.
+    /// Returns `true` if the `lose_answers` fault applies to this response.
+    ///
+    /// Decrements the number of responses that the fault still affects.
     pub(super) fn lose_answer(&self) -> bool {
         self.faults.send_if_modified(|f| match f.lose_answers {
             0 => false,
@@ -113,8 +116,8 @@
     pub(super) fn drain(&self) {
         let first = {
             let mut state = self.state();
-            let first = state.drained.is_none();
-            state.drained.get_or_insert_with(Instant::now);
+            let first = state.drain_started.is_none();
+            state.drain_started.get_or_insert_with(Instant::now);
             first
         };
         if first {
@@ -122,9 +125,9 @@
         }
     }
 
-    /// Completes when no request is in work or waits for a slot.
-    pub(super) async fn idle(&self) {
-        // The sender lives in `self`.
+    /// Waits until no request is in flight or queued.
+    pub(super) async fn wait_idle(&self) {
+        // The channel cannot close, since `self` owns the sender.
         let _ = self.active.subscribe().wait_for(|n| *n == 0).await;
     }
 
@@ -132,31 +135,31 @@
         let faults = self.faults.borrow();
         match faults.readiness {
             Some(readiness) => readiness,
-            None if self.state().drained.is_some() => Readiness::Draining,
+            None if self.state().drain_started.is_some() => Readiness::Draining,
             None if self.is_warming() => Readiness::Warming,
             None => Readiness::Ready,
         }
     }
 
-    /// Returns the time left of the cold start.
+    /// Returns the remaining duration of the cold start.
     pub(super) fn warming_left(&self) -> Duration {
         let warming = Duration::from_millis(self.settings.warming_ms);
         warming.saturating_sub(self.started.elapsed())
     }
 
-    /// Draws the time that one request takes.
+    /// Samples the service time of a request, including the effects of cold start and faults.
     pub(super) fn service_time(&self) -> Duration {
-        let drawn = self.settings.service_time.draw(&mut self.state().rng);
+        let sampled_ms = self.settings.service_time.sample(&mut self.state().rng);
         let factor = match self.is_warming() {
             true => self.settings.warming_factor,
             false => 1.0,
         };
-        let secs = (drawn * factor).max(0.0) / 1000.0;
+        let secs = (sampled_ms * factor).max(0.0) / 1000.0;
         let time = Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX);
         time.saturating_add(Duration::from_millis(self.faults.borrow().slow_ms))
     }
 
-    /// Returns the share of busy slots, 0 to 100, or the load that a fault puts in its place.
+    /// Returns the percentage of busy slots, 0 to 100, or the load set by a fault.
     pub(super) fn load(&self) -> u8 {
         if let Some(load) = self.faults.borrow().lie_load {
             return load;
@@ -166,31 +169,33 @@
         u8::try_from(busy * 100 / slots).unwrap_or(100)
     }
 
-    /// Returns the rate that an answer names, and whether it says that the backend server leaves.
-    pub(super) fn notice(&self) -> (Option<f64>, bool) {
+    /// Records and returns the advertised values of a response: the rate and the leaving flag.
+    pub(super) fn advertise(&self) -> (Option<f64>, bool) {
         let faults = self.faults();
         let mut state = self.state();
         state
-            .named
-            .says(Instant::now(), faults.rate, faults.leaving);
+            .limits
+            .record_response(Instant::now(), faults.rate, faults.leaving);
         (faults.rate, faults.leaving)
     }
 
-    /// Returns the load as `/load` reports it.
-    pub(super) fn lagging_load(&self) -> u8 {
+    /// Returns the load reported at `/load`, which may be outdated.
+    pub(super) fn reported_load(&self) -> u8 {
         let load = self.load();
-        self.state().load.look(load, self.settings.load_lag_ms)
+        self.state()
+            .load
+            .get_or_update(load, self.settings.load_lag_ms)
     }
 
-    /// Returns the health as `/health` reports it.
-    pub(super) fn lagging_health(&self) -> bool {
+    /// Returns the health reported at `/health`, which may be outdated.
+    pub(super) fn reported_health(&self) -> bool {
         if let Some(health) = self.faults.borrow().lie_health {
             return health;
         }
         let health = self.readiness() == Readiness::Ready;
         self.state()
             .health
-            .look(health, self.settings.health_lag_ms)
+            .get_or_update(health, self.settings.health_lag_ms)
     }
 
     pub(super) fn count_refusal(&self, refusal: Refusal) {
@@ -201,15 +206,15 @@
         self.state().stats.bytes_in += bytes;
     }
 
-    /// Enters the queue, or returns false when it is full.
+    /// Enters the queue and returns `true` if it has room.
     pub(super) fn enter_queue(&self) -> bool {
         let mut state = self.state();
-        let fits = state.stats.queued < u64::from(self.settings.queue);
-        if fits {
+        let admitted = state.stats.queued < u64::from(self.settings.queue);
+        if admitted {
             state.stats.queued += 1;
             self.active.send_modify(|n| *n += 1);
         }
-        fits
+        admitted
     }
 
     pub(super) fn leave_queue(&self) {
@@ -218,19 +223,19 @@
     }
 
     /// Counts the start of an execution.
-    pub(super) fn count_start(&self, names: &Names) {
-        let runs = Runs {
+    pub(super) fn count_start(&self, request: &RequestIds) {
+        let runs = ExecutionCounts {
             started: 1,
-            ..Runs::default()
+            ..ExecutionCounts::default()
         };
         let mut state = self.state();
-        let (beyond, late) = state.named.arrives(Instant::now());
-        state.stats.beyond_rate += u64::from(beyond);
-        state.stats.after_leaving += u64::from(late);
-        state.count(names, runs);
+        let (over_rate, after_leaving) = state.limits.record_request(Instant::now());
+        state.stats.beyond_rate += u64::from(over_rate);
+        state.stats.after_leaving += u64::from(after_leaving);
+        state.count(request, runs);
         state.stats.active += 1;
         state.stats.max_active = state.stats.max_active.max(state.stats.active);
-        if let Some(at) = state.drained {
+        if let Some(at) = state.drain_started {
             state.stats.drain_starts += 1;
             state.stats.drain_last_ms = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
         }
@@ -238,14 +243,14 @@
     }
 
     /// Counts the end of an execution.
-    pub(super) fn count_end(&self, names: &Names, finished: bool) {
-        let runs = Runs {
+    pub(super) fn count_end(&self, request: &RequestIds, finished: bool) {
+        let runs = ExecutionCounts {
             started: 0,
             finished: u64::from(finished),
             cancelled: u64::from(!finished),
         };
         let mut state = self.state();
-        state.count(names, runs);
+        state.count(request, runs);
         state.stats.active -= 1;
         self.active.send_modify(|n| *n -= 1);
     }
@@ -262,7 +267,7 @@
         }
     }
 
-    /// Looks at the ledger.
+    /// Calls `f` with the ledger while the state is locked.
     pub(super) fn with_ledger<T>(&self, f: impl FnOnce(&Ledger) -> T) -> T {
         f(&self.state().ledger)
     }
@@ -277,8 +282,8 @@
 }
 
 impl State {
-    fn count(&mut self, names: &Names, runs: Runs) {
+    fn count(&mut self, request: &RequestIds, runs: ExecutionCounts) {
         self.stats.runs += runs;
-        self.ledger.add(names, runs);
+        self.ledger.add(request, runs);
     }
 }
--- a/crates/swiftcart-standin/tests/load.rs
+++ b/crates/swiftcart-standin/tests/load.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use serde_json::json;
 use swiftcart_standin::{
-    Audit, BackendFaults, BackendServer, BackendSettings, CallRecord, Error, Ledger, Load, Runs,
-    ServiceTime, Shape,
+    Audit, BackendFaults, BackendServer, BackendSettings, CallRecord, Error, ExecutionCounts,
+    Ledger, Load, ServiceTime, Shape,
 };
 
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -170,7 +170,7 @@
 fn audit_lists_violated_guarantee(
     #[case] verdict: &str,
     #[case] outcome: &str,
-    #[case] runs: Runs,
+    #[case] runs: ExecutionCounts,
     #[case] expected: Audit,
 ) {
     let record = CallRecord {
@@ -190,8 +190,8 @@
     vec!["1-0".into()]
 }
 
-const fn runs(started: u64, finished: u64) -> Runs {
-    Runs {
+const fn runs(started: u64, finished: u64) -> ExecutionCounts {
+    ExecutionCounts {
         started,
         finished,
         cancelled: 0,
