--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 
 pub use fit::Fit;
-pub(crate) use latency::{Pair, added};
+pub(crate) use latency::{NodePair, added_latency_ms};
 pub use options::{Plan, Request};
 pub use poller::Poller;
 pub use report::compare;
--- a/xtask/src/bench/capacity.rs
+++ b/xtask/src/bench/capacity.rs
@@ -8,7 +8,7 @@
 use swiftcart_standin::{Load, LogStats, Shape};
 
 use super::Plan;
-use super::latency::Pair;
+use super::latency::NodePair;
 use super::results::{Results, Series};
 use crate::fleet::Fleet;
 use crate::{Error, Usage};
@@ -49,7 +49,7 @@
 pub(super) async fn run(plan: &Plan, results: &mut Results) -> Result<(), Error> {
     for round in 1..=plan.rounds {
         println!("==> capacity: round {round} of {}", plan.rounds);
-        let pair = Pair::start().await?;
+        let pair = NodePair::start().await?;
         let fleet = pair.fleet();
         for group in &GROUPS {
             results
@@ -74,12 +74,12 @@
     seed: u64,
     results: &mut Results,
 ) -> Result<(), Error> {
-    let load = Load::new(vec![fleet.instances[Pair::INGRESS].addrs.calls])
+    let load = Load::new(vec![fleet.instances[NodePair::INGRESS].addrs.calls])
         .with_rate(rate)
         .with_duration_ms(SPAN_MS)
         .with_poisson(true)
         .with_seed(seed)
-        .with_shape((group.shape)(Pair::PATH.to_owned()), 1);
+        .with_shape((group.shape)(NodePair::PATH.to_owned()), 1);
     let (start, before, log) = (Instant::now(), usages(fleet)?, appends(fleet).await?);
     let report = load.run().await?;
     let (after, appended) = (usages(fleet)?, appends(fleet).await? - log);
@@ -87,7 +87,7 @@
     let mut put = |subject: &str, metric: &str, unit: &str, value| {
         results.add(Series::new(group.bench, subject, metric, unit), rate, value);
     };
-    for (subject, i) in [("guard", Pair::GUARD), ("ingress", Pair::INGRESS)] {
+    for (subject, i) in [("guard", NodePair::GUARD), ("ingress", NodePair::INGRESS)] {
         let cpu = (after[i].cpu - before[i].cpu).as_secs_f64() / seconds;
         put(subject, "processor time", "% of a core", cpu * 100.0);
         put(subject, "memory", "MiB", after[i].rss_kib as f64 / 1024.0);
@@ -111,7 +111,7 @@
 /// Returns what both nodes have used.
 fn usages(fleet: &Fleet) -> Result<[Usage; 2], Error> {
     let of = |i| fleet.usage(i).map(Option::unwrap_or_default);
-    Ok([of(Pair::GUARD)?, of(Pair::INGRESS)?])
+    Ok([of(NodePair::GUARD)?, of(NodePair::INGRESS)?])
 }
 
 /// Returns the appends that the platform has taken, over all streams.
--- a/xtask/src/bench/capacity/connections.rs
+++ b/xtask/src/bench/capacity/connections.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::Error;
-use crate::bench::latency::Pair;
+use crate::bench::latency::NodePair;
 use crate::bench::results::{Results, Series};
 use crate::fleet::Fleet;
 
@@ -21,13 +21,13 @@
     results
         .axes
         .insert(BENCH.to_owned(), "idle connections".to_owned());
-    let addr = fleet.instances[Pair::INGRESS].addrs.calls;
+    let addr = fleet.instances[NodePair::INGRESS].addrs.calls;
     let mut open = Vec::new();
     for count in COUNTS {
         while open.len() < count {
             open.push(connect(addr)?);
         }
-        let usage = fleet.usage(Pair::INGRESS)?.unwrap_or_default();
+        let usage = fleet.usage(NodePair::INGRESS)?.unwrap_or_default();
         let series = Series::new(BENCH, "ingress", "memory", "MiB");
         results.add(series, count as f64, usage.rss_kib as f64 / 1024.0);
     }
--- a/xtask/src/bench/latency.rs
+++ b/xtask/src/bench/latency.rs
@@ -27,7 +27,7 @@
 const START: Duration = Duration::from_secs(30);
 
 /// A backend server with a node beside it, and a second node that calls go through.
-pub(crate) struct Pair {
+pub(crate) struct NodePair {
     fleet: Fleet,
 }
 
@@ -41,7 +41,7 @@
          direct calls alternate for {SPAN_MS} ms, open loop, from the sending to the answer's end. \
          Added latency is the difference of the two percentiles."
     ));
-    let pair = Pair::start().await?;
+    let pair = NodePair::start().await?;
     for round in 1..=plan.rounds {
         println!("==> {BENCH}: round {round} of {}", plan.rounds);
         for rate in RATES {
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-impl Pair {
+impl NodePair {
     /// The path that is served.
     pub(crate) const PATH: &str = "/sensor";
 
@@ -110,7 +110,7 @@
 }
 
 /// Returns how much longer calls through nodes took, in milliseconds: p50 and p99.
-pub(crate) fn added(run: &Comparison) -> (f64, f64) {
+pub(crate) fn added_latency_ms(run: &Comparison) -> (f64, f64) {
     let (through, direct) = (run.a.since_send_us, run.b.since_send_us);
     let ms = |through: u64, direct: u64| (through as f64 - direct as f64) / 1000.0;
     (ms(through.p50, direct.p50), ms(through.p99, direct.p99))
@@ -125,7 +125,7 @@
     let mut put = |subject: &str, metric: &str, unit: &str, value| {
         results.add(Series::new(BENCH, subject, metric, unit), rate, value);
     };
-    let (p50, p99) = added(run);
+    let (p50, p99) = added_latency_ms(run);
     put(path, "added p50", "ms", p50);
     put(path, "added p99", "ms", p99);
     put(path, "p50", "ms", through.p50 as f64 / 1000.0);
