--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -1,4 +1,4 @@
-//! Measures the system against its baselines and writes results that can be compared.
+//! The `bench` chore: measures Swiftcart against baselines and writes comparable results.
 
 mod capacity;
 mod convergence;
@@ -16,50 +16,55 @@
 
 pub use fit::Fit;
 pub(crate) use latency::{NodePair, added_latency_ms};
-pub use options::{Plan, Request};
+pub use options::{BenchCommand, Plan};
 pub use poller::Poller;
 pub use report::compare;
-pub use results::{Point, Results, Series, Setting, median, quantile};
+pub use results::{Measurement, Results, RunEnvironment, Series, median, quantile};
 
 use crate::command::root;
 use crate::{Error, Verdict, proc};
 
-/// The most nodes that one machine is asked to carry.
-const MOST_NODES: usize = 300;
+/// Maximum number of nodes that one run may start.
+const MAX_NODES: usize = 300;
 
-/// Runs what `args` ask for.
+/// Runs the bench command given by `args`.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when a measurement cannot be made.
+/// Returns an [`Error`] if the arguments are invalid, a measurement fails or a file cannot be
+/// read or written.
 pub async fn run(args: Vec<String>) -> Result<Verdict, Error> {
-    match Request::parse(&args)? {
-        Request::Help(text) => println!("{text}"),
-        Request::Compare(old, new) => {
+    match BenchCommand::parse(&args)? {
+        BenchCommand::Help(text) => println!("{text}"),
+        BenchCommand::Compare(old, new) => {
             println!("{}", compare(&Results::read(&old)?, &Results::read(&new)?));
         }
-        Request::Run(plan) => measure(&plan).await?,
+        BenchCommand::Run(plan) => measure(&plan).await?,
     }
     Ok(Verdict::Passed)
 }
 
-/// Measures what `plan` names; what was measured before a failure is written all the same.
+/// Runs the benches selected by `plan` and writes the report.
+///
+/// If a bench fails, the results measured before the failure are still written.
 async fn measure(plan: &Plan) -> Result<(), Error> {
-    if let Some(size) = plan.sizes.iter().find(|&&size| size > MOST_NODES) {
+    if let Some(size) = plan.sizes.iter().find(|&&size| size > MAX_NODES) {
         return Err(Error::Usage(format!("--sizes {size}")));
     }
     let mut results = Results::new()?;
-    let dir = folder(plan, &results);
-    let measured = benches(plan, &mut results).await;
-    if let Err(e) = &measured {
-        results.notes.push(format!("The run stopped early: {e}"));
+    let dir = output_dir(plan, &results);
+    let outcome = run_benches(plan, &mut results).await;
+    if let Err(e) = &outcome {
+        results
+            .notes
+            .push(format!("The run stopped before all benches finished: {e}"));
     }
     report::write(&results, &dir)?;
     println!("results: {}", dir.join("report.md").display());
-    measured
+    outcome
 }
 
-async fn benches(plan: &Plan, results: &mut Results) -> Result<(), Error> {
+async fn run_benches(plan: &Plan, results: &mut Results) -> Result<(), Error> {
     if plan.latency {
         latency::run(plan, results).await?;
     }
@@ -75,20 +80,20 @@
     Ok(())
 }
 
-fn folder(plan: &Plan, results: &Results) -> PathBuf {
-    let named = || {
+fn output_dir(plan: &Plan, results: &Results) -> PathBuf {
+    let default_dir = || {
         let setting = &results.setting;
         let name = format!("{}-{}", setting.at, setting.commit);
         root().join("bench-results").join(name)
     };
-    plan.out.as_deref().map_or_else(named, Path::to_owned)
+    plan.out.as_deref().map_or_else(default_dir, Path::to_owned)
 }
 
-/// Fails when processes of a run use more than half of the machine's memory.
+/// Returns an error if the processes of a run use more than half of the system memory.
 fn check_memory(used_kib: u64) -> Result<(), Error> {
-    let half = proc::memory_kib()? / 2;
-    match used_kib <= half {
+    let limit_kib = proc::memory_kib()? / 2;
+    match used_kib <= limit_kib {
         true => Ok(()),
-        false => Err(Error::Memory(used_kib / 1024, half / 1024)),
+        false => Err(Error::Memory(used_kib / 1024, limit_kib / 1024)),
     }
 }
--- a/xtask/src/bench/convergence.rs
+++ b/xtask/src/bench/convergence.rs
@@ -1,7 +1,7 @@
-//! Convergence time, control bytes and reads of the platform, over the number of nodes.
+//! Convergence time, control traffic and platform reads by number of nodes.
 //!
-//! The baselines are processes that read the platform by themselves, once a second or
-//! with a read that the platform holds. All subjects take turns within one run.
+//! The baselines are processes that each read the platform directly, either once a second or with
+//! a long poll. Swiftcart and the baselines are measured alternately within one run.
 
 mod followers;
 
@@ -13,45 +13,47 @@
 use super::results::{Results, Series, quantile};
 use super::{Plan, check_memory};
 use crate::{Error, applied_at};
-use followers::{Baseline, Followers, Mark};
+use followers::{Baseline, Followers, UsageSample};
 
 const BENCH: &str = "convergence";
-const OURS: &str = "swiftcart";
+const PRODUCT: &str = "swiftcart";
 const SERVICES: [&str; 3] = ["sensor", "booking", "survey"];
 
-/// How long nothing changes while the idle traffic is measured.
-const IDLE: Duration = Duration::from_secs(10);
+/// Duration of the measurement without publishes.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 
-/// How long nodes have to find each other before the first measurement.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for the nodes to discover each other before the first measurement.
+const DISCOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// Publishes in one round, and the pause after each.
-const PUBLISHES: usize = 20;
-const GAP: Duration = Duration::from_millis(300);
+/// Number of publishes in one round.
+const PUBLISHES_PER_ROUND: usize = 20;
+
+/// Pause after each publish.
+const PUBLISH_PAUSE: Duration = Duration::from_millis(300);
 
 const BASELINES: [Baseline; 2] = [
     Baseline {
         subject: "every node polls each second",
-        gap_ms: 1000,
+        pause_ms: 1000,
         wait_ms: 0,
     },
     Baseline {
         subject: "every node holds a long poll",
-        gap_ms: 0,
+        pause_ms: 0,
         wait_ms: 20_000,
     },
 ];
 
-/// Measures every size in every round.
+/// Measures Swiftcart and each baseline at every node count in every round.
 pub(super) async fn run(plan: &Plan, results: &mut Results) -> Result<(), Error> {
     results.axes.insert(BENCH.to_owned(), "nodes".to_owned());
     results.notes.push(format!(
-        "{BENCH}: a round publishes {PUBLISHES} times with {GAP:?} between; a publish has converged when \
-         the last node has logged it, and counts from the log's own time of the append. Times have the \
-         resolution of a millisecond. Control bytes are datagrams with their IP and UDP headers, and the \
-         payload of pulls and of reads from the platform, for every subject alike: the heads of HTTP \
-         are left out, so that an empty read counts as nothing. A node's include all membership traffic, \
-         which the baselines do not have."
+        "{BENCH}: each round makes {PUBLISHES_PER_ROUND} publishes with a pause of {PUBLISH_PAUSE:?} after each. A publish \
+         has converged when the last node has logged its version. The convergence time starts at the \
+         append time in the log and has a resolution of one millisecond. For every subject, control bytes \
+         are datagrams with their IP and UDP headers and the payload of pulls and platform reads. HTTP \
+         headers are not counted, so an empty read counts as zero bytes. The control bytes of nodes \
+         include all membership traffic, which the baselines do not have."
     ));
     for round in 1..=plan.rounds {
         for &size in &plan.sizes {
@@ -59,9 +61,9 @@
                 "==> {BENCH}: {size} nodes, round {round} of {}",
                 plan.rounds
             );
-            measure(OURS, size, Followers::nodes(size).await?, results).await?;
+            measure(PRODUCT, size, Followers::start_nodes(size).await?, results).await?;
             for baseline in &BASELINES {
-                let followers = Followers::pollers(size, baseline).await?;
+                let followers = Followers::start_pollers(size, baseline).await?;
                 measure(baseline.subject, size, followers, results).await?;
             }
         }
@@ -76,93 +78,108 @@
     results: &mut Results,
 ) -> Result<(), Error> {
     let mut publisher = Publisher::new(followers.fleet().platform);
-    let first = publisher.table(&SERVICES).await?;
-    followers.wait(first.version).await?;
-    sleep(SETTLE).await;
+    let first = publisher.publish_table(&SERVICES).await?;
+    followers.wait_applied(first.version).await?;
+    sleep(DISCOVERY_TIME).await;
 
-    let start = followers.mark().await?;
+    let start = followers.sample().await?;
     check_memory(start.rss_kib)?;
-    sleep(IDLE).await;
-    let idle = followers.mark().await?;
-    rates("idle", subject, size, start, idle, results);
+    sleep(IDLE_PERIOD).await;
+    let idle = followers.sample().await?;
+    record_rates("idle", subject, size, start, idle, results);
 
     let mut published = Vec::new();
-    for i in 0..PUBLISHES {
-        published.push(publisher.weight(SERVICES[i % SERVICES.len()]).await?);
-        sleep(GAP).await;
+    for i in 0..PUBLISHES_PER_ROUND {
+        published.push(
+            publisher
+                .publish_weight(SERVICES[i % SERVICES.len()])
+                .await?,
+        );
+        sleep(PUBLISH_PAUSE).await;
     }
-    followers.wait(publisher.last()).await?;
-    let busy = followers.mark().await?;
-    rates("publishing", subject, size, idle, busy, results);
-    times(subject, size, &published, &followers.logs()?, results)
+    followers.wait_applied(publisher.last_version()).await?;
+    let busy = followers.sample().await?;
+    record_rates("publishing", subject, size, idle, busy, results);
+    record_times(subject, size, &published, &followers.logs()?, results)
 }
 
-/// Adds how long each publish took to come into force.
-fn times(
+/// Records the times from the append of each publish until the nodes applied it.
+fn record_times(
     subject: &str,
     size: usize,
     published: &[Published],
     logs: &[String],
     results: &mut Results,
 ) -> Result<(), Error> {
-    let mut each = Vec::new();
-    let mut last = Vec::new();
+    let mut all_delays = Vec::new();
+    let mut slowest = Vec::new();
     for publish in published {
         let version = publish.version.0;
         let at = logs.iter().map(|log| applied_at(log, version));
-        let late = || Error::Late(format!("version {version} in the logs"), subject.to_owned());
-        let at: Vec<_> = at.collect::<Option<_>>().ok_or_else(late)?;
-        let taken: Vec<_> = at
+        let timeout_error =
+            || Error::Late(format!("version {version} in the logs"), subject.to_owned());
+        let at: Vec<_> = at.collect::<Option<_>>().ok_or_else(timeout_error)?;
+        let delays: Vec<_> = at
             .iter()
-            .map(|at| at.saturating_sub(publish.at) as f64)
+            .map(|at| at.saturating_sub(publish.appended_ms) as f64)
             .collect();
-        last.push(taken.iter().copied().fold(0.0, f64::max));
-        each.extend(taken);
+        slowest.push(delays.iter().copied().fold(0.0, f64::max));
+        all_delays.extend(delays);
     }
-    let mut add = |metric: &str, value| {
-        results.add(
+    let mut record = |metric: &str, value| {
+        results.record(
             Series::new(BENCH, subject, metric, "ms"),
             size as f64,
             value,
         );
     };
-    add("time to every node, median publish", quantile(&last, 0.5));
-    add("time to every node, worst publish", quantile(&last, 1.0));
-    add("time to a node, p50", quantile(&each, 0.5));
-    add("time to a node, p99", quantile(&each, 0.99));
+    record(
+        "time to every node, median publish",
+        quantile(&slowest, 0.5),
+    );
+    record("time to every node, worst publish", quantile(&slowest, 1.0));
+    record("time to a node, p50", quantile(&all_delays, 0.5));
+    record("time to a node, p99", quantile(&all_delays, 0.99));
     Ok(())
 }
 
-/// Adds what was used between two marks.
-fn rates(phase: &str, subject: &str, size: usize, from: Mark, to: Mark, results: &mut Results) {
+/// Records the traffic, CPU time and memory between two usage samples.
+fn record_rates(
+    phase: &str,
+    subject: &str,
+    size: usize,
+    from: UsageSample,
+    to: UsageSample,
+    results: &mut Results,
+) {
     let nodes = size as f64;
-    let seconds = (to.at - from.at).as_secs_f64();
-    let mut add = |metric: &str, unit: &str, value| {
+    let seconds = (to.taken_at - from.taken_at).as_secs_f64();
+    let mut record = |metric: &str, unit: &str, value| {
         let metric = format!("{metric}, {phase}");
-        results.add(Series::new(BENCH, subject, &metric, unit), nodes, value);
+        results.record(Series::new(BENCH, subject, &metric, unit), nodes, value);
     };
-    let bytes = (to.control - from.control) / nodes / seconds;
-    add("control bytes of a node", "B/s", bytes);
-    add(
+    let bytes = (to.control_bytes - from.control_bytes) / nodes / seconds;
+    record("control bytes of a node", "B/s", bytes);
+    record(
         "reads of the platform",
         "1/s",
         (to.reads - from.reads) / seconds,
     );
-    add(
+    record(
         "payload from the platform",
         "B/s",
-        (to.payload - from.payload) / seconds,
+        (to.payload_bytes - from.payload_bytes) / seconds,
     );
     let cpu = (to.cpu - from.cpu).as_secs_f64() / nodes / seconds;
-    add("processor time of a node", "% of a core", cpu * 100.0);
-    add(
+    record("processor time of a node", "% of a core", cpu * 100.0);
+    record(
         "memory of a node, mean",
         "MiB",
         to.rss_kib as f64 / 1024.0 / nodes,
     );
-    add(
+    record(
         "memory of a node, greatest",
         "MiB",
-        to.most_kib as f64 / 1024.0,
+        to.max_kib as f64 / 1024.0,
     );
 }
--- a/xtask/src/bench/convergence/followers.rs
+++ b/xtask/src/bench/convergence/followers.rs
@@ -1,4 +1,4 @@
-//! The processes that follow the log: nodes, or the pollers of a baseline.
+//! Processes that follow the log: the nodes of a fleet, or the pollers of a baseline.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,36 +16,39 @@
 
 const DOMAINS: [&str; 3] = ["norte", "sur", "callao"];
 
-/// Longest time for a fleet to start and for one publish to be in force everywhere.
-const START: Duration = Duration::from_secs(60);
-const SPREAD: Duration = Duration::from_secs(30);
+/// Timeout for all nodes of a fleet to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The node's counter of bytes between nodes and from the platform.
+/// Timeout for all followers to apply a version.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Node metric that counts the bytes exchanged with other nodes and read from the platform.
 const CONTROL_BYTES: &str = "swiftcart_control_bytes_total";
 
-/// Its kinds that are each counted once over all nodes.
-const SENT: [&str; 3] = ["datagrams-sent", "pulls-sent", "platform-read"];
+/// Values of the `kind` label to sum. Only sent bytes are included for traffic between nodes, so that
+/// the sum over all nodes counts each byte once.
+const COUNTED_KINDS: [&str; 3] = ["datagrams-sent", "pulls-sent", "platform-read"];
 
-/// One kind of baseline.
+/// Settings of the pollers of a baseline.
 pub(super) struct Baseline {
     pub(super) subject: &'static str,
-    pub(super) gap_ms: u64,
+    pub(super) pause_ms: u64,
     pub(super) wait_ms: u64,
 }
 
-/// What the subject has used up to a point in time.
+/// Cumulative traffic and CPU time of a subject at a point in time, with its current memory.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Mark {
-    pub(super) at: Instant,
-    pub(super) control: f64,
-    pub(super) payload: f64,
+pub(super) struct UsageSample {
+    pub(super) taken_at: Instant,
+    pub(super) control_bytes: f64,
+    pub(super) payload_bytes: f64,
     pub(super) reads: f64,
     pub(super) cpu: Duration,
     pub(super) rss_kib: u64,
-    pub(super) most_kib: u64,
+    pub(super) max_kib: u64,
 }
 
-/// A set of processes that follow the platform's log.
+/// Set of processes that follow the platform's log.
 pub(super) enum Followers {
     Nodes(Box<Fleet>),
     Pollers {
@@ -55,9 +58,9 @@
 }
 
 impl Followers {
-    pub(super) async fn nodes(size: usize) -> Result<Self, Error> {
-        let mut fleet = fleet("bench-convergence", size).await?;
-        fleet.wait_ready(START).await?;
+    pub(super) async fn start_nodes(size: usize) -> Result<Self, Error> {
+        let mut fleet = start_fleet("bench-convergence", size).await?;
+        fleet.wait_ready(START_TIMEOUT).await?;
         for i in 0..size {
             let addrs = fleet.instances[i].addrs;
             let announcement = json!({
@@ -76,10 +79,10 @@
         Ok(Self::Nodes(Box::new(fleet)))
     }
 
-    pub(super) async fn pollers(size: usize, baseline: &Baseline) -> Result<Self, Error> {
-        let fleet = Box::new(fleet("bench-pollers", 0).await?);
+    pub(super) async fn start_pollers(size: usize, baseline: &Baseline) -> Result<Self, Error> {
+        let fleet = Box::new(start_fleet("bench-pollers", 0).await?);
         let pollers = (1..=size)
-            .map(|i| poller(&fleet, i, baseline))
+            .map(|i| spawn_poller(&fleet, i, baseline))
             .collect::<Result<_, _>>()?;
         Ok(Self::Pollers { fleet, pollers })
     }
@@ -90,15 +93,15 @@
         }
     }
 
-    pub(super) async fn wait(&mut self, version: Version) -> Result<(), Error> {
+    pub(super) async fn wait_applied(&mut self, version: Version) -> Result<(), Error> {
         match self {
-            Self::Nodes(fleet) => fleet.applied(version, SPREAD).await.map(drop),
+            Self::Nodes(fleet) => fleet.applied(version, APPLY_TIMEOUT).await.map(drop),
             Self::Pollers { pollers, .. } => {
                 let start = Instant::now();
                 for poller in pollers {
                     while applied_at(&poller.log()?, version.0).is_none() {
                         poller.check()?;
-                        if start.elapsed() > SPREAD {
+                        if start.elapsed() > APPLY_TIMEOUT {
                             return Err(Error::Late(
                                 format!("version {version}"),
                                 "a poller".into(),
@@ -126,43 +129,43 @@
         }
     }
 
-    pub(super) async fn mark(&self) -> Result<Mark, Error> {
+    pub(super) async fn sample(&self) -> Result<UsageSample, Error> {
         let fleet = self.fleet();
         let stats: LogStats = fleet.client.json(fleet.platform, "/standin/stats").await?;
         let config = stats.streams.get("config").copied().unwrap_or_default();
-        let payload = config.bytes_out as f64;
-        let mut mark = Mark {
-            at: Instant::now(),
-            control: payload,
-            payload,
+        let payload_bytes = config.bytes_out as f64;
+        let mut sample = UsageSample {
+            taken_at: Instant::now(),
+            control_bytes: payload_bytes,
+            payload_bytes,
             reads: config.reads as f64,
             cpu: Duration::ZERO,
             rss_kib: 0,
-            most_kib: 0,
+            max_kib: 0,
         };
         if let Self::Nodes(fleet) = self {
-            mark.control = control_bytes(fleet).await?;
+            sample.control_bytes = control_bytes(fleet).await?;
         }
         for child in self.children() {
             let usage = Usage::of(child.id())?;
-            mark.cpu += usage.cpu;
-            mark.rss_kib += usage.rss_kib;
-            mark.most_kib = mark.most_kib.max(usage.rss_kib);
+            sample.cpu += usage.cpu;
+            sample.rss_kib += usage.rss_kib;
+            sample.max_kib = sample.max_kib.max(usage.rss_kib);
         }
-        Ok(mark)
+        Ok(sample)
     }
 }
 
-/// Returns the bytes that all nodes have sent each other and read from the platform.
+/// Returns the number of bytes that all nodes have sent to other nodes and read from the platform.
 async fn control_bytes(fleet: &Fleet) -> Result<f64, Error> {
     let mut sum = 0.0;
     for i in fleet.running() {
         let scrape = fleet.scrape(i).await?;
-        let kinds = SENT.map(|kind| scrape.sum(CONTROL_BYTES, &[("kind", kind)]));
+        let kinds = COUNTED_KINDS.map(|kind| scrape.sum(CONTROL_BYTES, &[("kind", kind)]));
         let bytes: f64 = kinds.iter().sum();
         if bytes == 0.0 {
             let admin = fleet.instances[i].addrs.admin;
-            let cause = format!("no {CONTROL_BYTES}");
+            let cause = format!("the metric {CONTROL_BYTES} is missing or zero");
             return Err(Error::Http(admin, "/metrics".to_owned(), cause));
         }
         sum += bytes;
@@ -170,8 +173,8 @@
     Ok(sum)
 }
 
-/// Starts a platform and `size` nodes, spread over the failure domains.
-async fn fleet(name: &str, size: usize) -> Result<Fleet, Error> {
+/// Starts a platform and `size` nodes, distributed evenly over the failure domains.
+async fn start_fleet(name: &str, size: usize) -> Result<Fleet, Error> {
     let role = |i: usize| Role {
         domain: DOMAINS[i % DOMAINS.len()].to_owned(),
         backend: None,
@@ -180,18 +183,20 @@
     Fleet::start(name, &json!({}), roles, json!({})).await
 }
 
-fn poller(fleet: &Fleet, i: usize, baseline: &Baseline) -> Result<Child, Error> {
-    let mut command = Command::new(own_program());
-    command.arg("poller").args(words(fleet.platform, baseline));
+fn spawn_poller(fleet: &Fleet, i: usize, baseline: &Baseline) -> Result<Child, Error> {
+    let mut command = Command::new(current_program());
+    command
+        .arg("poller")
+        .args(poller_args(fleet.platform, baseline));
     Child::spawn(&format!("{i:03}-poller"), fleet.dir(), command)
 }
 
-fn words(platform: SocketAddr, baseline: &Baseline) -> [String; 3] {
-    let gap = baseline.gap_ms.to_string();
+fn poller_args(platform: SocketAddr, baseline: &Baseline) -> [String; 3] {
+    let pause = baseline.pause_ms.to_string();
     let wait = baseline.wait_ms.to_string();
-    [platform.to_string(), gap, wait]
+    [platform.to_string(), pause, wait]
 }
 
-fn own_program() -> PathBuf {
+fn current_program() -> PathBuf {
     std::env::current_exe().unwrap_or_else(|_| program("xtask"))
 }
--- a/xtask/src/bench/fit.rs
+++ b/xtask/src/bench/fit.rs
@@ -1,18 +1,20 @@
-//! Straight lines through measured points.
+//! Linear least-squares regression.
 
-/// A least-squares line.
+/// Least-squares line through a set of points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
-    /// Change of the value for one more on the horizontal axis.
+    /// Change of the value per unit of the horizontal axis.
     pub slope: f64,
-    /// Value at zero.
-    pub base: f64,
-    /// Share of the values' variance that the line explains.
+    /// Value of the line at zero.
+    pub intercept: f64,
+    /// Coefficient of determination: the fraction of the variance that the line explains.
     pub r2: f64,
 }
 
 impl Fit {
-    /// Fits a line through at least three points of which not all stand at one size.
+    /// Returns the least-squares line through pairs of x and y.
+    ///
+    /// Returns `None` for fewer than three points, or if all points have the same x.
     ///
     /// # Examples
     ///
@@ -20,7 +22,7 @@
     /// use xtask::bench::Fit;
     ///
     /// let fit = Fit::through(&[(1.0, 5.0), (2.0, 7.0), (3.0, 9.0)]);
-    /// assert_eq!(fit, Some(Fit { slope: 2.0, base: 3.0, r2: 1.0 }));
+    /// assert_eq!(fit, Some(Fit { slope: 2.0, intercept: 3.0, r2: 1.0 }));
     /// ```
     #[must_use]
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
@@ -41,7 +43,7 @@
         let r2 = if yy == 0.0 { 1.0 } else { xy * xy / (xx * yy) };
         Some(Self {
             slope,
-            base: mean_y - slope * mean_x,
+            intercept: mean_y - slope * mean_x,
             r2,
         })
     }
--- a/xtask/src/bench/latency.rs
+++ b/xtask/src/bench/latency.rs
@@ -1,7 +1,7 @@
-//! Latency that nodes add to a call, against calls straight to the backend server.
+//! Latency that nodes add to requests, compared with direct requests to the backend server.
 //!
-//! Calls through nodes and direct calls alternate one by one in one run, so that both
-//! see the same machine at the same time.
+//! Requests through nodes and direct requests alternate one by one in one run, so that both are
+//! measured under the same system load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,28 +18,30 @@
 const BENCH: &str = "latency";
 const SERVICE: &str = "sensor";
 
-/// Calls a second, half of them direct.
+/// Request rates per second. Half of the requests are direct.
 const RATES: [f64; 3] = [200.0, 1000.0, 4000.0];
 
-/// How long each rate is held, in milliseconds.
-const SPAN_MS: u64 = 8000;
+/// Duration of the load at each rate, in milliseconds.
+const RATE_DURATION_MS: u64 = 8000;
 
-const START: Duration = Duration::from_secs(30);
+/// Timeout for each step of the start.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A backend server with a node beside it, and a second node that calls go through.
+/// Fleet of a guard with a backend server, and a second node that is only an ingress.
 pub(crate) struct NodePair {
     fleet: Fleet,
 }
 
-/// Measures one node and two nodes at each rate in every round.
+/// Measures the paths through one node and two nodes at each rate in every round.
 pub(super) async fn run(plan: &Plan, results: &mut Results) -> Result<(), Error> {
     results
         .axes
         .insert(BENCH.to_owned(), "calls a second".to_owned());
     results.notes.push(format!(
-        "{BENCH}: one backend server without service time, 64-byte answers; calls through nodes and \
-         direct calls alternate for {SPAN_MS} ms, open loop, from the sending to the answer's end. \
-         Added latency is the difference of the two percentiles."
+        "{BENCH}: one backend server without service time and with 64-byte responses. Requests through \
+         nodes and direct requests alternate for {RATE_DURATION_MS} ms in an open loop. Latency is measured from \
+         the sending of a request to the end of its response. Added latency is the difference between \
+         the percentiles of the two paths."
     ));
     let pair = NodePair::start().await?;
     for round in 1..=plan.rounds {
@@ -47,8 +49,8 @@
         for rate in RATES {
             let seed = round as u64;
             for (name, node) in pair.paths() {
-                let run = pair.compare(node, rate, SPAN_MS, seed).await?;
-                add(name, rate, &run, results)?;
+                let run = pair.compare(node, rate, RATE_DURATION_MS, seed).await?;
+                record_comparison(name, rate, &run, results)?;
             }
         }
     }
@@ -56,31 +58,33 @@
 }
 
 impl NodePair {
-    /// The path that is served.
+    /// Request path of the service.
     pub(crate) const PATH: &str = "/sensor";
 
-    /// The instance with the backend server: its node is the guard.
+    /// Index of the instance with the backend server, whose node is the guard.
     pub(crate) const GUARD: usize = 0;
 
-    /// The instance with a node alone, which is only an ingress.
+    /// Index of the instance without a backend server, whose node is only an ingress.
     pub(crate) const INGRESS: usize = 1;
 
-    /// Starts the processes and waits until both nodes serve the backend server.
+    /// Starts the processes and waits until both nodes forward requests to the backend server.
     pub(crate) async fn start() -> Result<Self, Error> {
         let mut fleet = Fleet::start("bench-pair", &json!({}), roles(), json!({})).await?;
-        fleet.wait_ready(START).await?;
-        let table = Publisher::new(fleet.platform).table(&[SERVICE]).await?;
-        fleet.wait_version(table.version, START).await?;
-        fleet.wait_served(Self::PATH, START).await?;
+        fleet.wait_ready(START_TIMEOUT).await?;
+        let table = Publisher::new(fleet.platform)
+            .publish_table(&[SERVICE])
+            .await?;
+        fleet.wait_version(table.version, START_TIMEOUT).await?;
+        fleet.wait_served(Self::PATH, START_TIMEOUT).await?;
         Ok(Self { fleet })
     }
 
-    /// Returns the processes.
+    /// Returns the fleet with both nodes.
     pub(crate) const fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Returns both ways through nodes, by name.
+    /// Returns the name and the address of the first node for each path through nodes.
     pub(crate) fn paths(&self) -> [(&'static str, SocketAddr); 2] {
         let calls = |i: usize| self.fleet.instances[i].addrs.calls;
         [
@@ -89,7 +93,7 @@
         ]
     }
 
-    /// Compares calls through `node` with direct calls, one by one in turn.
+    /// Compares requests through `node` with direct requests, which alternate one by one.
     pub(crate) async fn compare(
         &self,
         node: SocketAddr,
@@ -109,31 +113,39 @@
     }
 }
 
-/// Returns how much longer calls through nodes took, in milliseconds: p50 and p99.
+/// Returns the latency added by nodes at p50 and p99, in milliseconds.
 pub(crate) fn added_latency_ms(run: &Comparison) -> (f64, f64) {
     let (through, direct) = (run.a.since_send_us, run.b.since_send_us);
     let ms = |through: u64, direct: u64| (through as f64 - direct as f64) / 1000.0;
     (ms(through.p50, direct.p50), ms(through.p99, direct.p99))
 }
 
-fn add(path: &str, rate: f64, run: &Comparison, results: &mut Results) -> Result<(), Error> {
+fn record_comparison(
+    path: &str,
+    rate: f64,
+    run: &Comparison,
+    results: &mut Results,
+) -> Result<(), Error> {
     let (through, direct) = (run.a.since_send_us, run.b.since_send_us);
     if run.a.good == 0 || run.b.good == 0 {
-        return Err(Error::Late("a good answer".to_owned(), path.to_owned()));
+        return Err(Error::Late(
+            "a successful response".to_owned(),
+            path.to_owned(),
+        ));
     }
     let failed = (run.a.offered - run.a.good) as f64;
-    let mut put = |subject: &str, metric: &str, unit: &str, value| {
-        results.add(Series::new(BENCH, subject, metric, unit), rate, value);
+    let mut record = |subject: &str, metric: &str, unit: &str, value| {
+        results.record(Series::new(BENCH, subject, metric, unit), rate, value);
     };
     let (p50, p99) = added_latency_ms(run);
-    put(path, "added p50", "ms", p50);
-    put(path, "added p99", "ms", p99);
-    put(path, "p50", "ms", through.p50 as f64 / 1000.0);
-    put(path, "p99", "ms", through.p99 as f64 / 1000.0);
-    let beside = format!("direct, beside {path}");
-    put(&beside, "p50", "ms", direct.p50 as f64 / 1000.0);
-    put(&beside, "p99", "ms", direct.p99 as f64 / 1000.0);
-    put(path, "calls without a good answer", "calls", failed);
+    record(path, "added p50", "ms", p50);
+    record(path, "added p99", "ms", p99);
+    record(path, "p50", "ms", through.p50 as f64 / 1000.0);
+    record(path, "p99", "ms", through.p99 as f64 / 1000.0);
+    let direct_subject = format!("direct, beside {path}");
+    record(&direct_subject, "p50", "ms", direct.p50 as f64 / 1000.0);
+    record(&direct_subject, "p99", "ms", direct.p99 as f64 / 1000.0);
+    record(path, "calls without a good answer", "calls", failed);
     Ok(())
 }
 
--- a/xtask/src/bench/options.rs
+++ b/xtask/src/bench/options.rs
@@ -1,4 +1,4 @@
-//! The command line of `cargo xtask bench`.
+//! Command line options of `cargo xtask bench`.
 
 use std::path::PathBuf;
 
@@ -6,74 +6,77 @@
 
 use crate::Error;
 
-/// Tells what to measure and how much of it.
+/// Selected benches and the extent of the measurements.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// Measure convergence time, control bytes and platform reads.
+    /// Selects convergence time, control traffic and platform reads.
     pub convergence: bool,
-    /// Measure the latency that nodes add.
+    /// Selects the latency that nodes add to requests.
     pub latency: bool,
-    /// Measure good answers a second under too much load.
+    /// Selects goodput under overload.
     pub overload: bool,
-    /// Measure the slopes that the capacity page needs.
+    /// Selects the resource usage of each role, for capacity planning.
     pub capacity: bool,
-    /// Numbers of nodes.
+    /// Node counts to measure.
     pub sizes: Vec<usize>,
-    /// How often each measurement is repeated.
+    /// Number of times that each measurement is made.
     pub rounds: usize,
-    /// Where the results go; a folder named after commit and time otherwise.
+    /// Output directory. The default directory is named after the time and the commit.
     pub out: Option<PathBuf>,
 }
 
-/// Tells what the command line asks for.
+/// Command given on the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Request {
-    /// Measure.
+pub enum BenchCommand {
+    /// Runs the selected benches.
     Run(Plan),
-    /// Compare two files of results.
+    /// Compares two result files, the old one first.
     Compare(PathBuf, PathBuf),
-    /// Print the options.
+    /// Prints the usage text.
     Help(String),
 }
 
-impl Request {
-    /// Reads the words after `bench`.
+impl BenchCommand {
+    /// Parses the arguments after `bench`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Usage`] with the word that is not understood.
+    /// Returns [`Error::Usage`] with the invalid arguments.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
         let options = options();
-        let found = options
+        let matches = options
             .parse(args)
             .map_err(|e| Error::Usage(e.to_string()))?;
-        if found.opt_present("help") {
+        if matches.opt_present("help") {
             return Ok(Self::Help(
                 options.usage("Usage: cargo xtask bench [OPTIONS]"),
             ));
         }
-        match (found.opt_present("compare"), &found.free[..]) {
+        match (matches.opt_present("compare"), &matches.free[..]) {
             (true, [old, new]) => return Ok(Self::Compare(old.into(), new.into())),
             (false, []) => (),
-            (_, words) => return Err(Error::Usage(words.join(" "))),
+            (_, free) => return Err(Error::Usage(free.join(" "))),
         }
-        let sizes = found
+        let sizes = matches
             .opt_str("sizes")
             .unwrap_or_else(|| "13,26,52,104".to_owned());
-        let sizes = sizes.split(',').map(number).collect::<Result<_, _>>()?;
-        let rounds = found
+        let sizes = sizes
+            .split(',')
+            .map(parse_positive)
+            .collect::<Result<_, _>>()?;
+        let rounds = matches
             .opt_str("rounds")
-            .map_or(Ok(3), |text| number(&text))?;
-        let all = BENCHES.iter().all(|(name, _)| !found.opt_present(name));
-        let wanted = |name| all || found.opt_present(name);
+            .map_or(Ok(3), |text| parse_positive(&text))?;
+        let all = BENCHES.iter().all(|(name, _)| !matches.opt_present(name));
+        let selected = |name| all || matches.opt_present(name);
         Ok(Self::Run(Plan {
-            convergence: wanted("convergence"),
-            latency: wanted("latency"),
-            overload: wanted("overload"),
-            capacity: wanted("capacity"),
+            convergence: selected("convergence"),
+            latency: selected("latency"),
+            overload: selected("overload"),
+            capacity: selected("capacity"),
             sizes,
             rounds,
-            out: found.opt_str("out").map(PathBuf::from),
+            out: matches.opt_str("out").map(PathBuf::from),
         }))
     }
 }
@@ -81,11 +84,11 @@
 const BENCHES: [(&str, &str); 4] = [
     (
         "convergence",
-        "convergence time, control bytes and platform reads over nodes",
+        "convergence time, control traffic and platform reads by node count",
     ),
-    ("latency", "latency added by one node and by two"),
-    ("overload", "good answers a second over the offered load"),
-    ("capacity", "processor time and memory of each role"),
+    ("latency", "latency added by one node and by two nodes"),
+    ("overload", "goodput by offered load"),
+    ("capacity", "CPU time and memory of each role"),
 ];
 
 fn options() -> Options {
@@ -94,19 +97,19 @@
         options.optflag("", name, text);
     }
     options
-        .optopt("", "sizes", "numbers of nodes (13,26,52,104)", "N,N,..")
-        .optopt("", "rounds", "repeats of each measurement (3)", "N")
-        .optopt("", "out", "folder for the results", "DIR")
+        .optopt("", "sizes", "node counts (default: 13,26,52,104)", "N,N,..")
+        .optopt("", "rounds", "number of rounds (default: 3)", "N")
+        .optopt("", "out", "output directory", "DIR")
         .optflag(
             "",
             "compare",
             "compare two results.json files: --compare OLD NEW",
         )
-        .optflag("h", "help", "print this text");
+        .optflag("h", "help", "print this help text");
     options
 }
 
-fn number(text: &str) -> Result<usize, Error> {
+fn parse_positive(text: &str) -> Result<usize, Error> {
     match text.parse() {
         Ok(n) if n > 0 => Ok(n),
         _ => Err(Error::Usage(text.to_owned())),
--- a/xtask/src/bench/plot.rs
+++ b/xtask/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! Plots: one line for each subject over the size.
+//! SVG line charts with one line for each subject.
 
 use std::path::Path;
 
@@ -9,20 +9,20 @@
 const WIDTH: u32 = 760;
 const HEIGHT: u32 = 420;
 
-/// One subject's values over the size.
+/// Data points of one subject.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line<'a> {
-    /// Who was measured.
+    /// Label of the line in the legend.
     pub subject: &'a str,
-    /// Pairs of size and value, in order of size.
+    /// Pairs of size and value, sorted by size.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws `lines` into the SVG file `path`.
+/// Draws `lines` as a chart in the SVG file `path`.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the plot cannot be written.
+/// Returns an [`Error`] if the chart cannot be drawn or written.
 pub fn draw(
     path: &Path,
     title: &str,
@@ -30,20 +30,20 @@
     unit: &str,
     lines: &[Line<'_>],
 ) -> Result<(), Error> {
-    let failed = |e: &dyn std::error::Error| Error::Content(path.to_owned(), e.to_string());
-    chart(path, title, axis, unit, lines).map_err(|e| failed(e.as_ref()))
+    let to_error = |e: &dyn std::error::Error| Error::Content(path.to_owned(), e.to_string());
+    draw_chart(path, title, axis, unit, lines).map_err(|e| to_error(e.as_ref()))
 }
 
-fn chart(
+fn draw_chart(
     path: &Path,
     title: &str,
     axis: &str,
     unit: &str,
     lines: &[Line<'_>],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let all = || lines.iter().flat_map(|line| &line.points);
-    let right = all().map(|(size, _)| *size).fold(0.0, f64::max);
-    let top = all().map(|(_, value)| *value).fold(0.0, f64::max);
+    let all_points = || lines.iter().flat_map(|line| &line.points);
+    let max_size = all_points().map(|(size, _)| *size).fold(0.0, f64::max);
+    let max_value = all_points().map(|(_, value)| *value).fold(0.0, f64::max);
     let area = SVGBackend::new(path, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -51,7 +51,10 @@
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..right.max(1.0) * 1.02, 0.0..top.max(1e-9) * 1.1)?;
+        .build_cartesian_2d(
+            0.0..max_size.max(1.0) * 1.02,
+            0.0..max_value.max(1e-9) * 1.1,
+        )?;
     chart.configure_mesh().x_desc(axis).y_desc(unit).draw()?;
     for (i, line) in lines.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
--- a/xtask/src/bench/poller.rs
+++ b/xtask/src/bench/poller.rs
@@ -1,4 +1,6 @@
-//! The baseline: a process that polls the platform by itself, as every node would have to.
+//! Baseline process that polls the platform directly.
+//!
+//! Without the gossip between nodes, every node would have to poll like this.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,64 +11,68 @@
 
 use crate::Error;
 
-/// Records asked for at once.
-const LIMIT: u32 = 1000;
+/// Maximum number of records per read.
+const MAX_RECORDS: u32 = 1000;
 
-/// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the next read after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Tells how a poller asks.
+/// Poller of the configuration log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Poller {
-    /// Where the platform is.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// The pause between two reads.
-    pub gap: Duration,
-    /// How long the platform may hold a read.
-    pub wait: Duration,
+    /// Pause between the end of a read and the start of the next read.
+    pub read_pause: Duration,
+    /// Maximum time that the platform holds a long poll.
+    pub max_wait: Duration,
 }
 
 impl Poller {
-    /// Reads `ADDR GAP_MS WAIT_MS`.
+    /// Parses the arguments `ADDR PAUSE_MS WAIT_MS`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Usage`] when it is anything else.
+    /// Returns [`Error::Usage`] if the arguments do not have this form.
     pub fn parse(args: &[String]) -> Result<Self, Error> {
         let ms = |text: &str| text.parse().ok().map(Duration::from_millis);
         let parsed = match args {
-            [addr, gap, wait] => addr.parse().ok().zip(ms(gap).zip(ms(wait))),
+            [addr, read_pause, max_wait] => addr.parse().ok().zip(ms(read_pause).zip(ms(max_wait))),
             _ => None,
         };
-        let (platform, (gap, wait)) = parsed.ok_or_else(|| Error::Usage(args.join(" ")))?;
+        let (platform, (read_pause, max_wait)) =
+            parsed.ok_or_else(|| Error::Usage(args.join(" ")))?;
         Ok(Self {
             platform,
-            gap,
-            wait,
+            read_pause,
+            max_wait,
         })
     }
 
-    /// Polls until the process is ended, and prints a line for each new version.
+    /// Polls the log until the process is killed and prints a line for each read with new records.
     pub async fn run(self) {
         let platform = Platform::new(self.platform);
         let mut next = Offset(0);
         loop {
-            match platform.read("config", next, LIMIT, self.wait).await {
+            match platform
+                .read("config", next, MAX_RECORDS, self.max_wait)
+                .await
+            {
                 Ok(page) => {
                     if page.next > next {
-                        applied(page.next);
+                        log_applied(page.next);
                     }
                     next = page.next;
-                    sleep(self.gap).await;
+                    sleep(self.read_pause).await;
                 }
-                Err(_) => sleep(PAUSE).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             }
         }
     }
 }
 
-/// Prints what a node logs when a version comes into force.
-fn applied(next: Offset) {
+/// Prints the event that a node logs when it applies a version.
+fn log_applied(next: Offset) {
     let version = Version(next.0);
     println!("at={} event=applied version={version}", unix_ms());
 }
--- a/xtask/src/bench/publisher.rs
+++ b/xtask/src/bench/publisher.rs
@@ -1,4 +1,4 @@
-//! An operator that publishes one change after the other.
+//! Publisher of configuration changes for benches.
 
 use std::net::SocketAddr;
 
@@ -11,21 +11,21 @@
 
 const STREAM: &str = "config";
 
-/// Publishes through the platform's log, as the operators' tool does.
+/// Client that publishes configuration changes to the platform's log, as the operators' tool does.
 #[derive(Debug)]
 pub struct Publisher {
     platform: Platform,
     base: Version,
-    count: u32,
+    publishes: u32,
 }
 
-/// One publish that the log took.
+/// Publish that was appended to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Published {
-    /// Its version, when it is accepted.
+    /// Version that the nodes apply if they accept the publish.
     pub version: Version,
-    /// When the log took it, in Unix milliseconds.
-    pub at: u64,
+    /// Append time in the log, in Unix milliseconds.
+    pub appended_ms: u64,
 }
 
 impl Publisher {
@@ -35,22 +35,22 @@
         Self {
             platform: Platform::new(platform),
             base: Version::NONE,
-            count: 0,
+            publishes: 0,
         }
     }
 
-    /// Returns the version of the last publish.
+    /// Returns the version of the last publish, or [`Version::NONE`] before the first publish.
     #[must_use]
-    pub const fn last(&self) -> Version {
+    pub const fn last_version(&self) -> Version {
         self.base
     }
 
-    /// Publishes a table of `services`, one route each.
+    /// Publishes a table of `services` with one route for each service.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the log does not take it.
-    pub async fn table(&mut self, services: &[&str]) -> Result<Published, Error> {
+    /// Returns an [`Error`] if the append to the log fails.
+    pub async fn publish_table(&mut self, services: &[&str]) -> Result<Published, Error> {
         let table = services.iter().fold(Table::new(), |table, service| {
             let table = table.with_service(*service, Limits::default());
             table.with_route(format!("/{service}"), *service, 1)
@@ -58,24 +58,24 @@
         self.publish(diff(&Table::new(), &table)).await
     }
 
-    /// Publishes another weight for the route of `service`.
+    /// Publishes a new weight for the route of `service`.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the log does not take it.
-    pub async fn weight(&mut self, service: &str) -> Result<Published, Error> {
+    /// Returns an [`Error`] if the append to the log fails.
+    pub async fn publish_weight(&mut self, service: &str) -> Result<Published, Error> {
         let key = RowKey::Route(
             format!("/{service}"),
             swiftcart_core::ServiceName::new(service),
         );
-        let row = Some(Row::Route(self.count + 1));
+        let row = Some(Row::Route(self.publishes + 1));
         self.publish(vec![Edit { key, row }]).await
     }
 
     async fn publish(&mut self, edits: Vec<Edit>) -> Result<Published, Error> {
-        self.count += 1;
+        self.publishes += 1;
         let publish = Publish {
-            id: PublishId(u128::from(self.count)),
+            id: PublishId(u128::from(self.publishes)),
             author: "bench".to_owned(),
             base: self.base,
             edits,
@@ -87,7 +87,7 @@
         self.base = Version::at(appended.offset);
         Ok(Published {
             version: self.base,
-            at: appended.at_ms,
+            appended_ms: appended.at_ms,
         })
     }
 }
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! The readable report of a run: tables in Markdown and a plot for each metric.
+//! Markdown report of a run, with a table and a plot for each metric.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -10,63 +10,65 @@
 use super::results::{Results, Series};
 use crate::Error;
 
-/// Benches whose horizontal axis is a size that a straight line may be carried to.
-const SCALING: [&str; 2] = ["capacity", "convergence"];
+/// Prefixes of the names of benches whose values can be extrapolated with a straight line.
+const FITTED_BENCHES: [&str; 2] = ["capacity", "convergence"];
 
-/// Rows and their lines, by metric.
+/// Lines of each chart, by bench, metric and unit.
 type Charts<'a> = BTreeMap<(&'a str, &'a str, &'a str), Vec<Line<'a>>>;
 
 /// Writes `results.json`, `report.md` and the plots into `dir`.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when a file cannot be written.
+/// Returns an [`Error`] if a file cannot be written.
 pub fn write(results: &Results, dir: &Path) -> Result<(), Error> {
     fs::create_dir_all(dir).map_err(|e| Error::File(dir.to_owned(), e))?;
     results.write(&dir.join("results.json"))?;
     let charts = charts(results);
     for ((bench, metric, unit), lines) in &charts {
-        let path = dir.join(file(bench, metric));
+        let path = dir.join(plot_file(bench, metric));
         let axis = axis(results, bench);
         plot::draw(&path, &format!("{bench}: {metric}"), axis, unit, lines)?;
     }
     let path = dir.join("report.md");
-    fs::write(&path, text(results, &charts)).map_err(|e| Error::File(path, e))
+    fs::write(&path, render(results, &charts)).map_err(|e| Error::File(path, e))
 }
 
-/// Returns both results side by side, as a table in Markdown.
+/// Returns a Markdown table that compares the medians of two runs.
+///
+/// Series and sizes that only one of the runs measured are left out.
 #[must_use]
 pub fn compare(old: &Results, new: &Results) -> String {
-    let (before, after) = (old.medians(), new.medians());
+    let (old_medians, new_medians) = (old.medians(), new.medians());
     let mut text = format!(
         "# Comparison\n\nold: {}\nnew: {}\n\n",
-        setting(old),
-        setting(new)
+        describe_environment(old),
+        describe_environment(new)
     );
     text += "| bench | metric | subject | size | old | new | change |\n";
     text += "|---|---|---|--:|--:|--:|--:|\n";
-    for (series, row) in &before {
-        for (size, was) in row {
-            let is = after.get(series).and_then(|row| at(row, *size));
-            let Some(is) = is else { continue };
+    for (series, row) in &old_medians {
+        for (size, old_value) in row {
+            let new_value = new_medians.get(series).and_then(|row| value_at(row, *size));
+            let Some(new_value) = new_value else { continue };
             let Series {
                 bench,
                 metric,
                 unit,
                 subject,
             } = series;
-            let change = (is / was - 1.0) * 100.0;
+            let change = (new_value / old_value - 1.0) * 100.0;
             let _ = writeln!(
                 text,
-                "| {bench} | {metric} ({unit}) | {subject} | {size} | {was:.3} | {is:.3} | {change:+.1} % |"
+                "| {bench} | {metric} ({unit}) | {subject} | {size} | {old_value:.3} | {new_value:.3} | {change:+.1} % |"
             );
         }
     }
     text
 }
 
-fn at(row: &[(f64, f64)], size: f64) -> Option<f64> {
-    let found = row.iter().find(|(s, _)| *s == size);
+fn value_at(row: &[(f64, f64)], size: f64) -> Option<f64> {
+    let found = row.iter().find(|(other, _)| *other == size);
     found.map(|(_, value)| *value)
 }
 
@@ -87,18 +89,18 @@
     charts
 }
 
-fn text(results: &Results, charts: &Charts<'_>) -> String {
-    let mut text = format!("# Bench\n\n{}\n\n", setting(results));
+fn render(results: &Results, charts: &Charts<'_>) -> String {
+    let mut text = format!("# Bench\n\n{}\n\n", describe_environment(results));
     for note in &results.notes {
         let _ = writeln!(text, "- {note}");
     }
     for ((bench, metric, unit), lines) in charts {
         let _ = writeln!(text, "\n## {bench}: {metric} ({unit})\n");
         text += &table(axis(results, bench), lines);
-        if SCALING.iter().any(|name| bench.starts_with(name)) {
-            text += &fits(lines);
+        if FITTED_BENCHES.iter().any(|name| bench.starts_with(name)) {
+            text += &fit_list(lines);
         }
-        let _ = writeln!(text, "\n![{bench}: {metric}]({})", file(bench, metric));
+        let _ = writeln!(text, "\n![{bench}: {metric}]({})", plot_file(bench, metric));
     }
     text
 }
@@ -110,7 +112,7 @@
     let all = lines.iter().flat_map(|line| &line.points);
     let sizes: BTreeSet<_> = all.map(|(size, _)| size.to_bits()).collect();
     for size in sizes.into_iter().map(f64::from_bits) {
-        let cells = lines.iter().map(|line| match at(&line.points, size) {
+        let cells = lines.iter().map(|line| match value_at(&line.points, size) {
             Some(value) => format!("{value:.3}"),
             None => "-".to_owned(),
         });
@@ -120,13 +122,15 @@
     text
 }
 
-/// Returns the straight line through each subject's points, in words.
-fn fits(lines: &[Line<'_>]) -> String {
+/// Formats the least-squares line of each subject as a Markdown list.
+///
+/// Subjects without a fit are left out. The result is empty if no subject has a fit.
+fn fit_list(lines: &[Line<'_>]) -> String {
     let fit = |line: &Line<'_>| {
         let fit = Fit::through(&line.points)?;
-        let (base, slope, r2) = (fit.base, fit.slope, fit.r2);
+        let (intercept, slope, r2) = (fit.intercept, fit.slope, fit.r2);
         Some(format!(
-            "- {}: {base:.4} + {slope:.6} x, R2 {r2:.3}\n",
+            "- {}: {intercept:.4} + {slope:.6} x, R2 {r2:.3}\n",
             line.subject
         ))
     };
@@ -137,11 +141,16 @@
     }
 }
 
-fn setting(results: &Results) -> String {
-    let s = &results.setting;
+fn describe_environment(results: &Results) -> String {
+    let environment = &results.setting;
     format!(
-        "commit {}, {} processors of {}, {} MiB, load average {} at the start, Unix time {}",
-        s.commit, s.cores, s.processor, s.memory_mib, s.load, s.at
+        "commit {}, {} processors of {}, {} MiB, load average {} at the start, started at Unix time {}",
+        environment.commit,
+        environment.cores,
+        environment.processor,
+        environment.memory_mib,
+        environment.load,
+        environment.at
     )
 }
 
@@ -149,8 +158,8 @@
     results.axes.get(bench).map_or("size", String::as_str)
 }
 
-fn file(bench: &str, metric: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
-    let name: String = metric.chars().map(plain).collect();
+fn plot_file(bench: &str, metric: &str) -> String {
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() { c } else { '-' };
+    let name: String = metric.chars().map(sanitize).collect();
     format!("{bench}-{name}.svg")
 }
--- a/xtask/src/bench/results.rs
+++ b/xtask/src/bench/results.rs
@@ -1,4 +1,4 @@
-//! What a bench measured, kept as JSON so that two commits can be compared.
+//! Bench results, stored as JSON so that the results of two commits can be compared.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,71 +11,71 @@
 use crate::command::root;
 use crate::{Error, proc};
 
-/// Tells where and on what a bench ran.
+/// Commit and system that a bench ran on.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Setting {
-    /// The commit, with `-dirty` after it when files were changed.
+pub struct RunEnvironment {
+    /// Commit hash, with the suffix `-dirty` if the work tree had uncommitted changes.
     pub commit: String,
-    /// The time of the run, in seconds since 1970.
+    /// Start time of the run, in Unix seconds.
     pub at: u64,
-    /// The machine's processor.
+    /// Processor model.
     pub processor: String,
-    /// Processors that the run could use.
+    /// Number of processors available to the run.
     pub cores: usize,
-    /// The machine's memory in MiB.
+    /// Total system memory in MiB.
     pub memory_mib: u64,
-    /// The load average when the run began: what else the machine did.
+    /// Load average at the start of the run, which shows the load from other processes.
     pub load: String,
 }
 
-/// Names one row of the results: the points of one line in a plot.
+/// Identifier of a data series, which is drawn as one line of a plot.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Series {
-    /// The bench, for example `convergence`.
+    /// Name of the bench, for example `convergence`.
     pub bench: String,
-    /// What was measured, for example `convergence p99`.
+    /// Name of the measured quantity, for example `added p99`.
     pub metric: String,
-    /// The unit of the values.
+    /// Unit of the values.
     pub unit: String,
-    /// Who was measured: this project or a baseline.
+    /// Measured system, role or request path, for example a baseline.
     pub subject: String,
 }
 
 /// One measured value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Point {
-    /// The row that it belongs to.
+pub struct Measurement {
+    /// Series that the value belongs to.
     #[serde(flatten)]
     pub series: Series,
-    /// What the measurement was made at, on the horizontal axis.
+    /// Position on the horizontal axis, for example the number of nodes.
     pub size: f64,
-    /// The value.
+    /// Measured value, in the unit of the series.
     pub value: f64,
 }
 
-/// Holds everything that a run measured.
+/// Results of one run.
 #[derive(Debug, Default, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Results {
-    /// Where and on what.
-    pub setting: Setting,
-    /// Each bench's horizontal axis, in words.
+    /// Commit and system that the run measured.
+    pub setting: RunEnvironment,
+    /// Label of the horizontal axis, by bench.
     pub axes: BTreeMap<String, String>,
-    /// Every value, in the order measured.
-    pub points: Vec<Point>,
-    /// What a reader has to know about the figures.
+    /// Measured values, in the order of measurement.
+    pub points: Vec<Measurement>,
+    /// Explanations and limitations of the measurements, for the reader of the report.
     pub notes: Vec<String>,
 }
 
-impl Setting {
-    /// Returns the present machine and commit.
+impl RunEnvironment {
+    /// Returns the current commit and system.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the system does not tell.
-    pub fn now() -> Result<Self, Error> {
+    /// Returns an [`Error`] if the system information cannot be read.
+    pub fn current() -> Result<Self, Error> {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         Ok(Self {
-            commit: git(&[
+            commit: git_output(&[
                 "describe",
                 "--always",
                 "--dirty",
@@ -92,7 +92,7 @@
 }
 
 impl Series {
-    /// Creates the name of a row.
+    /// Creates a series identifier.
     #[must_use]
     pub fn new(bench: &str, subject: &str, metric: &str, unit: &str) -> Self {
         Self {
@@ -105,70 +105,77 @@
 }
 
 impl Results {
-    /// Creates empty results of a run that begins now.
+    /// Creates empty results for a run that starts now.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the system does not tell where it runs.
+    /// Returns an [`Error`] if the system information cannot be read.
     pub fn new() -> Result<Self, Error> {
         Ok(Self {
-            setting: Setting::now()?,
+            setting: RunEnvironment::current()?,
             ..Self::default()
         })
     }
 
-    /// Adds one value.
-    pub fn add(&mut self, series: Series, size: f64, value: f64) {
+    /// Prints a value and appends it to the results.
+    pub fn record(&mut self, series: Series, size: f64, value: f64) {
         println!(
             "    {} {} at {size}: {value:.3} {} ({})",
             series.bench, series.metric, series.unit, series.subject
         );
-        let point = Point {
+        let measurement = Measurement {
             series,
             size,
             value,
         };
-        self.points.push(point);
+        self.points.push(measurement);
     }
 
-    /// Returns each row with the median of the values at each size, in order.
+    /// Returns each series with the median value at each size, sorted by size.
     ///
-    /// A run repeats a measurement in several rounds; the median is what a report shows.
+    /// A run makes each measurement once per round, and the report shows the median of the rounds.
     #[must_use]
     pub fn medians(&self) -> BTreeMap<&Series, Vec<(f64, f64)>> {
-        let mut rows: BTreeMap<_, Vec<(f64, Vec<f64>)>> = BTreeMap::new();
-        for point in &self.points {
-            let row = rows.entry(&point.series).or_default();
-            match row.iter_mut().find(|(size, _)| *size == point.size) {
-                Some((_, values)) => values.push(point.value),
-                None => row.push((point.size, vec![point.value])),
+        let mut values_by_series: BTreeMap<_, Vec<(f64, Vec<f64>)>> = BTreeMap::new();
+        for measurement in &self.points {
+            let series_values = values_by_series.entry(&measurement.series).or_default();
+            match series_values
+                .iter_mut()
+                .find(|(size, _)| *size == measurement.size)
+            {
+                Some((_, values)) => values.push(measurement.value),
+                None => series_values.push((measurement.size, vec![measurement.value])),
             }
         }
-        let collapse = |row: Vec<(f64, Vec<f64>)>| {
-            let mut row: Vec<_> = row.into_iter().map(|(size, v)| (size, median(v))).collect();
-            row.sort_by(|a, b| a.0.total_cmp(&b.0));
-            row
+        let medians_by_size = |series_values: Vec<(f64, Vec<f64>)>| {
+            let mut series_values: Vec<_> = series_values
+                .into_iter()
+                .map(|(size, v)| (size, median(v)))
+                .collect();
+            series_values.sort_by(|a, b| a.0.total_cmp(&b.0));
+            series_values
         };
-        rows.into_iter()
-            .map(|(s, row)| (s, collapse(row)))
+        values_by_series
+            .into_iter()
+            .map(|(s, series_values)| (s, medians_by_size(series_values)))
             .collect()
     }
 
-    /// Reads results from the file `path`.
+    /// Reads results from the JSON file `path`.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] that names the file.
+    /// Returns an [`Error`] that names the file if it cannot be read or parsed.
     pub fn read(path: &Path) -> Result<Self, Error> {
         let text = fs::read_to_string(path).map_err(|e| Error::File(path.to_owned(), e))?;
         serde_json::from_str(&text).map_err(|e| Error::Content(path.to_owned(), e.to_string()))
     }
 
-    /// Writes the results to the file `path`.
+    /// Writes the results to `path` as JSON.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] that names the file.
+    /// Returns an [`Error`] that names the file if it cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), Error> {
         let text = serde_json::to_string_pretty(self);
         let text = text.map_err(|e| Error::Content(path.to_owned(), e.to_string()))?;
@@ -176,7 +183,9 @@
     }
 }
 
-/// Returns the value in the middle, or the mean of the two.
+/// Returns the median, which is the mean of the two middle values for an even count.
+///
+/// Returns NaN if `values` is empty.
 #[must_use]
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -188,7 +197,9 @@
     }
 }
 
-/// Returns the value that a share `q` of the values does not exceed (nearest rank).
+/// Returns the `q`-quantile of the values by the nearest-rank method.
+///
+/// Returns NaN if `values` is empty.
 #[must_use]
 pub fn quantile(values: &[f64], q: f64) -> f64 {
     let mut values = values.to_vec();
@@ -198,7 +209,7 @@
     found.copied().unwrap_or(f64::NAN)
 }
 
-fn git(args: &[&str]) -> String {
+fn git_output(args: &[&str]) -> String {
     let output = Command::new("git").args(args).current_dir(root()).output();
     let text = output.map(|out| String::from_utf8_lossy(&out.stdout).trim().to_owned());
     text.unwrap_or_else(|_| "unknown".to_owned())
