--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -24,7 +24,7 @@
 use crate::command::root;
 use crate::{Error, Verdict, proc};
 
-/// Maximum number of nodes that one run may start.
+/// Maximum number of nodes of one measurement. All of the nodes run on one computer.
 const MAX_NODES: usize = 300;
 
 /// Runs the bench command given by `args`.
--- a/xtask/src/bench/convergence.rs
+++ b/xtask/src/bench/convergence.rs
@@ -48,12 +48,13 @@
 pub(super) async fn run(plan: &Plan, results: &mut Results) -> Result<(), Error> {
     results.axes.insert(BENCH.to_owned(), "nodes".to_owned());
     results.notes.push(format!(
-        "{BENCH}: each round makes {PUBLISHES_PER_ROUND} publishes with a pause of {PUBLISH_PAUSE:?} after each. A publish \
-         has converged when the last node has logged its version. The convergence time starts at the \
-         append time in the log and has a resolution of one millisecond. For every subject, control bytes \
-         are datagrams with their IP and UDP headers and the payload of pulls and platform reads. HTTP \
-         headers are not counted, so an empty read counts as zero bytes. The control bytes of nodes \
-         include all membership traffic, which the baselines do not have."
+        "{BENCH}: each round makes {PUBLISHES_PER_ROUND} publishes with a pause of \
+         {PUBLISH_PAUSE:?} after each. A publish has converged when the last node has logged its \
+         version. The convergence time starts at the append time in the log and has a resolution \
+         of one millisecond. For every subject, control bytes are datagrams with their IP and UDP \
+         headers and the payload of pulls and platform reads. HTTP headers are not counted, so an \
+         empty read counts as zero bytes. The control bytes of nodes include all membership \
+         traffic, which the baselines do not have."
     ));
     for round in 1..=plan.rounds {
         for &size in &plan.sizes {
--- a/xtask/src/bench/convergence/followers.rs
+++ b/xtask/src/bench/convergence/followers.rs
@@ -25,8 +25,10 @@
 /// Node metric that counts the bytes exchanged with other nodes and read from the platform.
 const CONTROL_BYTES: &str = "swiftcart_control_bytes_total";
 
-/// Values of the `kind` label to sum. Only sent bytes are included for traffic between nodes, so that
-/// the sum over all nodes counts each byte once.
+/// Values of the `kind` label to sum.
+///
+/// For traffic between nodes, only sent bytes are included, so that the sum over all nodes counts
+/// each byte once.
 const COUNTED_KINDS: [&str; 3] = ["datagrams-sent", "pulls-sent", "platform-read"];
 
 /// Settings of the pollers of a baseline.
--- a/xtask/src/bench/latency.rs
+++ b/xtask/src/bench/latency.rs
@@ -38,10 +38,10 @@
         .axes
         .insert(BENCH.to_owned(), "calls a second".to_owned());
     results.notes.push(format!(
-        "{BENCH}: one backend server without service time and with 64-byte responses. Requests through \
-         nodes and direct requests alternate for {RATE_DURATION_MS} ms in an open loop. Latency is measured from \
-         the sending of a request to the end of its response. Added latency is the difference between \
-         the percentiles of the two paths."
+        "{BENCH}: one backend server without service time and with 64-byte responses. Requests \
+         through nodes and direct requests alternate for {RATE_DURATION_MS} ms in an open loop. \
+         Latency is measured from the sending of a request to the end of its response. Added \
+         latency is the difference between the percentiles of the two paths."
     ));
     let pair = NodePair::start().await?;
     for round in 1..=plan.rounds {
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -49,11 +49,11 @@
         .insert(BENCH.to_owned(), "offered load / capacity".to_owned());
     let capacity = BACKEND_COUNT as f64 * f64::from(SLOTS) * 1000.0 / SERVICE_TIME_MS;
     results.notes.push(format!(
-        "{BENCH}: {BACKEND_COUNT} backend servers with {SLOTS} slots and a service time of {SERVICE_TIME_MS} ms each \
-         (total capacity {capacity} requests per second) and an internal queue of {QUEUE_CAPACITY} requests. \
-         Callers have a deadline of {DEADLINE_MS} ms and do not retry. Each point is measured for \
-         {POINT_DURATION_MS} ms. The subject \"directly\" sends requests to the backend servers in round-robin \
-         order."
+        "{BENCH}: {BACKEND_COUNT} backend servers, each with {SLOTS} slots, a service time of \
+         {SERVICE_TIME_MS} ms and an internal queue of {QUEUE_CAPACITY} requests. Their total \
+         capacity is {capacity} requests per second. Callers have a deadline of {DEADLINE_MS} ms \
+         and do not retry. Each point is measured for {POINT_DURATION_MS} ms. The subject \
+         `directly` sends requests to the backend servers in round-robin order."
     ));
     let mut fleet = Fleet::start("bench-overload", &json!({}), roles(), json!({})).await?;
     fleet.wait_ready(START_TIMEOUT).await?;
--- a/xtask/src/bench/poller.rs
+++ b/xtask/src/bench/poller.rs
@@ -1,6 +1,7 @@
 //! Baseline process that polls the platform directly.
 //!
-//! Without the gossip between nodes, every node would have to poll like this.
+//! Every node would have to poll like this if nodes did not pass the configuration on to each
+//! other.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -144,7 +144,8 @@
 fn describe_environment(results: &Results) -> String {
     let environment = &results.setting;
     format!(
-        "commit {}, {} processors of {}, {} MiB, load average {} at the start, started at Unix time {}",
+        "commit {}, {} processors of {}, {} MiB of memory, initial load average {}, \
+         started at Unix time {}",
         environment.commit,
         environment.cores,
         environment.processor,
