--- a/xtask/src/lib.rs
+++ b/xtask/src/lib.rs
@@ -1,4 +1,4 @@
-//! Chores of the repository, each behind one command of `cargo xtask`.
+//! Development tasks of the repository, each a subcommand of `cargo xtask`.
 
 pub mod bench;
 mod check;
@@ -30,33 +30,33 @@
 pub use ports::Ports;
 pub use proc::Usage;
 pub use prom::Scrape;
-pub use red::{KnownRed, Ledger};
-pub use soak::{Fault, Proxy, REGRESSIONS, Step, Wire, draw};
-pub use spec::{Model, SpecRun, read_models};
-pub use summary::Summary;
+pub use red::{KnownFailure, KnownFailures};
+pub use soak::{Fault, Proxy, REGRESSIONS, ScheduledFault, TrafficMode, draw_faults};
+pub use spec::{Model, SearchOutcome, read_models};
+pub use summary::TestSummary;
 pub use verdict::Verdict;
 
 const HELP: &str = "\
-Chores of the repository.
+Development tasks of the repository.
 
 Usage: cargo xtask COMMAND [OPTIONS]
 
 Commands:
-  test     everything that decides: packages, format, lint, docs, models, tests, a short soak
-  demo     a whole mesh on this machine, with a report; `--mesh lima|bogota`
-  check    format, lint and docs only
+  test     run all checks: packages, format, lint, docs, models, tests and a short soak
+  demo     run a whole mesh locally and print a report; `--mesh lima|bogota`
+  check    check only format, lint and docs
   bench    measure against the baselines; `bench --help` lists the options
-  soak     the real programs under random faults, by seed; `soak --help` lists the options
-  spec     check the models in specs/, with each guard in place and taken out
+  soak     run the real processes under random faults; `soak --help` lists the options
+  spec     check the models in specs/, with all guards and with each guard removed
   help     print this text
 
 Exit codes: 0 passed, 1 failed, 2 could not run";
 
-/// Runs the chore that `args` name.
+/// Runs the subcommand named by the first element of `args`.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the chore could not run to a verdict.
+/// Returns an [`Error`] when the subcommand could not run to completion.
 pub fn run(args: &[String]) -> Result<Verdict, Error> {
     match args.split_first().map(|(name, rest)| (name.as_str(), rest)) {
         Some(("demo", rest)) => live::run(rest, demo::run),
--- a/xtask/src/red.rs
+++ b/xtask/src/red.rs
@@ -1,4 +1,4 @@
-//! Tests that are known to fail: `KNOWN-RED.txt` at the root of the repository.
+//! List of known test failures, read from `KNOWN-RED.txt` at the root of the repository.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -6,42 +6,42 @@
 
 use crate::Error;
 
-/// More entries than this are refused: the list is no place to park failures.
-const MOST: usize = 3;
+/// Maximum number of entries, so that the list does not accumulate unfixed failures.
+const MAX_ENTRIES: usize = 3;
 
-/// Names a test that fails for a real fault which is not mended yet.
+/// Test that fails because of a real fault that is not fixed yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct KnownRed {
-    /// The test, as the test run prints it, with or without its target before it.
+pub struct KnownFailure {
+    /// Name of the test as printed by the test run, optionally prefixed with its target.
     pub test: String,
-    /// Why it fails.
+    /// Cause of the failure.
     pub cause: String,
-    /// Where the fault is tracked.
+    /// Issue that tracks the fault.
     pub issue: String,
 }
 
-impl KnownRed {
-    /// Returns whether the entry means the test `target::name`.
+impl KnownFailure {
+    /// Returns `true` if the entry refers to `test`, given as `target::name`.
     #[must_use]
-    pub fn names(&self, test: &str) -> bool {
-        let ends = test.strip_suffix(self.test.as_str());
-        ends.is_some_and(|rest| {
-            rest.is_empty() || rest.split_once("::") == Some((target(test), ""))
+    pub fn matches(&self, test: &str) -> bool {
+        let prefix = test.strip_suffix(self.test.as_str());
+        prefix.is_some_and(|rest| {
+            rest.is_empty() || rest.split_once("::") == Some((target_name(test), ""))
         })
     }
 }
 
-/// Holds every entry of the list.
+/// Entries of the list of known failures.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Ledger(pub Vec<KnownRed>);
+pub struct KnownFailures(pub Vec<KnownFailure>);
 
-impl Ledger {
-    /// Reads the list from `path`; a missing file is an empty list.
+impl KnownFailures {
+    /// Reads the list from `path`; a missing file yields an empty list.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] that names the line when the file is not a list of at
-    /// most three lines `test | cause | issue`.
+    /// Returns an [`Error`] when the file cannot be read, when a line is not of the form
+    /// `test | cause | issue`, or when the list has more than three entries.
     pub fn read(path: &Path) -> Result<Self, Error> {
         match fs::read_to_string(path) {
             Ok(text) => Self::parse(&text).map_err(|cause| Error::Content(path.to_owned(), cause)),
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Returns the entry that means `test`, if there is one.
+    /// Returns the entry that refers to `test`, if any.
     #[must_use]
-    pub fn find(&self, test: &str) -> Option<&KnownRed> {
-        self.0.iter().find(|entry| entry.names(test))
+    pub fn find(&self, test: &str) -> Option<&KnownFailure> {
+        self.0.iter().find(|entry| entry.matches(test))
     }
 
     fn parse(text: &str) -> Result<Self, String> {
@@ -62,28 +62,30 @@
             !line.is_empty() && !line.starts_with('#')
         });
         let entries: Vec<_> = lines
-            .map(|(i, line)| entry(line).ok_or_else(|| wrong_line(i + 1)))
+            .map(|(i, line)| parse_entry(line).ok_or_else(|| line_error(i + 1)))
             .collect::<Result<_, _>>()?;
         match entries.len() {
-            n if n > MOST => Err(format!("{n} tests are listed, at most {MOST} may be")),
+            n if n > MAX_ENTRIES => Err(format!(
+                "{n} tests are listed, at most {MAX_ENTRIES} are allowed"
+            )),
             _ => Ok(Self(entries)),
         }
     }
 }
 
-fn target(test: &str) -> &str {
+fn target_name(test: &str) -> &str {
     test.split_once("::").map_or(test, |(target, _)| target)
 }
 
-fn wrong_line(number: usize) -> String {
-    format!("line {number}: write `test | cause | issue`")
+fn line_error(number: usize) -> String {
+    format!("line {number}: expected `test | cause | issue`")
 }
 
-fn entry(line: &str) -> Option<KnownRed> {
+fn parse_entry(line: &str) -> Option<KnownFailure> {
     let fields: Vec<_> = line.split('|').map(str::trim).collect();
     match fields[..] {
         [test, cause, issue] if [test, cause, issue].iter().all(|f| !f.is_empty()) => {
-            Some(KnownRed {
+            Some(KnownFailure {
                 test: test.to_owned(),
                 cause: cause.to_owned(),
                 issue: issue.to_owned(),
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,9 +1,13 @@
-//! Randomized runs of the real programs under faults from outside, each drawn from a seed.
+//! Fault-injection runs of the real processes, generated from seeds.
 //!
-//! A run starts a mesh, draws a series of overlapping faults, and sends calls of every kind
-//! meanwhile. It checks what callers were told against what backend servers counted, that no
-//! node moves back to an older version, and that the mesh serves everything once the faults
-//! are over. A seed that ever failed stands in [`REGRESSIONS`], with its cause.
+//! Each run starts a mesh and injects a random schedule of overlapping faults while callers send
+//! requests of every kind. It then checks the following invariants:
+//!
+//! * The answers that callers received agree with the executions that backend servers counted.
+//! * No node moves back to an older configuration version.
+//! * The mesh serves all requests again once the faults have ended.
+//!
+//! [`REGRESSIONS`] lists every seed that has failed before, with the cause of the failure.
 
 mod plan;
 mod proxy;
@@ -17,87 +21,91 @@
 
 use crate::{Error, Verdict};
 
-pub use plan::{Fault, Step, draw};
-pub use proxy::{Proxy, Wire};
+pub use plan::{Fault, ScheduledFault, draw_faults};
+pub use proxy::{Proxy, TrafficMode};
 
-/// Seeds that failed once, with the cause; every run of several seeds begins with them.
+/// Seeds that have failed before, each with its cause.
+///
+/// A run without `--seed` and `--minutes` starts with these seeds.
 pub const REGRESSIONS: &[(u64, &str)] = &[];
 
-/// Seeds of a run that asks for no number: what fits into a CI run.
-const SEEDS: u64 = 2;
+/// Default number of seeds, limited by the time available in a CI run.
+const DEFAULT_SEEDS: u64 = 2;
 
-/// Runs the soak that `args` ask for and prints a line for each seed.
+/// Runs the seeds selected by `args` and prints one result line for each.
 pub(crate) async fn run(args: Vec<String>) -> Result<Verdict, Error> {
     let mut options = Options::new();
     options
-        .optmulti("", "seed", "play this seed; repeatable", "N")
-        .optopt("", "seeds", "play the seeds 1 to N (default: 2)", "N")
-        .optopt("", "minutes", "play fresh seeds for so long", "M")
+        .optmulti("", "seed", "run this seed; repeatable", "N")
+        .optopt("", "seeds", "run the seeds 1 to N (default: 2)", "N")
+        .optopt("", "minutes", "run random seeds for M minutes", "M")
         .optflag("h", "help", "print this text");
     let usage = |e: getopts::Fail| Error::Usage(e.to_string());
-    let found = options.parse(args).map_err(usage)?;
-    if found.opt_present("help") {
+    let matches = options.parse(args).map_err(usage)?;
+    if matches.opt_present("help") {
         println!("{}", options.usage("Usage: cargo xtask soak [OPTIONS]"));
         return Ok(Verdict::Passed);
     }
-    let minutes: Option<u64> = found.opt_get("minutes").map_err(bad)?;
-    let seeds: u64 = found.opt_get_default("seeds", SEEDS).map_err(bad)?;
-    let given = found.opt_strs("seed");
-    match (given.is_empty(), minutes) {
+    let minutes: Option<u64> = matches.opt_get("minutes").map_err(usage_error)?;
+    let seeds: u64 = matches
+        .opt_get_default("seeds", DEFAULT_SEEDS)
+        .map_err(usage_error)?;
+    let requested = matches.opt_strs("seed");
+    match (requested.is_empty(), minutes) {
         (false, _) => {
-            let parsed: Result<Vec<u64>, _> = given.iter().map(|text| text.parse()).collect();
-            play(parsed.map_err(bad)?).await
+            let parsed: Result<Vec<u64>, _> = requested.iter().map(|text| text.parse()).collect();
+            run_seeds(parsed.map_err(usage_error)?).await
         }
         (true, Some(minutes)) => {
             let end = Instant::now() + Duration::from_secs(60 * minutes);
-            let fresh = std::iter::repeat_with(fresh_seed);
-            play(fresh.take_while(move |_| Instant::now() < end)).await
+            let random = std::iter::repeat_with(random_seed);
+            run_seeds(random.take_while(move |_| Instant::now() < end)).await
         }
         (true, None) => {
             let known = REGRESSIONS.iter().map(|(seed, _)| *seed);
-            play(known.chain(1..=seeds)).await
+            run_seeds(known.chain(1..=seeds)).await
         }
     }
 }
 
-/// Plays seeds one after the other and tells how many broke a promise.
-async fn play(seeds: impl IntoIterator<Item = u64>) -> Result<Verdict, Error> {
-    let (mut played, mut faults, mut failed) = (0, 0, Vec::new());
+/// Runs the seeds one after the other and prints those that violated an invariant.
+async fn run_seeds(seeds: impl IntoIterator<Item = u64>) -> Result<Verdict, Error> {
+    let (mut completed, mut faults, mut failed) = (0, 0, Vec::new());
     for seed in seeds {
         let start = Instant::now();
-        let ended = run::seed(seed).await?;
-        played += 1;
-        faults += ended.faults;
-        let verdict = match ended.broken.is_empty() {
+        let outcome = run::run_seed(seed).await?;
+        completed += 1;
+        faults += outcome.faults;
+        let result = match outcome.violations.is_empty() {
             true => "held",
             false => "BROKEN",
         };
         println!(
-            "seed {seed}: {verdict}, {} faults, {} calls, {:.1} s",
-            ended.faults,
-            ended.calls,
+            "seed {seed}: {result}, {} faults, {} calls, {:.1} s",
+            outcome.faults,
+            outcome.calls,
             start.elapsed().as_secs_f64()
         );
-        for promise in &ended.broken {
-            println!("    {promise}");
+        for violation in &outcome.violations {
+            println!("    {violation}");
         }
-        if !ended.broken.is_empty() {
+        if !outcome.violations.is_empty() {
             println!(
-                "    again: cargo xtask soak --seed {seed}; logs: {}",
-                ended.logs.display()
+                "    reproduce with: cargo xtask soak --seed {seed}; logs: {}",
+                outcome.logs.display()
             );
             failed.push(seed);
         }
     }
-    println!("{played} seeds, {faults} faults, broken: {failed:?}");
+    println!("{completed} seeds, {faults} faults, broken: {failed:?}");
     Ok(failed.is_empty().into())
 }
 
-/// Draws a seed that a person can type.
-fn fresh_seed() -> u64 {
+/// Returns a random seed of at most 32 bits, short enough to type.
+fn random_seed() -> u64 {
     u64::from(SmallRng::from_os_rng().next_u32())
 }
 
-fn bad(err: impl std::fmt::Display) -> Error {
+fn usage_error(err: impl std::fmt::Display) -> Error {
     Error::Usage(err.to_string())
 }
--- a/xtask/src/soak/plan.rs
+++ b/xtask/src/soak/plan.rs
@@ -1,90 +1,94 @@
-//! What fails when in one run, drawn from its seed.
+//! Random fault schedule of a run, generated from its seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use swiftcart_standin::{BackendFaults, LogFaults, Outage, Restart};
 
-use super::proxy::Wire;
+use super::proxy::TrafficMode;
 
-/// Faults of one run at least, and so many more at most.
-const FAULTS: usize = 4;
-const MORE: usize = 5;
+/// Minimum number of faults in a run, and the maximum number of additional faults.
+const MIN_FAULTS: usize = 4;
+const MAX_EXTRA_FAULTS: usize = 5;
 
-/// When the first fault comes and the last one has come, in milliseconds.
-const FROM_MS: u64 = 500;
-const UNTIL_MS: u64 = 6000;
+/// Range of the start times of faults, in milliseconds from the start of the load.
+const FIRST_START_MS: u64 = 500;
+const LAST_START_MS: u64 = 6000;
 
-/// How long a fault lasts, in milliseconds; several overlap in most runs.
-const SHORTEST_MS: u64 = 200;
-const LONGEST_MS: u64 = 2500;
+/// Range of the duration of a fault, in milliseconds.
+///
+/// Several faults overlap in most runs.
+const MIN_DURATION_MS: u64 = 200;
+const MAX_DURATION_MS: u64 = 2500;
 
-/// One fault and what it strikes.
+/// Fault to inject, with its target.
+///
+/// A `usize` is the index of the affected instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// The node of an instance gets SIGKILL, and starts again afterwards.
+    /// Kills the node of an instance with SIGKILL and restarts it when the fault ends.
     Kill(usize),
-    /// The node of an instance gets SIGTERM, and starts again once it has ended.
+    /// Stops the node of an instance with SIGTERM and restarts it once it has exited.
     Stop(usize),
-    /// The node of an instance stands still.
+    /// Suspends the node process of an instance.
     Pause(usize),
-    /// The platform's log misbehaves.
+    /// Injects faults into the log of the platform.
     Log(LogFaults),
-    /// A backend server misbehaves.
+    /// Injects faults into the backend server of an instance.
     Backend(usize, BackendFaults),
-    /// The way from all nodes to the platform misbehaves.
-    Platform(Wire),
-    /// The way from callers to the node of an instance misbehaves.
-    Callers(usize, Wire),
+    /// Disturbs the connections from all nodes to the platform.
+    Platform(TrafficMode),
+    /// Disturbs the connections from callers to the node of an instance.
+    Callers(usize, TrafficMode),
 }
 
-/// A fault with its time.
+/// Fault with its start and end time.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
-    /// When it begins, in milliseconds from the start of the callers.
-    pub from_ms: u64,
-    /// When it ends.
-    pub until_ms: u64,
-    /// What fails.
+pub struct ScheduledFault {
+    /// Start of the fault, in milliseconds from the start of the load.
+    pub start_ms: u64,
+    /// End of the fault, in milliseconds from the start of the load.
+    pub end_ms: u64,
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// Draws the faults of the run `seed` on `instances` instances, in order of their beginning.
+/// Returns the fault schedule of `seed` for `instances` instances, ordered by start time.
 ///
-/// The same seed gives the same faults.
+/// The same arguments always give the same schedule.
 #[must_use]
-pub fn draw(seed: u64, instances: usize) -> Vec<Step> {
+pub fn draw_faults(seed: u64, instances: usize) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let count = FAULTS + rng.random_range(0..=MORE);
-    let mut steps: Vec<Step> = (0..count)
+    let count = MIN_FAULTS + rng.random_range(0..=MAX_EXTRA_FAULTS);
+    let mut schedule: Vec<ScheduledFault> = (0..count)
         .map(|_| {
-            let from_ms = rng.random_range(FROM_MS..UNTIL_MS);
-            let until_ms = from_ms + rng.random_range(SHORTEST_MS..LONGEST_MS);
-            Step {
-                from_ms,
-                until_ms,
-                fault: fault(&mut rng, instances),
+            let start_ms = rng.random_range(FIRST_START_MS..LAST_START_MS);
+            let end_ms = start_ms + rng.random_range(MIN_DURATION_MS..MAX_DURATION_MS);
+            ScheduledFault {
+                start_ms,
+                end_ms,
+                fault: draw_fault(&mut rng, instances),
             }
         })
         .collect();
-    steps.sort_by_key(|step| step.from_ms);
-    steps
+    schedule.sort_by_key(|scheduled| scheduled.start_ms);
+    schedule
 }
 
-fn fault(rng: &mut SmallRng, instances: usize) -> Fault {
+fn draw_fault(rng: &mut SmallRng, instances: usize) -> Fault {
     let instance = rng.random_range(0..instances);
     match rng.random_range(0..8) {
         0 => Fault::Kill(instance),
         1 => Fault::Stop(instance),
         2 => Fault::Pause(instance),
-        3 => Fault::Log(log(rng)),
-        4 => Fault::Backend(instance, backend(rng)),
-        5 => Fault::Platform(wire(rng)),
-        6 => Fault::Backend(instance, notice(rng)),
-        _ => Fault::Callers(instance, wire(rng)),
+        3 => Fault::Log(draw_log_faults(rng)),
+        4 => Fault::Backend(instance, draw_backend_faults(rng)),
+        5 => Fault::Platform(draw_traffic_mode(rng)),
+        6 => Fault::Backend(instance, draw_notice_faults(rng)),
+        _ => Fault::Callers(instance, draw_traffic_mode(rng)),
     }
 }
 
-fn log(rng: &mut SmallRng) -> LogFaults {
+fn draw_log_faults(rng: &mut SmallRng) -> LogFaults {
     let faults = LogFaults::new();
     match rng.random_range(0..4) {
         0 => faults.with_outage(Outage::Unavailable),
@@ -103,7 +107,7 @@
     }
 }
 
-fn backend(rng: &mut SmallRng) -> BackendFaults {
+fn draw_backend_faults(rng: &mut SmallRng) -> BackendFaults {
     let faults = BackendFaults::new();
     match rng.random_range(0..8) {
         0 => faults.with_slow_ms(rng.random_range(50..400)),
@@ -129,8 +133,8 @@
     }
 }
 
-/// Draws what a backend server says of itself in its answers.
-fn notice(rng: &mut SmallRng) -> BackendFaults {
+/// Draws a notice in the answers of a backend server: its departure or a rate.
+fn draw_notice_faults(rng: &mut SmallRng) -> BackendFaults {
     let faults = BackendFaults::new();
     match rng.random_range(0..3) {
         0 => faults.with_leaving(true),
@@ -138,13 +142,13 @@
     }
 }
 
-fn wire(rng: &mut SmallRng) -> Wire {
+fn draw_traffic_mode(rng: &mut SmallRng) -> TrafficMode {
     match rng.random_range(0..4) {
-        0 => Wire::Delayed {
+        0 => TrafficMode::Delayed {
             ms: rng.random_range(20..300),
         },
-        1 => Wire::Reset,
-        2 => Wire::Silent,
-        _ => Wire::OneWay,
+        1 => TrafficMode::Reset,
+        2 => TrafficMode::Silent,
+        _ => TrafficMode::OneWay,
     }
 }
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of one address, whose connections can be made to misbehave.
+//! Loopback TCP proxy that injects network faults into its connections.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -14,80 +14,82 @@
 
 use crate::Error;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 << 10;
+/// Maximum number of bytes forwarded at once.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Tells what becomes of the bytes on their way.
+/// Treatment of the bytes that a proxy receives.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Wire {
-    /// They are passed on.
+pub enum TrafficMode {
+    /// Bytes are forwarded at once.
     #[default]
     Open,
-    /// They are passed on later.
+    /// Bytes are forwarded after a delay.
     Delayed {
-        /// The delay of each chunk, in milliseconds.
+        /// Delay of each chunk, in milliseconds.
         ms: u64,
     },
-    /// Connections are reset, new ones too.
+    /// Existing and new connections are reset.
     Reset,
-    /// Nothing is passed on, in either direction.
+    /// Bytes are held back in both directions.
     Silent,
-    /// Nothing comes back.
+    /// Bytes from the target to the client are held back.
     OneWay,
 }
 
-/// Which way bytes go.
+/// Direction of a byte stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    Out,
-    Back,
+enum Direction {
+    ToTarget,
+    ToClient,
 }
 
-/// Passes connections on to a target that is named later.
+/// Proxy that forwards connections to a target set after it is bound.
 #[derive(Debug)]
 pub struct Proxy {
     addr: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
-    wire: Arc<watch::Sender<Wire>>,
+    mode: Arc<watch::Sender<TrafficMode>>,
     task: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Opens a proxy without a target; until it has one it closes what connects.
+    /// Binds a proxy without a target to a free port.
+    ///
+    /// Connections are closed until [`set_target`](Self::set_target) is called.
     ///
     /// # Errors
     ///
-    /// No port is free.
-    pub async fn open() -> Result<Self, Error> {
+    /// Returns [`Error::NoPort`] when no port is free.
+    pub async fn bind() -> Result<Self, Error> {
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-        let bound = TcpListener::bind((ip, 0)).await;
-        let listener = bound.map_err(|_| Error::NoPort(ip))?;
+        let bind_result = TcpListener::bind((ip, 0)).await;
+        let listener = bind_result.map_err(|_| Error::NoPort(ip))?;
         let addr = listener.local_addr().map_err(|_| Error::NoPort(ip))?;
         let target = watch::Sender::new(None);
-        let wire = Arc::new(watch::Sender::new(Wire::Open));
-        let task = tokio::spawn(accept(listener, target.subscribe(), Arc::clone(&wire)));
+        let mode = Arc::new(watch::Sender::new(TrafficMode::Open));
+        let task = tokio::spawn(accept(listener, target.subscribe(), Arc::clone(&mode)));
         Ok(Self {
             addr,
             target,
-            wire,
+            mode,
             task,
         })
     }
 
-    /// Returns the address to connect to.
+    /// Returns the address on which the proxy listens.
     #[must_use]
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Names where connections go.
-    pub fn aim(&self, target: SocketAddr) {
+    /// Sets the address to which new connections are forwarded.
+    pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Changes what becomes of all connections, open ones too.
-    pub fn set(&self, wire: Wire) {
-        self.wire.send_replace(wire);
+    /// Sets the traffic mode of all connections, including existing ones.
+    pub fn set_mode(&self, mode: TrafficMode) {
+        self.mode.send_replace(mode);
     }
 }
 
@@ -100,75 +102,85 @@
 async fn accept(
     listener: TcpListener,
     target: watch::Receiver<Option<SocketAddr>>,
-    wire: Arc<watch::Sender<Wire>>,
+    mode: Arc<watch::Sender<TrafficMode>>,
 ) {
-    while let Ok((socket, _)) = listener.accept().await {
+    while let Ok((client_socket, _)) = listener.accept().await {
         let target = *target.borrow();
-        let wire = wire.subscribe();
-        let open = *wire.borrow() != Wire::Reset;
-        if let (Some(target), true) = (target, open) {
+        let mode = mode.subscribe();
+        let accepts = *mode.borrow() != TrafficMode::Reset;
+        if let (Some(target), true) = (target, accepts) {
             tokio::spawn(async move {
-                // A connection that ends in either way has ended for both sides.
-                let _ended = carry(socket, target, wire).await;
+                // Both sockets are closed with or without an error.
+                let _result = relay(client_socket, target, mode).await;
             });
         }
     }
 }
 
-async fn carry(
-    socket: TcpStream,
+async fn relay(
+    client_socket: TcpStream,
     target: SocketAddr,
-    wire: watch::Receiver<Wire>,
+    mode: watch::Receiver<TrafficMode>,
 ) -> io::Result<()> {
-    let far = TcpStream::connect(target).await?;
-    socket.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    // What is dropped with unread bytes is reset.
-    let mut reset = wire.clone();
-    let (near_read, near_write) = socket.into_split();
-    let (far_read, far_write) = far.into_split();
+    let target_socket = TcpStream::connect(target).await?;
+    client_socket.set_nodelay(true)?;
+    target_socket.set_nodelay(true)?;
+    // Dropping a socket with unread bytes resets its connection.
+    let mut reset = mode.clone();
+    let (client_read, client_write) = client_socket.into_split();
+    let (target_read, target_write) = target_socket.into_split();
     tokio::select! {
-        ended = pass(near_read, far_write, wire.clone(), Way::Out) => ended,
-        ended = pass(far_read, near_write, wire, Way::Back) => ended,
-        () = is_reset(&mut reset) => Ok(()),
+        result = forward(client_read, target_write, mode.clone(), Direction::ToTarget) => result,
+        result = forward(target_read, client_write, mode, Direction::ToClient) => result,
+        () = wait_for_reset(&mut reset) => Ok(()),
     }
 }
 
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut wire: watch::Receiver<Wire>,
-    way: Way,
+    mut mode: watch::Receiver<TrafficMode>,
+    direction: Direction,
 ) -> io::Result<()> {
-    let mut bytes = vec![0; CHUNK];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let len = from.read(&mut bytes).await?;
+        let len = from.read(&mut buffer).await?;
         if len == 0 {
             return to.shutdown().await;
         }
-        let Some(delay) = delay(&mut wire, way).await else {
+        let Some(delay) = wait_for_delay(&mut mode, direction).await else {
             return Ok(());
         };
         sleep(delay).await;
-        to.write_all(&bytes[..len]).await?;
+        to.write_all(&buffer[..len]).await?;
     }
 }
 
-/// Waits until bytes may be passed on, and returns how late; `None` when the run is over.
-async fn delay(wire: &mut watch::Receiver<Wire>, way: Way) -> Option<Duration> {
-    let held = |wire: &Wire| match wire {
-        Wire::Silent => true,
-        Wire::OneWay => way == Way::Back,
-        Wire::Open | Wire::Delayed { .. } | Wire::Reset => false,
+/// Waits until bytes may be forwarded and returns the delay to apply.
+///
+/// Returns `None` once the proxy is dropped.
+async fn wait_for_delay(
+    mode: &mut watch::Receiver<TrafficMode>,
+    direction: Direction,
+) -> Option<Duration> {
+    let is_blocked = |mode: &TrafficMode| match mode {
+        TrafficMode::Silent => true,
+        TrafficMode::OneWay => direction == Direction::ToClient,
+        TrafficMode::Open | TrafficMode::Delayed { .. } | TrafficMode::Reset => false,
     };
-    let now = *wire.wait_for(|wire| !held(wire)).await.ok()?;
-    Some(match now {
-        Wire::Delayed { ms } => Duration::from_millis(ms),
-        Wire::Open | Wire::Reset | Wire::Silent | Wire::OneWay => Duration::ZERO,
+    let current = *mode.wait_for(|mode| !is_blocked(mode)).await.ok()?;
+    Some(match current {
+        TrafficMode::Delayed { ms } => Duration::from_millis(ms),
+        TrafficMode::Open | TrafficMode::Reset | TrafficMode::Silent | TrafficMode::OneWay => {
+            Duration::ZERO
+        }
     })
 }
 
-/// Waits until connections are to be reset, or the run is over.
-async fn is_reset(wire: &mut watch::Receiver<Wire>) {
-    let _over = wire.wait_for(|wire| *wire == Wire::Reset).await.is_err();
+/// Waits until the mode is [`TrafficMode::Reset`] or the proxy is dropped.
+async fn wait_for_reset(mode: &mut watch::Receiver<TrafficMode>) {
+    let _closed = mode
+        .wait_for(|mode| *mode == TrafficMode::Reset)
+        .await
+        .is_err();
 }
