--- a/xtask/src/check.rs
+++ b/xtask/src/check.rs
@@ -1,12 +1,12 @@
-//! Format, lint and docs.
+//! Format, lint and documentation checks.
 
 use crate::command::{cargo, succeeds};
 use crate::{Error, Verdict};
 
-/// Runs each check, also after an earlier one failed.
+/// Runs all checks, even after one has failed.
 pub(crate) fn run() -> Result<Verdict, Error> {
-    let format = step(&["fmt", "--all", "--check"])?;
-    let lint = step(&[
+    let format = run_step(&["fmt", "--all", "--check"])?;
+    let lint = run_step(&[
         "clippy",
         "--workspace",
         "--all-targets",
@@ -16,11 +16,11 @@
         "-D",
         "warnings",
     ])?;
-    let docs = step(&["doc", "--workspace", "--no-deps", "--locked", "--quiet"])?;
+    let docs = run_step(&["doc", "--workspace", "--no-deps", "--locked", "--quiet"])?;
     Ok(format & lint & docs)
 }
 
-fn step(args: &[&str]) -> Result<Verdict, Error> {
+fn run_step(args: &[&str]) -> Result<Verdict, Error> {
     let name = format!("cargo {}", args.join(" "));
     println!("==> {name}");
     let mut command = cargo(args);
--- a/xtask/src/command.rs
+++ b/xtask/src/command.rs
@@ -1,18 +1,18 @@
-//! Starts programs at the root of the repository and waits for them.
+//! Helpers that run programs from the root of the repository.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use crate::Error;
 
-/// Returns the root of the repository.
+/// Returns the path of the root of the repository.
 #[must_use]
 pub(crate) fn root() -> PathBuf {
-    let here = Path::new(env!("CARGO_MANIFEST_DIR"));
-    here.parent().unwrap_or(here).to_owned()
+    let manifest_dir = Path::new(env!("CARGO_MANIFEST_DIR"));
+    manifest_dir.parent().unwrap_or(manifest_dir).to_owned()
 }
 
-/// Returns `cargo ARGS`, to be run at the root of the repository.
+/// Creates a `cargo` command with `args` that runs in the root of the repository.
 pub(crate) fn cargo(args: &[&str]) -> Command {
     let program = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(program);
@@ -20,7 +20,7 @@
     command
 }
 
-/// Runs `command` to its end and returns whether it succeeded.
+/// Runs `command` to completion and returns `true` if it succeeded.
 pub(crate) fn succeeds(name: &str, command: &mut Command) -> Result<bool, Error> {
     command
         .status()
--- a/xtask/src/error.rs
+++ b/xtask/src/error.rs
@@ -1,4 +1,4 @@
-//! Reasons why a chore could not run to a verdict.
+//! Errors that prevent a task from running to completion.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -8,12 +8,12 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Tells why a chore could not run to a verdict.
+    /// Error that prevents a task from running to completion.
     #[derive(Debug)]
     pub enum Error {
-        /// The command line names something that does not exist.
-        Usage(word: String) {
-            display("`{}` is not understood; `cargo xtask help` lists the commands", word)
+        /// The command line contains an unknown or invalid argument.
+        Usage(argument: String) {
+            display("`{}` is not understood; `cargo xtask help` lists the commands", argument)
         }
         /// A program could not be started or waited for.
         Program(name: String, err: io::Error) {
@@ -25,47 +25,47 @@
             display("{}: {}", path.display(), err)
             source(err)
         }
-        /// A file of the repository does not hold what it must.
+        /// A file of the repository has invalid content.
         Content(path: PathBuf, cause: String) {
             display("{}: {}", path.display(), cause)
         }
-        /// A process ended by itself.
-        Ended(name: String, status: ExitStatus, last: String) {
-            display("{} ended by itself ({}); its last line: {}", name, status, last)
+        /// A process exited unexpectedly.
+        Ended(name: String, status: ExitStatus, last_line: String) {
+            display("{} exited unexpectedly ({}); last log line: {}", name, status, last_line)
         }
         /// No port is free.
         NoPort(ip: IpAddr) {
             display("no free port found at {}", ip)
         }
-        /// A process gave no useful answer.
+        /// An HTTP request to a process failed or returned an invalid response.
         Http(addr: SocketAddr, path: String, cause: String) {
             display("{}{}: {}", addr, path, cause)
         }
-        /// A condition did not come about in time.
-        Late(what: String, who: String) {
-            display("waited too long for {}; missing: {}", what, who)
+        /// A condition was not met before the time limit.
+        Late(what: String, pending: String) {
+            display("timed out waiting for {}; missing: {}", what, pending)
         }
         /// A command of the operators' tool failed.
         Tool(command: String, output: String) {
             display("`{}` failed: {}", command, output)
         }
-        /// The run was stopped from outside.
+        /// The run was interrupted by a signal.
         Interrupted {
-            display("stopped by a signal; every process of the run was ended")
+            display("interrupted by a signal; all processes of the run were stopped")
         }
-        /// A load could not be run.
+        /// The load generator failed.
         Load(err: swiftcart_standin::Error) {
             display("{}", err)
             source(err)
             from()
         }
-        /// The processes of a run use too much memory.
-        Memory(used: u64, most: u64) {
-            display("the run uses {} MiB, at most {} MiB are allowed; measure fewer nodes", used, most)
+        /// The processes of a run exceed the memory limit.
+        Memory(used: u64, limit: u64) {
+            display("the run uses {} MiB, at most {} MiB are allowed; measure fewer nodes", used, limit)
         }
         /// System packages are missing and this user cannot install them.
         Packages(missing: String) {
-            display("system packages are missing; type: sudo apt-get install {}", missing)
+            display("system packages are missing; run: sudo apt-get install {}", missing)
         }
     }
 }
--- a/xtask/src/events.rs
+++ b/xtask/src/events.rs
@@ -1,6 +1,6 @@
-//! Reads the lines of key=value pairs that nodes log.
+//! Parser for the key=value lines that nodes log.
 
-/// Returns when `version`, or a later one, first came into force, in Unix milliseconds.
+/// Returns the time at which `version` or a later version was first applied, in Unix milliseconds.
 ///
 /// # Examples
 ///
@@ -12,15 +12,17 @@
 pub fn applied_at(log: &str, version: u64) -> Option<u64> {
     log.lines()
         .filter(|line| field(line, "event") == Some("applied"))
-        .filter(|line| number(line, "version").is_some_and(|v| v >= version))
-        .find_map(|line| number(line, "at"))
+        .filter(|line| parse_number(line, "version").is_some_and(|v| v >= version))
+        .find_map(|line| parse_number(line, "at"))
 }
 
-fn number(line: &str, key: &str) -> Option<u64> {
+fn parse_number(line: &str, key: &str) -> Option<u64> {
     field(line, key)?.parse().ok()
 }
 
-/// Returns the value of `key`, without quotes; values with spaces are not needed here.
+/// Returns the value of `key` without quotes.
+///
+/// Values that contain spaces are not supported.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut pairs = line
         .split_whitespace()
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the chores of the repository: `cargo xtask help` lists them.
+//! Command line entry point of `cargo xtask`; `cargo xtask help` lists the subcommands.
 
 use std::process::ExitCode;
 
--- a/xtask/src/packages.rs
+++ b/xtask/src/packages.rs
@@ -1,4 +1,4 @@
-//! System packages that the build and the models need.
+//! Installation of the system packages required by the build and the models.
 
 use std::env;
 use std::path::Path;
@@ -7,35 +7,36 @@
 use crate::Error;
 use crate::command::succeeds;
 
-/// Programs that must be found, and the Debian package that brings each.
-const NEEDED: [(&str, &str); 3] = [("cc", "gcc"), ("make", "make"), ("spin", "spin")];
+/// Required programs, each with the Debian package that provides it.
+const REQUIRED: [(&str, &str); 3] = [("cc", "gcc"), ("make", "make"), ("spin", "spin")];
 
-/// Installs missing packages when this user may, and else says what to type.
+/// Installs missing packages if the user is root.
 ///
 /// # Errors
 ///
-/// Returns [`Error::Packages`] when something is missing and stays missing.
+/// Returns [`Error::Packages`] with the missing packages when the user is not root or the
+/// installation failed.
 pub(crate) fn ensure() -> Result<(), Error> {
-    let missing = missing();
-    if missing.is_empty() {
+    let missing_packages = missing_packages();
+    if missing_packages.is_empty() {
         return Ok(());
     }
-    let list = missing.join(" ");
+    let packages = missing_packages.join(" ");
     if !is_root() {
-        return Err(Error::Packages(list));
+        return Err(Error::Packages(packages));
     }
-    println!("==> apt-get install {list}");
-    apt(&["update", "-q"])?;
+    println!("==> apt-get install {packages}");
+    run_apt(&["update", "-q"])?;
     let install = ["install", "-q", "-y", "--no-install-recommends"];
-    apt(&[&install[..], &missing].concat())?;
-    match self::missing().is_empty() {
+    run_apt(&[&install[..], &missing_packages].concat())?;
+    match self::missing_packages().is_empty() {
         true => Ok(()),
-        false => Err(Error::Packages(list)),
+        false => Err(Error::Packages(packages)),
     }
 }
 
-fn missing() -> Vec<&'static str> {
-    NEEDED
+fn missing_packages() -> Vec<&'static str> {
+    REQUIRED
         .iter()
         .filter(|(program, _)| !is_on_path(program))
         .map(|&(_, package)| package)
@@ -54,11 +55,11 @@
         .is_ok_and(|out| out.stdout.trim_ascii() == b"0")
 }
 
-fn apt(args: &[&str]) -> Result<(), Error> {
+fn run_apt(args: &[&str]) -> Result<(), Error> {
     let mut command = Command::new("apt-get");
     command.args(args).env("DEBIAN_FRONTEND", "noninteractive");
     match succeeds("apt-get", &mut command)? {
         true => Ok(()),
-        false => Err(Error::Packages(missing().join(" "))),
+        false => Err(Error::Packages(missing_packages().join(" "))),
     }
 }
--- a/xtask/src/verdict.rs
+++ b/xtask/src/verdict.rs
@@ -1,14 +1,14 @@
-//! The end of a chore that ran.
+//! Verdict of a completed task.
 
 use std::ops::BitAnd;
 use std::process::ExitCode;
 
-/// Tells whether everything that a chore looked at holds.
+/// Result of the checks of a completed task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// Everything holds.
+    /// All checks passed.
     Passed,
-    /// Something does not hold; the chore has printed what.
+    /// At least one check failed; the task has printed which.
     Failed,
 }
 
--- a/xtask/tests/child.rs
+++ b/xtask/tests/child.rs
@@ -1,4 +1,4 @@
-//! Processes of a run end with it, and addresses are free.
+//! Child processes, port selection and mesh placement.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -13,37 +13,37 @@
     command
 }
 
-fn wait(mut condition: impl FnMut() -> bool) {
+fn wait_until(mut condition: impl FnMut() -> bool) {
     while !condition() {
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
 
 #[rstest]
-#[case::obedient("echo ready; exec sleep 1000")]
-#[case::deaf("trap '' TERM; echo ready; while :; do sleep 0.05; done")]
-#[case::ended("echo ready")]
-fn a_dropped_child_has_ended(#[case] script: &str) {
+#[case::exits_on_sigterm("echo ready; exec sleep 1000")]
+#[case::ignores_sigterm("trap '' TERM; echo ready; while :; do sleep 0.05; done")]
+#[case::already_exited("echo ready")]
+fn dropping_a_child_ends_its_process(#[case] script: &str) {
     let dir = tempfile::tempdir().unwrap();
     let child = Child::spawn("child", dir.path(), shell(script)).unwrap();
-    wait(|| child.log().unwrap() == "ready\n");
+    wait_until(|| child.log().unwrap() == "ready\n");
     let proc = format!("/proc/{}", child.id());
     drop(child);
     assert!(!Path::new(&proc).exists());
 }
 
 #[rstest]
-fn a_child_that_ends_by_itself_is_told_with_its_last_line() {
+fn check_reports_an_unexpected_exit_with_the_last_log_line() {
     let dir = tempfile::tempdir().unwrap();
     let mut child = Child::spawn("child", dir.path(), shell("echo a; echo b >&2; exit 3")).unwrap();
-    wait(|| child.ended().unwrap().is_some());
-    let told = child.check().map_err(|e| e.to_string());
-    let expected = "child ended by itself (exit status: 3); its last line: b";
-    assert_eq!(told, Err(expected.to_owned()));
+    wait_until(|| child.ended().unwrap().is_some());
+    let checked = child.check().map_err(|e| e.to_string());
+    let expected = "child exited unexpectedly (exit status: 3); last log line: b";
+    assert_eq!(checked, Err(expected.to_owned()));
 }
 
 #[rstest]
-fn addresses_are_handed_out_once() {
+fn ports_are_picked_only_once() {
     let mut ports = Ports::new();
     let picked: BTreeSet<_> = (0..200)
         .map(|i| ports.pick(Ports::instance(i % 2)).unwrap())
@@ -54,7 +54,7 @@
 #[rstest]
 #[case::lima(Mesh::LIMA, 13)]
 #[case::bogota(Mesh::BOGOTA, 13)]
-fn a_mesh_has_an_instance_for_each_backend_server(#[case] mesh: Mesh, #[case] instances: usize) {
+fn mesh_places_an_instance_for_each_backend_server(#[case] mesh: Mesh, #[case] instances: usize) {
     assert_eq!(mesh.placement().count(), instances);
     assert_eq!(mesh.name.parse::<Mesh>().ok(), Some(mesh));
 }
--- a/xtask/tests/pages.rs
+++ b/xtask/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The page for operators names everything that a node can tell them.
+//! Completeness of the operations page: outcome reasons, metrics and log events of a node.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -13,23 +13,23 @@
         .expect("the root")
 }
 
-fn sources(dir: &Path) -> Vec<PathBuf> {
+fn source_files(dir: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(dir)
         .expect("a folder")
         .map(|e| e.expect("an entry").path());
     let (dirs, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
-    let below = dirs.iter().flat_map(|dir| sources(dir));
-    below.chain(files).collect()
+    let nested = dirs.iter().flat_map(|dir| source_files(dir));
+    nested.chain(files).collect()
 }
 
-fn read(path: &str) -> String {
+fn read_file(path: &str) -> String {
     fs::read_to_string(root().join(path)).expect("a file")
 }
 
-/// Returns the quoted words of `text` that satisfy `wanted`.
-fn quoted(text: &str, wanted: impl Fn(&str) -> bool) -> BTreeSet<String> {
+/// Returns the quoted words of `text` that satisfy `predicate`.
+fn quoted_words(text: &str, predicate: impl Fn(&str) -> bool) -> BTreeSet<String> {
     let words = text.split('"').map(str::to_owned);
-    words.filter(|word| wanted(word)).collect()
+    words.filter(|word| predicate(word)).collect()
 }
 
 fn reasons() -> BTreeSet<String> {
@@ -38,22 +38,24 @@
 }
 
 fn metrics() -> BTreeSet<String> {
-    let plain = |word: &str| word.chars().all(|c| c.is_ascii_lowercase() || c == '_');
-    let named = |word: &str| word.starts_with("swiftcart_") && plain(word);
-    let files = sources(&root().join("crates/swiftcart-node/src"));
+    let is_lowercase = |word: &str| word.chars().all(|c| c.is_ascii_lowercase() || c == '_');
+    let is_metric = |word: &str| word.starts_with("swiftcart_") && is_lowercase(word);
+    let files = source_files(&root().join("crates/swiftcart-node/src"));
     let texts = files
         .iter()
         .map(|path| fs::read_to_string(path).expect("a file"));
-    texts.flat_map(|text| quoted(&text, named)).collect()
+    texts
+        .flat_map(|text| quoted_words(&text, is_metric))
+        .collect()
 }
 
 fn events() -> BTreeSet<String> {
-    let text = read("crates/swiftcart-node/src/logging.rs");
+    let text = read_file("crates/swiftcart-node/src/logging.rs");
     let arms = text
         .lines()
         .filter(|line| line.trim().starts_with("Self::"));
     let arms: Vec<_> = arms.filter(|line| line.contains("=> \"")).collect();
-    quoted(&arms.join("\n"), |word| {
+    quoted_words(&arms.join("\n"), |word| {
         !word.contains("Self") && word != ","
     })
 }
@@ -62,13 +64,13 @@
 #[case::reasons(reasons(), 20)]
 #[case::metrics(metrics(), 10)]
 #[case::events(events(), 10)]
-fn the_page_for_operators_names_each(#[case] names: BTreeSet<String>, #[case] least: usize) {
-    let page = read("docs/OPERATIONS.md");
-    let row = |name: &String| format!("\n| `{name}` |");
+fn operations_page_lists_every_name(#[case] names: BTreeSet<String>, #[case] min_count: usize) {
+    let page = read_file("docs/OPERATIONS.md");
+    let table_row = |name: &String| format!("\n| `{name}` |");
     let missing: Vec<_> = names
         .iter()
-        .filter(|name| !page.contains(&row(name)))
+        .filter(|name| !page.contains(&table_row(name)))
         .collect();
     assert_eq!(missing, Vec::<&String>::new());
-    assert!(names.len() >= least, "only {names:?} were found");
+    assert!(names.len() >= min_count, "only {names:?} were found");
 }
