--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -20,7 +20,7 @@
 /// Treatment of the bytes that a proxy receives.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficMode {
-    /// Bytes are forwarded at once.
+    /// Bytes are forwarded without delay.
     #[default]
     Open,
     /// Bytes are forwarded after a delay.
@@ -110,7 +110,7 @@
         let accepts = *mode.borrow() != TrafficMode::Reset;
         if let (Some(target), true) = (target, accepts) {
             tokio::spawn(async move {
-                // Both sockets are closed with or without an error.
+                // An error needs no handling: both sockets are closed in any case.
                 let _result = relay(client_socket, target, mode).await;
             });
         }
--- a/xtask/src/soak/run.rs
+++ b/xtask/src/soak/run.rs
@@ -28,7 +28,7 @@
 const RECOVERY_RATE: f64 = 100.0;
 const RECOVERY_LOAD_MS: u64 = 1500;
 /// Maximum time for the mesh to start, and for all nodes to be ready after the faults.
-const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time within which ejected backend servers are readmitted.
 const READMISSION_WAIT: Duration = Duration::from_secs(4);
 /// Interval between two polls of the nodes' state.
@@ -94,7 +94,7 @@
         publishing::first(mesh, &mut fleet, &mut figures).await?;
         for kind in [Kind::Read, Kind::Keyed, Kind::Upload] {
             fleet
-                .wait_served(mesh.service(kind).prefix, STARTUP_TIMEOUT)
+                .wait_served(mesh.service(kind).prefix, READY_TIMEOUT)
                 .await?;
         }
         let mut caller_proxies = Vec::new();
@@ -237,14 +237,14 @@
 
     /// Waits until every node is running and ready, and checks that all requests are served.
     async fn check_recovery(&mut self, mesh: &Mesh, seed: u64) -> Result<(), Error> {
-        let end = Instant::now() + STARTUP_TIMEOUT;
+        let end = Instant::now() + READY_TIMEOUT;
         for i in 0..self.fleet.instances.len() {
             while self.is_stopping(i).await && Instant::now() < end {
                 sleep(POLL_INTERVAL).await;
             }
             self.restart_node(i)?;
         }
-        self.fleet.wait_ready(STARTUP_TIMEOUT).await?;
+        self.fleet.wait_ready(READY_TIMEOUT).await?;
         sleep(READMISSION_WAIT).await;
         let targets = self.caller_proxies.iter().map(Proxy::addr).collect();
         // Request ids are derived from the seed; another seed avoids reusing the earlier ids.
