--- a/xtask/src/bench/convergence/followers.rs
+++ b/xtask/src/bench/convergence/followers.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::SERVICES;
-use crate::fleet::{Fleet, Role, program};
+use crate::fleet::{Fleet, Role, release_binary};
 use crate::{Child, Error, Usage, applied_at};
 
 const DOMAINS: [&str; 3] = ["norte", "sur", "callao"];
@@ -193,5 +193,5 @@
 }
 
 fn own_program() -> PathBuf {
-    std::env::current_exe().unwrap_or_else(|_| program("xtask"))
+    std::env::current_exe().unwrap_or_else(|_| release_binary("xtask"))
 }
--- a/xtask/src/child.rs
+++ b/xtask/src/child.rs
@@ -1,4 +1,4 @@
-//! Child processes that end with their handle, on every way out.
+//! Child processes that are terminated when their handle is dropped.
 
 use std::fs::{self, File};
 use std::io::Read;
@@ -8,13 +8,13 @@
 
 use crate::Error;
 
-/// Time that a child has between SIGTERM and SIGKILL when its handle is dropped.
-const GRACE: Duration = Duration::from_millis(1500);
+/// Time between SIGTERM and SIGKILL when the handle of a child is dropped.
+const GRACE_PERIOD: Duration = Duration::from_millis(1500);
 
-/// Gap between two looks at a child that is ending.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between two checks of whether a child has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Runs one process; dropping it ends the process by its id.
+/// Handle of a child process; dropping the handle terminates the process by its id.
 #[derive(Debug)]
 pub struct Child {
     name: String,
@@ -23,11 +23,12 @@
 }
 
 impl Child {
-    /// Starts `command`; both of its outputs are appended to `dir/NAME.log`.
+    /// Starts `command` and appends its stdout and stderr to `dir/NAME.log`.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the log file or the process cannot be made.
+    /// Returns an [`Error`] when the log file cannot be opened or the process cannot be
+    /// started.
     pub fn spawn(name: &str, dir: &Path, mut command: Command) -> Result<Self, Error> {
         let log = dir.join(format!("{name}.log"));
         let file = |e| Error::File(log.clone(), e);
@@ -47,13 +48,13 @@
         })
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Returns what the process has written.
+    /// Returns the output of the process so far.
     ///
     /// # Errors
     ///
@@ -66,7 +67,7 @@
         Ok(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    /// Returns how the process ended, or `None` while it runs.
+    /// Returns the exit status of the process, or `None` while the process runs.
     ///
     /// # Errors
     ///
@@ -76,11 +77,11 @@
         ended.map_err(|e| Error::Program(self.name.clone(), e))
     }
 
-    /// Fails when the process has ended, with the last line that it wrote.
+    /// Fails with the last line of the output when the process has exited.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Ended`] when the process has ended.
+    /// Returns [`Error::Ended`] when the process has exited.
     pub fn check(&mut self) -> Result<(), Error> {
         match self.ended()? {
             None => Ok(()),
@@ -92,9 +93,9 @@
         }
     }
 
-    /// Ends the process at once (SIGKILL).
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
-        // Both fail only when the process has ended already.
+        // Both calls fail only when the process has exited already.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
@@ -108,37 +109,37 @@
         self.signal(libc::SIGTERM)
     }
 
-    /// Makes it stand still until [`resume`](Self::resume).
+    /// Suspends the process (SIGSTOP) until [`resume`](Self::resume).
     ///
     /// # Errors
     ///
-    /// Its state cannot be asked.
+    /// Returns an [`Error`] when the status of the process cannot be read.
     pub fn pause(&mut self) -> Result<(), Error> {
         self.signal(libc::SIGSTOP)
     }
 
-    /// Lets it go on.
+    /// Resumes the suspended process (SIGCONT).
     ///
     /// # Errors
     ///
-    /// Its state cannot be asked.
+    /// Returns an [`Error`] when the status of the process cannot be read.
     pub fn resume(&mut self) -> Result<(), Error> {
         self.signal(libc::SIGCONT)
     }
 
     fn signal(&mut self, signal: libc::c_int) -> Result<(), Error> {
         if self.ended()?.is_none() {
-            send(self.process.id(), signal);
+            send_signal(self.process.id(), signal);
         }
         Ok(())
     }
 
-    fn wait_until(&mut self, end: Instant) -> bool {
+    fn wait_for_exit(&mut self, end: Instant) -> bool {
         while Instant::now() < end {
             if !matches!(self.process.try_wait(), Ok(None)) {
                 return true;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
@@ -147,35 +148,35 @@
 impl Drop for Child {
     fn drop(&mut self) {
         if matches!(self.process.try_wait(), Ok(None)) {
-            // A process that stands still ends only once it goes on.
-            send(self.process.id(), libc::SIGTERM);
-            send(self.process.id(), libc::SIGCONT);
+            // A suspended process handles SIGTERM only after SIGCONT.
+            send_signal(self.process.id(), libc::SIGTERM);
+            send_signal(self.process.id(), libc::SIGCONT);
         }
-        if !self.wait_until(Instant::now() + GRACE) {
+        if !self.wait_for_exit(Instant::now() + GRACE_PERIOD) {
             self.kill();
         }
     }
 }
 
-/// Ends many children together, so that their grace times run side by side.
-pub fn end_all(children: &mut [&mut Child]) {
+/// Terminates many children concurrently, so that their grace periods overlap.
+pub fn terminate_all(children: &mut [&mut Child]) {
     for child in children.iter_mut() {
-        // A child that cannot be asked is killed below.
+        // A child whose status cannot be read is killed below.
         let _ = child.terminate();
     }
-    let end = Instant::now() + GRACE;
+    let end = Instant::now() + GRACE_PERIOD;
     for child in children.iter_mut() {
-        if !child.wait_until(end) {
+        if !child.wait_for_exit(end) {
             child.kill();
         }
     }
 }
 
-/// Empties `dir`, or makes it.
+/// Creates `dir` as an empty directory and removes its previous contents.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the folder cannot be made.
+/// Returns an [`Error`] when the directory cannot be removed or created.
 pub fn fresh_dir(dir: &Path) -> Result<(), Error> {
     if dir.exists() {
         fs::remove_dir_all(dir).map_err(|e| Error::File(dir.to_owned(), e))?;
@@ -183,14 +184,17 @@
     fs::create_dir_all(dir).map_err(|e| Error::File(dir.to_owned(), e))
 }
 
-/// Sends SIGTERM to a child that has not been waited for.
-#[expect(unsafe_code, reason = "the standard library can only send SIGKILL")]
-fn send(id: u32, signal: libc::c_int) {
+/// Sends `signal` to a child that has not been waited for.
+#[expect(
+    unsafe_code,
+    reason = "the standard library can only send_signal SIGKILL"
+)]
+fn send_signal(id: u32, signal: libc::c_int) {
     let Ok(id) = libc::pid_t::try_from(id) else {
         return;
     };
-    // SAFETY: `kill` takes no pointers. The id is that of a child of ours which was
-    // not waited for, so it cannot have been given to another process.
+    // SAFETY: `kill` takes no pointers. The id belongs to a child of this process that has not
+    // been waited for, so the system cannot have reused the id for another process.
     unsafe {
         libc::kill(id, signal);
     }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -35,8 +35,8 @@
         seconds(start.elapsed())
     );
     ended?;
-    for promise in figures.broken() {
-        println!("a promise broke: {promise}");
+    for guarantee in figures.broken() {
+        println!("a promise broke: {guarantee}");
     }
     Ok(figures.verdict())
 }
--- a/xtask/src/demo/audit.rs
+++ b/xtask/src/demo/audit.rs
@@ -31,7 +31,7 @@
     let told = || reports.iter().flat_map(|report| &report.told);
     let count = |verdict: &str| told().filter(|t| t.verdict == verdict).count();
     let wrong = count("foreign") + count("corrupt");
-    figures.promise(
+    figures.guarantee(
         "a caller gets the whole answer to its own request",
         format!(
             "{} whole, {wrong} foreign or corrupt, {} broken off",
@@ -47,7 +47,7 @@
         println!("    told not-run, but it ran: {id}");
     }
     let false_claims = false_ids.len();
-    figures.promise(
+    figures.guarantee(
         "told not-run, it did not run",
         format!("{} told, {false_claims} of them ran", claims().count()),
         false_claims == 0,
@@ -59,7 +59,7 @@
             .is_some_and(|k| ledger.by_key(k).finished == 0)
     });
     let missing = missing.count();
-    figures.promise(
+    figures.guarantee(
         "keyed work that was confirmed did run",
         format!("{missing} did not"),
         missing == 0,
@@ -75,7 +75,7 @@
         .map(|told| runs(&told.id))
         .max()
         .unwrap_or(0);
-    figures.promise(
+    figures.guarantee(
         "work without a key runs at most once",
         format!(
             "{} requests, at most {most} execution of one",
@@ -93,12 +93,12 @@
         beyond += stats.beyond_rate;
         late += stats.after_leaving;
     }
-    figures.promise(
+    figures.guarantee(
         "backend servers get no more than the rate that they name",
         format!("{beyond} requests beyond it"),
         beyond == 0,
     );
-    figures.promise(
+    figures.guarantee(
         "backend servers that leave get nothing new",
         format!("{late} requests afterwards"),
         late == 0,
@@ -114,7 +114,7 @@
         .map(|runs| runs.started)
         .max()
         .unwrap_or(0);
-    figures.promise(
+    figures.guarantee(
         "keyed work runs at most once",
         format!(
             "{} keys, at most {most} execution of one",
@@ -127,7 +127,7 @@
 /// Checks that every call of an undisturbed load had a good answer.
 pub(crate) fn check_all_good(figures: &mut Figures, what: &str, report: &Report) {
     let lost = report.offered - report.good;
-    figures.promise(
+    figures.guarantee(
         what,
         format!("{lost} of {} without", report.offered),
         lost == 0,
--- a/xtask/src/demo/failures.rs
+++ b/xtask/src/demo/failures.rs
@@ -51,7 +51,7 @@
         reports.iter().any(same)
     });
     let settled = settled.count();
-    figures.promise(
+    figures.guarantee(
         "every key that is sent again gets a good answer through some node",
         format!("{settled} of {}", first.len()),
         settled == first.len(),
@@ -89,7 +89,7 @@
     audit::check(figures, &[&report], &ledger);
     audit::check_once(figures, &report, &ledger);
     let told = report.outcomes.get("not-run").copied().unwrap_or(0);
-    figures.promise(
+    figures.guarantee(
         "too much work is refused, not left to wait",
         format!("{told} told not-run"),
         told > 0,
@@ -147,7 +147,7 @@
     figures.calls("keyed calls under failures, sent again", &keyed);
     let stats = audit::stats(fleet, drained).await?;
     let last = Duration::from_millis(stats.drain_last_ms);
-    figures.promise(
+    figures.guarantee(
         format!("a backend server that drains gets no new work after {DRAIN:?}"),
         format!(
             "last new work {} ms after the drain, {} in all",
@@ -182,7 +182,7 @@
         sleep(Duration::from_millis(5)).await;
     }
     let took = start.elapsed();
-    figures.promise(
+    figures.guarantee(
         "a backend server that starts again under its id is known for a new one at once",
         format!("{} ms after its start", took.as_millis()),
         took < PAUSE,
--- a/xtask/src/demo/figures.rs
+++ b/xtask/src/demo/figures.rs
@@ -40,7 +40,7 @@
     }
 
     /// Adds a promise with what was measured of it.
-    pub(crate) fn promise(
+    pub(crate) fn guarantee(
         &mut self,
         text: impl Into<String>,
         measured: impl fmt::Display,
--- a/xtask/src/demo/publishing.rs
+++ b/xtask/src/demo/publishing.rs
@@ -64,7 +64,7 @@
     let share = new as f64 / (old + new).max(1) as f64;
     figures.calls("calls during the change", &report);
     audit::check_all_good(figures, "a change of weights loses no call", &report);
-    figures.promise(
+    figures.guarantee(
         format!("the next release gets its share of {SHARE}"),
         format!("{share:.3} of {} reads", old + new),
         (share - SHARE).abs() < TOLERANCE,
@@ -95,7 +95,7 @@
         Publish::Rejected(text) => Some(text.contains(row)),
         Publish::Accepted(_) => None,
     });
-    figures.promise(
+    figures.guarantee(
         "of two operators who edit the same row, one is accepted and the other is told the row",
         format!("{accepted} accepted, row told: {}", told.unwrap_or(false)),
         accepted == 1 && told == Some(true),
@@ -127,7 +127,7 @@
     let last = fleet.applied(version, CONVERGENCE).await?;
     let last = last.saturating_sub(at);
     let time = Duration::from_millis(last);
-    figures.promise(
+    figures.guarantee(
         format!(
             "{what} is in force on every node within {}",
             seconds(CONVERGENCE)
--- a/xtask/src/demo/restart.rs
+++ b/xtask/src/demo/restart.rs
@@ -74,7 +74,7 @@
         "a planned stop loses no call through other nodes",
         &around,
     );
-    figures.promise(
+    figures.guarantee(
         "a node that starts again is not below its version",
         format!("version {after} after version {before}"),
         after >= before,
--- a/xtask/src/demo/tool.rs
+++ b/xtask/src/demo/tool.rs
@@ -7,7 +7,7 @@
 use swiftcart_core::Version;
 
 use crate::Error;
-use crate::fleet::{Fleet, program};
+use crate::fleet::{Fleet, release_binary};
 
 /// The tool's exit code for a publish that lost to another.
 const REJECTED: i32 = 3;
@@ -93,7 +93,7 @@
         options: &[String],
         sheet: &Path,
     ) -> Result<Ended, Error> {
-        let mut command = Command::new(program("swiftcart"));
+        let mut command = Command::new(release_binary("swiftcart"));
         command.args(words).arg(sheet).args(options);
         let failed = |e| Error::Program("swiftcart".to_owned(), e);
         let output = tokio::task::spawn_blocking(move || command.output()).await;
--- a/xtask/src/fleet.rs
+++ b/xtask/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A mesh of real processes on this machine: the platform's log, nodes, backend servers.
+//! Local mesh of processes: the stand-in platform, nodes and stand-in backend servers.
 
 mod instance;
 mod wait;
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use swiftcart_core::Version;
 
-use crate::child::{Child, end_all, fresh_dir};
+use crate::child::{Child, fresh_dir, terminate_all};
 use crate::command::root;
 use crate::http::Client;
 use crate::ports::Ports;
@@ -21,23 +21,23 @@
 
 pub use instance::{Addresses, Instance, Role};
 
-/// What a node says of itself.
+/// State that a node reports on its admin address.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct State {
-    /// The version in force.
+    /// Version of the configuration in force.
     pub version: Version,
-    /// Whether it takes callers' requests.
+    /// `true` if the node accepts callers' requests.
     pub ready: bool,
 }
 
-/// Holds the processes of one run; dropping it ends them all.
+/// Processes of one run; dropping the fleet terminates all of them.
 #[derive(Debug)]
 pub struct Fleet {
-    /// Talks to every process of the run.
+    /// HTTP client for all processes of the run.
     pub client: Client,
-    /// Where the platform's log is.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Every instance, in the order of their numbers.
+    /// All instances, in the order of their numbers.
     pub instances: Vec<Instance>,
     log: Child,
     dir: PathBuf,
@@ -45,10 +45,10 @@
 }
 
 impl Fleet {
-    /// Starts a platform with `platform` as its settings and an instance for each role.
+    /// Starts a platform with the settings `platform`, and one instance for each role.
     ///
-    /// Settings and logs lie in `target/xtask/NAME` afterwards. `settings` is merged
-    /// into the settings of each node.
+    /// The settings and logs are written to `target/xtask/NAME`. `settings` is merged into the
+    /// settings of each node.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
         fresh_dir(&dir)?;
         let mut ports = Ports::new();
         let addr = ports.pick(Ports::instance(0))?;
-        let mut command = Command::new(program("swiftcart-standin-platform"));
+        let mut command = Command::new(release_binary("swiftcart-standin-platform"));
         command.args(["--addr", &addr.to_string()]);
         command.args(["--settings", &platform.to_string()]);
         let log = Child::spawn("platform", &dir, command)?;
@@ -89,13 +89,13 @@
         Ok(fleet)
     }
 
-    /// Returns the folder of the run's settings and logs.
+    /// Returns the directory of the run's settings and logs.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// Returns the platform's process.
+    /// Returns the process of the platform.
     #[must_use]
     pub const fn log(&self) -> &Child {
         &self.log
@@ -108,7 +108,7 @@
     /// Returns an [`Error`] when the process cannot be started.
     pub fn start_node(&mut self, i: usize) -> Result<(), Error> {
         let instance = &mut self.instances[i];
-        let mut command = Command::new(program("swiftcartd"));
+        let mut command = Command::new(release_binary("swiftcartd"));
         let file = self.dir.join(format!("{}.json", instance.name));
         command.arg("--settings").arg(file);
         let name = format!("{}-node", instance.name);
@@ -127,7 +127,7 @@
             return Ok(());
         };
         settings["admin"] = json!(instance.addrs.admin);
-        let mut command = Command::new(program("swiftcart-standin-backend"));
+        let mut command = Command::new(release_binary("swiftcart-standin-backend"));
         command.args(["--addr", &instance.addrs.backend.to_string()]);
         command.args(["--settings", &settings.to_string()]);
         let name = format!("{}-backend", instance.name);
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Kills the node and the backend server of an instance at once.
+    /// Kills the node and the backend server of an instance with SIGKILL.
     pub fn kill(&mut self, i: usize) {
         let instance = &mut self.instances[i];
         let children = [instance.node.take(), instance.backend.take()];
@@ -145,38 +145,38 @@
             .for_each(|mut child| child.kill());
     }
 
-    /// Returns what a node says of itself.
+    /// Returns the state that the node of an instance reports.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the node does not answer.
+    /// Returns an [`Error`] when the node does not respond.
     pub async fn state(&self, i: usize) -> Result<State, Error> {
         let admin = self.instances[i].addrs.admin;
         self.client.json(admin, "/v1/state").await
     }
 
-    /// Returns the metrics of a node.
+    /// Returns the metrics of the node of an instance.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the node does not answer.
+    /// Returns an [`Error`] when the node does not respond.
     pub async fn scrape(&self, i: usize) -> Result<Scrape, Error> {
         let admin = self.instances[i].addrs.admin;
         let text = self.client.text(admin, "/metrics").await?;
         Ok(Scrape::parse(&text))
     }
 
-    /// Returns what the node of an instance has used, if it runs.
+    /// Returns the resource usage of the node of an instance, or `None` if the node is stopped.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] when the system does not tell.
+    /// Returns an [`Error`] when the usage cannot be read from `/proc`.
     pub fn usage(&self, i: usize) -> Result<Option<Usage>, Error> {
         let node = self.instances[i].node.as_ref();
         node.map(|node| Usage::of(node.id())).transpose()
     }
 
-    /// Returns the numbers of the instances whose node is meant to run.
+    /// Returns the indices of the instances whose node was started and not stopped.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
         let numbers = 0..self.instances.len();
@@ -193,15 +193,15 @@
         fs::write(&file, text).map_err(|e| Error::File(file, e))
     }
 
-    /// Returns the first two nodes of each failure domain.
+    /// Returns the gossip addresses of the first two nodes of each failure domain.
     fn seeds(&self) -> Vec<SocketAddr> {
-        let before = |i: usize| {
+        let preceding_in_domain = |i: usize| {
             let domain = &self.instances[i].role.domain;
             let earlier = self.instances[..i].iter();
             earlier.filter(|other| other.role.domain == *domain).count()
         };
         let numbers = 0..self.instances.len();
-        let seeds = numbers.filter(|&i| before(i) < 2);
+        let seeds = numbers.filter(|&i| preceding_in_domain(i) < 2);
         seeds.map(|i| self.instances[i].addrs.gossip).collect()
     }
 }
@@ -216,12 +216,12 @@
             .flatten()
             .collect();
         let mut all: Vec<_> = owned.iter_mut().chain([&mut self.log]).collect();
-        end_all(&mut all);
+        terminate_all(&mut all);
     }
 }
 
-/// Returns the path of a release build of `name`.
+/// Returns the path of the release build of the binary `name`.
 #[must_use]
-pub fn program(name: &str) -> PathBuf {
+pub fn release_binary(name: &str) -> PathBuf {
     root().join("target/release").join(name)
 }
--- a/xtask/src/fleet/instance.rs
+++ b/xtask/src/fleet/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its addresses, its settings and its processes.
+//! Instance of a fleet: its addresses, settings and processes.
 
 use std::net::SocketAddr;
 
@@ -6,52 +6,52 @@
 
 use crate::{Child, Error, Ports};
 
-/// The key of the datagrams' tags in every run; nothing outside this machine sees it.
+/// Key that authenticates gossip datagrams in every run; it never leaves the local system.
 const MESH_KEY: &str = "a key for runs on one machine only";
 
-/// Where a node listens, and the backend server beside it.
+/// Listen addresses of a node and of the backend server beside the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub calls: SocketAddr,
-    /// Requests from other nodes.
+    /// Address for requests from other nodes.
     pub peer: SocketAddr,
-    /// Operators.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// Membership datagrams.
+    /// UDP address for membership gossip.
     pub gossip: SocketAddr,
-    /// State pulls.
+    /// Address for anti-entropy state pulls.
     pub sync: SocketAddr,
-    /// The backend server.
+    /// Address of the backend server.
     pub backend: SocketAddr,
 }
 
-/// What an instance is to be.
+/// Configuration of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Role {
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: String,
-    /// The settings of its backend server, or `None` for a node alone.
+    /// Settings of the backend server, or `None` for a node without a backend server.
     pub backend: Option<Value>,
 }
 
-/// One instance: a node and the backend server beside it.
+/// Node and the backend server beside the node.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name in logs and reports.
+    /// Name in logs and reports.
     pub name: String,
-    /// What it was started as.
+    /// Configuration that the instance was created from.
     pub role: Role,
-    /// Where it listens.
+    /// Listen addresses.
     pub addrs: Addresses,
-    /// The node's process while it is meant to run.
+    /// Process of the node, or `None` if the node is stopped.
     pub node: Option<Child>,
-    /// The backend server's process while it is meant to run.
+    /// Process of the backend server, or `None` if the backend server is stopped.
     pub backend: Option<Child>,
 }
 
 impl Instance {
-    /// Creates an instance with free addresses; it runs no process yet.
+    /// Creates an instance with free addresses, without starting its processes.
     pub(super) fn new(ports: &mut Ports, number: usize, role: Role) -> Result<Self, Error> {
         let ip = Ports::instance(number);
         let addrs = Addresses {
@@ -73,12 +73,12 @@
         })
     }
 
-    /// Returns the settings of its node, with `more` laid over them.
+    /// Returns the settings of the node, with `overrides` merged into them.
     pub(super) fn settings(
         &self,
         seeds: &[SocketAddr],
         platform: SocketAddr,
-        more: &Value,
+        overrides: &Value,
     ) -> Value {
         let addrs = &self.addrs;
         let mut settings = json!({
@@ -94,7 +94,7 @@
             "platform": { "addr": platform },
             "mesh_key": MESH_KEY,
         });
-        merge(&mut settings, more);
+        merge(&mut settings, overrides);
         settings
     }
 }
--- a/xtask/src/fleet/wait.rs
+++ b/xtask/src/fleet/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions that a whole fleet has to meet.
+//! Waiting for conditions that all running nodes of a fleet must meet.
 
 use std::time::{Duration, Instant};
 
@@ -8,18 +8,18 @@
 use super::{Fleet, State};
 use crate::{Child, Error, applied_at};
 
-/// Gap between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest time for the platform to listen.
-const LISTEN: Duration = Duration::from_secs(10);
+/// Longest time until the platform accepts requests.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Fleet {
-    /// Waits until every running node takes callers' requests.
+    /// Waits until every running node accepts callers' requests.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Late`] when it takes longer than `limit`.
+    /// Returns [`Error::Late`] when the condition is not met within `limit`.
     pub async fn wait_ready(&mut self, limit: Duration) -> Result<Duration, Error> {
         self.wait("every node to be ready", limit, |state| state.ready)
             .await
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Late`] when it takes longer than `limit`.
+    /// Returns [`Error::Late`] when the condition is not met within `limit`.
     pub async fn wait_version(
         &mut self,
         version: Version,
@@ -40,22 +40,28 @@
             .await
     }
 
-    /// Waits until every running node has logged `version`, and returns when the last one
-    /// did, in Unix milliseconds.
+    /// Waits until every running node has logged that `version` is applied.
+    ///
+    /// Returns the time of the last such log line, in Unix milliseconds.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Late`] when it takes longer than `limit`.
+    /// Returns [`Error::Late`] when the condition is not met within `limit`.
     pub async fn applied(&self, version: Version, limit: Duration) -> Result<u64, Error> {
         let start = Instant::now();
         let mut last = 0;
         for i in self.running() {
-            last = last.max(self.applied_by(i, version, start + limit).await?);
+            last = last.max(self.wait_applied_by(i, version, start + limit).await?);
         }
         Ok(last)
     }
 
-    async fn applied_by(&self, i: usize, version: Version, end: Instant) -> Result<u64, Error> {
+    async fn wait_applied_by(
+        &self,
+        i: usize,
+        version: Version,
+        end: Instant,
+    ) -> Result<u64, Error> {
         let instance = &self.instances[i];
         let late = || Error::Late(format!("version {version}"), instance.name.clone());
         let node = instance.node.as_ref().ok_or_else(late)?;
@@ -63,7 +69,7 @@
             match applied_at(&node.log()?, version.0) {
                 Some(at) => return Ok(at),
                 None if Instant::now() > end => return Err(late()),
-                None => sleep(LOOK).await,
+                None => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -72,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Late`] when it takes longer than `limit`.
+    /// Returns [`Error::Late`] when the condition is not met within `limit`.
     pub async fn wait_served(&self, path: &str, limit: Duration) -> Result<Duration, Error> {
         let start = Instant::now();
         for i in self.running() {
@@ -84,24 +90,24 @@
                         instance.name.clone(),
                     ));
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(start.elapsed())
     }
 
-    /// Waits until each running node's state satisfies `holds`.
+    /// Waits until the state of every running node satisfies `condition`.
     async fn wait(
         &mut self,
         what: &str,
         limit: Duration,
-        holds: impl Fn(&State) -> bool,
+        condition: impl Fn(&State) -> bool,
     ) -> Result<Duration, Error> {
         let start = Instant::now();
         let mut left = self.running();
         while let Some(&i) = left.last() {
             match self.state(i).await {
-                Ok(state) if holds(&state) => {
+                Ok(state) if condition(&state) => {
                     left.pop();
                     continue;
                 }
@@ -112,7 +118,7 @@
                 }
                 _ => self.check(i)?,
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(start.elapsed())
     }
@@ -126,18 +132,18 @@
             .is_err()
         {
             self.log.check()?;
-            if start.elapsed() > LISTEN {
+            if start.elapsed() > LISTEN_TIMEOUT {
                 return Err(Error::Late(
                     "the platform to listen".to_owned(),
                     "platform".to_owned(),
                 ));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Fails when a process of an instance has ended by itself.
+    /// Fails when a process of an instance has exited without being stopped.
     fn check(&mut self, i: usize) -> Result<(), Error> {
         let instance = &mut self.instances[i];
         let children = [&mut instance.node, &mut instance.backend];
--- a/xtask/src/http.rs
+++ b/xtask/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for admin addresses and stand-ins.
+//! HTTP client for the nodes' admin addresses and the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 
 use crate::Error;
 
-/// Longest time for one request.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of a request, including its response body.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Talks to one process at a time; a clone shares its connections.
+/// HTTP client; clones share a connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Client {
-    /// Creates a client without connections.
+    /// Creates a client with an empty connection pool.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Http`] when there is no answer or no success.
+    /// Returns [`Error::Http`] when there is no response or its status is not a success.
     pub async fn text(&self, addr: SocketAddr, path: &str) -> Result<String, Error> {
         let (status, body) = self.call(Method::GET, addr, path, Bytes::new()).await?;
         match status.is_success() {
@@ -48,11 +48,12 @@
         }
     }
 
-    /// Returns the body of a successful `GET` as a value.
+    /// Returns the JSON body of a successful `GET`, deserialized.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Http`] when there is no such answer.
+    /// Returns [`Error::Http`] when there is no successful response or its body cannot be
+    /// deserialized.
     pub async fn json<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -63,11 +64,11 @@
         serde_json::from_str(&text).map_err(failed)
     }
 
-    /// Sends `value` by `PUT`.
+    /// Sends `value` as JSON in a `PUT` request.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Http`] when there is no answer or no success.
+    /// Returns [`Error::Http`] when there is no response or its status is not a success.
     pub async fn put<T: Serialize>(
         &self,
         addr: SocketAddr,
@@ -97,16 +98,18 @@
             .header("content-type", "application/json")
             .body(Full::new(body))
             .map_err(|e| failed(e.to_string()))?;
-        let answer = async {
-            let answer = self.inner.request(request).await;
-            let answer = answer.map_err(|e| failed(e.to_string()))?;
-            let status = answer.status();
-            let body = answer.into_body().collect().await;
+        let response = async {
+            let response = self.inner.request(request).await;
+            let response = response.map_err(|e| failed(e.to_string()))?;
+            let status = response.status();
+            let body = response.into_body().collect().await;
             let body = body.map_err(|e| failed(e.to_string()))?;
             Ok((status, body.to_bytes()))
         };
-        let late = |_| failed(format!("no answer within {TIMEOUT:?}"));
-        timeout(TIMEOUT, answer).await.map_err(late)?
+        let timed_out = |_| failed(format!("no response within {REQUEST_TIMEOUT:?}"));
+        timeout(REQUEST_TIMEOUT, response)
+            .await
+            .map_err(timed_out)?
     }
 }
 
--- a/xtask/src/live.rs
+++ b/xtask/src/live.rs
@@ -1,4 +1,6 @@
-//! Chores that run processes of the product: built for release, ended on every way out.
+//! Runner for chores that start Swiftcart processes from a release build.
+//!
+//! The processes are terminated when the chore ends, fails or is interrupted.
 
 use std::env;
 use std::future::Future;
@@ -10,15 +12,16 @@
 
 use crate::bench::Poller;
 use crate::command::{cargo, succeeds};
-use crate::fleet::program;
+use crate::fleet::release_binary;
 use crate::{Error, Verdict, packages};
 
-/// Set in the environment of the release build of this program.
-const BUILT: &str = "SWIFTCART_XTASK_BUILT";
+/// Environment variable that marks the release build of this program.
+const RELEASE_BUILD_VAR: &str = "SWIFTCART_XTASK_BUILT";
 
-/// Builds everything for release, then runs `chore` in the release build of this program.
+/// Builds the workspace for release, then runs `chore` in the release build of this program.
 ///
-/// The callers' load runs inside this program: a debug build would be measured itself.
+/// This program generates the callers' load. In a debug build, the measurements would include
+/// its own overhead.
 pub(crate) fn run<F>(
     args: &[String],
     chore: impl FnOnce(Vec<String>) -> F,
@@ -26,13 +29,13 @@
 where
     F: Future<Output = Result<Verdict, Error>>,
 {
-    match env::var_os(BUILT) {
-        Some(_) => runtime()?.block_on(until_signal(chore(args.to_vec()))),
+    match env::var_os(RELEASE_BUILD_VAR) {
+        Some(_) => runtime()?.block_on(run_until_signal(chore(args.to_vec()))),
         None => build_and_run(),
     }
 }
 
-/// Polls the platform until the process is ended: the bench's baseline.
+/// Polls the platform until the process is terminated, as the baseline of the benchmark.
 pub(crate) fn poll(args: &[String]) -> Result<Verdict, Error> {
     let poller = Poller::parse(args)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -57,9 +60,11 @@
     if !succeeds("cargo build", &mut cargo(&build))? {
         return Ok(Verdict::Failed);
     }
-    let mut command = Command::new(program("xtask"));
-    command.args(env::args_os().skip(1)).env(BUILT, "1");
-    // In place of this process, so that a signal reaches the one that holds the children.
+    let mut command = Command::new(release_binary("xtask"));
+    command
+        .args(env::args_os().skip(1))
+        .env(RELEASE_BUILD_VAR, "1");
+    // Replaces this process, so that signals reach the process that owns the children.
     Err(Error::Program("xtask".to_owned(), command.exec()))
 }
 
@@ -67,15 +72,17 @@
     Runtime::new().map_err(|e| Error::Program("xtask".to_owned(), e))
 }
 
-/// Runs `chore` until it ends or a signal asks to stop; what it holds is dropped either way.
-async fn until_signal(
+/// Runs `chore` until it completes or SIGINT or SIGTERM arrives.
+///
+/// The future is dropped in both cases, which terminates its child processes.
+async fn run_until_signal(
     chore: impl Future<Output = Result<Verdict, Error>>,
 ) -> Result<Verdict, Error> {
     let listen = |kind| signal(kind).map_err(|e| Error::Program("xtask".to_owned(), e));
     let mut interrupt = listen(SignalKind::interrupt())?;
     let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
-        ended = chore => ended,
+        result = chore => result,
         _ = interrupt.recv() => Err(Error::Interrupted),
         _ = terminate.recv() => Err(Error::Interrupted),
     }
--- a/xtask/src/mesh.rs
+++ b/xtask/src/mesh.rs
@@ -1,55 +1,55 @@
-//! The meshes of the users' brief: services, backend servers and failure domains.
+//! Example meshes for the demo and the soak: services, backend servers and failure domains.
 
 use std::str::FromStr;
 
 use crate::Error;
 
-/// One service of a mesh.
+/// Service of a mesh.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Service {
-    /// Its name in the table.
+    /// Name in the configuration table.
     pub name: &'static str,
-    /// The path prefix that leads to it.
+    /// Path prefix that is routed to the service.
     pub prefix: &'static str,
-    /// Backend servers.
+    /// Number of backend servers.
     pub backends: usize,
-    /// What its callers do.
+    /// Kind of requests that the service takes.
     pub kind: Kind,
 }
 
-/// Tells what the callers of a service do.
+/// Kind of requests that callers send to a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Reads that may be repeated.
+    /// Idempotent reads.
     Read,
-    /// The same reads, by the service's next release.
+    /// The same reads, served by the next release of the service.
     Next,
-    /// Work that must run at most once, under an idempotency key.
+    /// Requests with an idempotency key, executed at most once.
     Keyed,
-    /// Long bodies that have to arrive whole.
+    /// Uploads with long bodies that must arrive complete.
     Upload,
 }
 
-/// One mesh at the sizes of the brief.
+/// Mesh of a fixed size, with its services and the limits of its backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Mesh {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Its failure domains.
+    /// Failure domains.
     pub domains: [&'static str; 3],
-    /// Its services.
+    /// Services of the mesh.
     ///
-    /// The reads' backend servers are split between the present and the next release,
-    /// which share a path prefix, so that weights have something to weigh.
+    /// The backend servers for reads are split between the current and the next release. Both
+    /// releases share a path prefix, so that route weights split the reads between them.
     pub services: [Service; 4],
-    /// Requests that a backend server runs at once.
+    /// Maximum number of requests that a backend server executes concurrently.
     pub slots: u32,
-    /// Connections that a backend server accepts.
+    /// Maximum number of connections that a backend server accepts.
     pub connections: u32,
 }
 
 impl Mesh {
-    /// Pitch care in Lima.
+    /// Sports-pitch maintenance service in Lima.
     pub const LIMA: Self = Self {
         name: "lima",
         domains: ["norte", "sur", "callao"],
@@ -63,7 +63,7 @@
         connections: 130,
     };
 
-    /// Checks of originality in Bogotá.
+    /// Plagiarism detection service in Bogotá.
     pub const BOGOTA: Self = Self {
         name: "bogota",
         domains: ["norte", "centro", "sur"],
@@ -83,13 +83,13 @@
         self.services.iter().map(|service| service.backends).sum()
     }
 
-    /// Returns the service of each instance, in order.
+    /// Returns the service of each instance, in the order of the instances.
     pub fn placement(&self) -> impl Iterator<Item = &Service> {
         let copies = |service| std::iter::repeat_n(service, Service::count(service));
         self.services.iter().flat_map(copies)
     }
 
-    /// Returns the numbers of the instances of the service of this kind.
+    /// Returns the indices of the instances that run the service of this kind.
     #[must_use]
     pub fn numbers(&self, kind: Kind) -> Vec<usize> {
         let placed = self.placement().enumerate();
--- a/xtask/src/ports.rs
+++ b/xtask/src/ports.rs
@@ -1,4 +1,4 @@
-//! Addresses for processes that have to know each other before they start.
+//! Allocation of loopback addresses before the processes that listen on them start.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -9,51 +9,55 @@
 
 use crate::Error;
 
-/// Ports below the range that the system hands out, so that nothing takes one that
-/// was found free before its process binds it.
-const RANGE: std::ops::Range<u16> = 12_000..32_000;
+/// Ports to allocate from.
+///
+/// The range lies below the system's ephemeral ports. Otherwise the system could assign a port
+/// that was found free before its process binds it.
+const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 
-/// The first and the number of the last octets of instances; more instances share.
-const FIRST: usize = 10;
-const INSTANCES: usize = 240;
+/// Lowest last octet of an instance's IP address, and the number of octets in use.
+///
+/// Instances beyond this number share the addresses of earlier instances.
+const FIRST_OCTET: usize = 10;
+const OCTET_COUNT: usize = 240;
 
-/// Tries to find one free port before giving up.
-const TRIES: u32 = 1000;
+/// Maximum number of ports to try for one address.
+const MAX_ATTEMPTS: u32 = 1000;
 
-/// Hands out addresses of the loopback network that are free for TCP and UDP.
+/// Allocator of loopback addresses that are free for TCP and UDP.
 #[derive(Debug)]
 pub struct Ports {
     rng: SmallRng,
-    given: BTreeSet<SocketAddr>,
+    allocated: BTreeSet<SocketAddr>,
 }
 
 impl Ports {
-    /// Creates a source of addresses that starts at a random port.
+    /// Creates an allocator with a random seed.
     #[must_use]
     pub fn new() -> Self {
         Self {
             rng: SmallRng::from_os_rng(),
-            given: BTreeSet::new(),
+            allocated: BTreeSet::new(),
         }
     }
 
     /// Returns the IP address of the instance with this number.
     #[must_use]
     pub fn instance(number: usize) -> IpAddr {
-        let last = FIRST + number % INSTANCES;
+        let last = FIRST_OCTET + number % OCTET_COUNT;
         // `last` is at most 249.
         IpAddr::V4(Ipv4Addr::new(127, 0, 0, last as u8))
     }
 
-    /// Returns an address at `ip` whose port is free and was not given before.
+    /// Returns an address at `ip` whose port is free and was not allocated before.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NoPort`] when no port is found.
+    /// Returns [`Error::NoPort`] when no free port is found.
     pub fn pick(&mut self, ip: IpAddr) -> Result<SocketAddr, Error> {
-        for _ in 0..TRIES {
-            let addr = SocketAddr::new(ip, self.rng.random_range(RANGE));
-            if is_free(addr) && self.given.insert(addr) {
+        for _ in 0..MAX_ATTEMPTS {
+            let addr = SocketAddr::new(ip, self.rng.random_range(PORT_RANGE));
+            if is_free(addr) && self.allocated.insert(addr) {
                 return Ok(addr);
             }
         }
--- a/xtask/src/proc.rs
+++ b/xtask/src/proc.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory of a process, from `/proc`.
+//! Resource usage of processes and properties of the system, from `/proc`.
 
 use std::fs;
 use std::path::PathBuf;
@@ -6,24 +6,26 @@
 
 use crate::Error;
 
-/// Clock ticks a second; the kernel reports this value to every program on Linux.
-const TICKS: u64 = 100;
+/// Clock ticks per second.
+///
+/// Linux reports this value to every program.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// What one process has used.
+/// Resource usage of a process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time, user and system together.
+    /// Sum of user and system CPU time.
     pub cpu: Duration,
-    /// Resident memory now, in KiB.
+    /// Current resident memory, in KiB.
     pub rss_kib: u64,
-    /// The most resident memory so far, in KiB.
+    /// Peak resident memory, in KiB.
     pub peak_kib: u64,
-    /// Threads now.
+    /// Current number of threads.
     pub threads: u64,
 }
 
 impl Usage {
-    /// Reads what the process `id` has used.
+    /// Reads the resource usage of the process `id`.
     ///
     /// # Errors
     ///
@@ -34,17 +36,17 @@
         Ok(Self::parse(&stat, &status))
     }
 
-    /// Reads the texts of `/proc/PID/stat` and `/proc/PID/status`.
+    /// Parses the contents of `/proc/PID/stat` and `/proc/PID/status`.
     #[must_use]
     pub fn parse(stat: &str, status: &str) -> Self {
-        // The second field is the program's name in parentheses and may hold spaces.
+        // The second field is the program's name in parentheses and may contain spaces.
         let rest = stat.rsplit_once(") ").map_or("", |(_, rest)| rest);
         let fields: Vec<_> = rest.split(' ').collect();
         let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<u64>().ok());
-        // Fields 14 and 15 of the whole line, which counts from 1.
+        // `utime` and `stime`: fields 14 and 15 of the whole line, counted from 1.
         let used = ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0);
         Self {
-            cpu: Duration::from_millis(used * 1000 / TICKS),
+            cpu: Duration::from_millis(used * 1000 / TICKS_PER_SECOND),
             rss_kib: number(status, "VmRSS:"),
             peak_kib: number(status, "VmHWM:"),
             threads: number(status, "Threads:"),
@@ -52,20 +54,20 @@
     }
 }
 
-/// Returns the memory of the machine in KiB.
+/// Returns the total memory of the system, in KiB.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the system does not tell.
+/// Returns an [`Error`] when the file in `/proc` cannot be read.
 pub fn memory_kib() -> Result<u64, Error> {
     Ok(number(&read("/proc/meminfo".into())?, "MemTotal:"))
 }
 
-/// Returns the name of the machine's processor.
+/// Returns the model name of the processor.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the system does not tell.
+/// Returns an [`Error`] when the file in `/proc` cannot be read.
 pub fn processor() -> Result<String, Error> {
     let text = read("/proc/cpuinfo".into())?;
     let name = text
@@ -75,11 +77,11 @@
     Ok(name.map_or_else(|| "unknown".to_owned(), |(_, name)| name.to_owned()))
 }
 
-/// Returns the load average of the last minute: what else the machine was doing.
+/// Returns the system's load average over the last minute.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] when the system does not tell.
+/// Returns an [`Error`] when the file in `/proc` cannot be read.
 pub fn load_average() -> Result<f64, Error> {
     let text = read("/proc/loadavg".into())?;
     let first = text.split(' ').next().and_then(|f| f.parse().ok());
--- a/xtask/src/prom.rs
+++ b/xtask/src/prom.rs
@@ -1,13 +1,13 @@
-//! Reads metrics in Prometheus' text format.
+//! Parser for metrics in the Prometheus text format.
 
 use std::collections::BTreeMap;
 
-/// Holds the samples of one scrape, by name and labels as printed.
+/// Samples of one scrape, keyed by metric name and labels as they appear in the text.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct Scrape(BTreeMap<String, f64>);
 
 impl Scrape {
-    /// Reads every sample of `text`; lines that are no samples are skipped.
+    /// Parses the samples of `text` and skips all other lines.
     ///
     /// # Examples
     ///
@@ -17,7 +17,7 @@
     /// ```
     #[must_use]
     pub fn parse(text: &str) -> Self {
-        Self(text.lines().filter_map(sample).collect())
+        Self(text.lines().filter_map(parse_sample).collect())
     }
 
     /// Returns the sum of the samples of `name` that have all of `labels`.
@@ -28,20 +28,22 @@
         wanted.map(|(_, value)| value).sum()
     }
 
-    /// Returns the values of `label` over the samples of `name`, with their sums.
+    /// Returns the sum of the samples of `name` for each value of `label`.
     #[must_use]
-    pub fn by(&self, name: &str, label: &str) -> BTreeMap<String, f64> {
+    pub fn sums_by_label(&self, name: &str, label: &str) -> BTreeMap<String, f64> {
         let mut sums = BTreeMap::new();
         for (series, value) in &self.0 {
-            if let (true, Some(at)) = (matches(series, name, &[]), value_of(series, label)) {
-                *sums.entry(at.to_owned()).or_default() += value;
+            if let (true, Some(label_value)) =
+                (matches(series, name, &[]), label_value_of(series, label))
+            {
+                *sums.entry(label_value.to_owned()).or_default() += value;
             }
         }
         sums
     }
 }
 
-fn sample(line: &str) -> Option<(String, f64)> {
+fn parse_sample(line: &str) -> Option<(String, f64)> {
     let line = line.trim();
     if line.starts_with('#') {
         return None;
@@ -51,12 +53,12 @@
 }
 
 fn matches(series: &str, name: &str, labels: &[(&str, &str)]) -> bool {
-    let own = series.split_once('{').map_or(series, |(own, _)| own);
-    let has = |(label, value): &(&str, &str)| value_of(series, label) == Some(*value);
-    own == name && labels.iter().all(has)
+    let metric = series.split_once('{').map_or(series, |(metric, _)| metric);
+    let has = |(label, value): &(&str, &str)| label_value_of(series, label) == Some(*value);
+    metric == name && labels.iter().all(has)
 }
 
-fn value_of<'a>(series: &'a str, label: &str) -> Option<&'a str> {
+fn label_value_of<'a>(series: &'a str, label: &str) -> Option<&'a str> {
     let (_, labels) = series.split_once('{')?;
     let labels = labels.trim_end_matches('}');
     labels.split("\",").find_map(|pair| {
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -78,8 +78,8 @@
             ended.calls,
             start.elapsed().as_secs_f64()
         );
-        for promise in &ended.broken {
-            println!("    {promise}");
+        for guarantee in &ended.broken {
+            println!("    {guarantee}");
         }
         if !ended.broken.is_empty() {
             println!(
--- a/xtask/src/soak/run.rs
+++ b/xtask/src/soak/run.rs
@@ -220,8 +220,8 @@
             let seen = self.seen.entry(i).or_insert(state.version);
             if state.version < *seen {
                 let told = format!("{} after {seen} on instance {i}", state.version);
-                let promise = "no node moves back to an older version";
-                self.figures.promise(promise, told, false);
+                let guarantee = "no node moves back to an older version";
+                self.figures.guarantee(guarantee, told, false);
             }
             *seen = state.version.max(*seen);
         }
