--- a/xtask/src/child.rs
+++ b/xtask/src/child.rs
@@ -185,10 +185,7 @@
 }
 
 /// Sends `signal` to a child that has not been waited for.
-#[expect(
-    unsafe_code,
-    reason = "the standard library can only send_signal SIGKILL"
-)]
+#[expect(unsafe_code, reason = "the standard library can only send SIGKILL")]
 fn send_signal(id: u32, signal: libc::c_int) {
     let Ok(id) = libc::pid_t::try_from(id) else {
         return;
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,4 +1,4 @@
-//! A whole mesh on this machine: real processes, a real table, load and failures.
+//! Demo of a complete mesh on one system: separate processes, a published table, load and failures.
 
 mod added;
 pub(crate) mod audit;
@@ -18,73 +18,78 @@
 use crate::{Error, Kind, Mesh, Verdict};
 use figures::{Figures, seconds};
 
-/// Longest time for the mesh to start.
-const START: Duration = Duration::from_secs(30);
+/// Longest time until the mesh is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs the demo on the mesh that `args` name and prints its report.
+/// Runs the demo on the mesh that `args` select and prints a report.
 pub(crate) async fn run(args: Vec<String>) -> Result<Verdict, Error> {
-    let Some(mesh) = mesh(&args)? else {
+    let Some(mesh) = parse_args(&args)? else {
         return Ok(Verdict::Passed);
     };
     let start = Instant::now();
     let mut figures = Figures::default();
-    let ended = show(&mesh, &mut figures).await;
+    let result = run_sections(&mesh, &mut figures).await;
     println!(
-        "\nReport of the demo, mesh {}: {}{figures}",
+        "\nDemo report for mesh {}: {}{figures}",
         mesh.name,
         seconds(start.elapsed())
     );
-    ended?;
+    result?;
     for guarantee in figures.broken() {
-        println!("a promise broke: {guarantee}");
+        println!("guarantee violated: {guarantee}");
     }
     Ok(figures.verdict())
 }
 
-async fn show(mesh: &Mesh, figures: &mut Figures) -> Result<(), Error> {
+async fn run_sections(mesh: &Mesh, figures: &mut Figures) -> Result<(), Error> {
     figures.section("Start");
     let start = Instant::now();
     let name = format!("demo-{}", mesh.name);
     let mut fleet = Fleet::start(&name, &json!({}), calls::roles(mesh), json!({})).await?;
     println!("    settings and logs: {}", fleet.dir().display());
-    fleet.wait_ready(START).await?;
-    figures.figure("nodes and backend servers", mesh.instances().to_string());
+    fleet.wait_ready(START_TIMEOUT).await?;
+    figures.figure(
+        "number of nodes, each with a backend server",
+        mesh.instances().to_string(),
+    );
     figures.figure("time until all nodes were ready", seconds(start.elapsed()));
 
     figures.section("Publish");
     publishing::first(mesh, &mut fleet, figures).await?;
     for kind in [Kind::Read, Kind::Keyed, Kind::Upload] {
-        fleet.wait_served(mesh.service(kind).prefix, START).await?;
+        fleet
+            .wait_served(mesh.service(kind).prefix, START_TIMEOUT)
+            .await?;
     }
 
-    figures.section("Calls of every kind");
-    calm(mesh, &fleet, figures).await?;
+    figures.section("Calls of every kind without failures");
+    steady_state(mesh, &fleet, figures).await?;
 
     figures.section("New weights under load");
-    publishing::weights(mesh, &mut fleet, figures).await?;
-    publishing::race(mesh, &mut fleet, figures).await?;
+    publishing::change_weights(mesh, &mut fleet, figures).await?;
+    publishing::conflict(mesh, &mut fleet, figures).await?;
 
-    figures.section("Keys sent again through other nodes");
-    failures::keys(mesh, &fleet, figures).await?;
+    figures.section("Idempotency keys repeated through other nodes");
+    failures::repeated_keys(mesh, &fleet, figures).await?;
 
-    figures.section("Too much work");
+    figures.section("Overload");
     failures::overload(mesh, &fleet, figures).await?;
 
     figures.section("Failures under load");
-    failures::failures(mesh, &mut fleet, figures).await?;
-    failures::recover(mesh, &mut fleet, figures).await?;
+    failures::inject(mesh, &mut fleet, figures).await?;
+    failures::restart_killed(mesh, &mut fleet, figures).await?;
 
-    figures.section("Planned stop under load");
-    restart::restart(mesh, &mut fleet, figures).await?;
+    figures.section("Graceful restart under load");
+    restart::graceful_restart(mesh, &mut fleet, figures).await?;
 
     drop(fleet);
 
     figures.section("Added latency");
-    added::latency(figures).await
+    added::added_latency(figures).await
 }
 
-/// Calls of every kind while nothing fails.
-async fn calm(mesh: &Mesh, fleet: &Fleet, figures: &mut Figures) -> Result<(), Error> {
+/// Measures calls of every kind while no failure is injected.
+async fn steady_state(mesh: &Mesh, fleet: &Fleet, figures: &mut Figures) -> Result<(), Error> {
     let all = calls::targets(fleet, &fleet.running());
     for (kind, rate, seed) in [
         (Kind::Read, 300.0, 0x11),
@@ -97,7 +102,7 @@
         figures.calls(&format!("calls of {service}"), &report);
         audit::check_all_good(
             figures,
-            &format!("calls of {service} get good answers"),
+            &format!("all calls of {service} get valid responses"),
             &report,
         );
         audit::check(figures, &[&report], &audit::ledger(fleet).await?);
@@ -105,24 +110,19 @@
     Ok(())
 }
 
-fn mesh(args: &[String]) -> Result<Option<Mesh>, Error> {
+fn parse_args(args: &[String]) -> Result<Option<Mesh>, Error> {
     let mut options = Options::new();
     options
-        .optopt(
-            "",
-            "mesh",
-            "the mesh to run: lima (default) or bogota",
-            "NAME",
-        )
+        .optopt("", "mesh", "mesh to run: lima (default) or bogota", "NAME")
         .optflag("h", "help", "print this text");
-    let found = options
+    let matches = options
         .parse(args)
         .map_err(|e| Error::Usage(e.to_string()))?;
-    if found.opt_present("help") {
+    if matches.opt_present("help") {
         println!("{}", options.usage("Usage: cargo xtask demo [--mesh NAME]"));
         return Ok(None);
     }
-    match (&found.free[..], found.opt_str("mesh")) {
+    match (&matches.free[..], matches.opt_str("mesh")) {
         ([], None) => Ok(Some(Mesh::LIMA)),
         ([], Some(name)) => name.parse().map(Some),
         ([word, ..], _) => Err(Error::Usage(word.clone())),
--- a/xtask/src/demo/audit.rs
+++ b/xtask/src/demo/audit.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the backend servers counted.
+//! Comparison of the responses that callers got with the executions that backend servers counted.
 
 use swiftcart_standin::{BackendStats, Ledger, Report};
 
@@ -6,10 +6,10 @@
 use crate::Error;
 use crate::fleet::Fleet;
 
-/// Requests that broke a promise which are named one by one.
-const SHOWN: usize = 8;
+/// Maximum number of requests to list for one violated guarantee.
+const MAX_LISTED: usize = 8;
 
-/// Returns the executions of all backend servers that run.
+/// Returns the executions that all running backend servers recorded.
 pub(crate) async fn ledger(fleet: &Fleet) -> Result<Ledger, Error> {
     let mut sum = Ledger::default();
     for instance in fleet.instances.iter().filter(|i| i.backend.is_some()) {
@@ -20,36 +20,42 @@
     Ok(sum)
 }
 
-/// Returns what a backend server has counted.
+/// Returns the counters of a backend server.
 pub(crate) async fn stats(fleet: &Fleet, i: usize) -> Result<BackendStats, Error> {
     let addr = fleet.instances[i].addrs.backend;
     fleet.client.json(addr, "/standin/stats").await
 }
 
-/// Checks the promises that hold for every call, whatever fails meanwhile.
+/// Checks the guarantees that hold for every call under all failures.
 pub(crate) fn check(figures: &mut Figures, reports: &[&Report], ledger: &Ledger) {
     let told = || reports.iter().flat_map(|report| &report.told);
     let count = |verdict: &str| told().filter(|t| t.verdict == verdict).count();
     let wrong = count("foreign") + count("corrupt");
     figures.guarantee(
-        "a caller gets the whole answer to its own request",
+        "a caller gets the complete response to its own request",
         format!(
-            "{} whole, {wrong} foreign or corrupt, {} broken off",
+            "{} complete, {wrong} foreign or corrupt, {} truncated",
             count("good"),
             count("broken")
         ),
         wrong == 0,
     );
     let claims = || told().filter(|t| t.outcome.as_deref() == Some("not-run") && t.retries == 0);
-    let ran = |id: &str| ledger.callers.get(id).is_some_and(|runs| runs.started > 0);
-    let false_ids: Vec<_> = claims().filter(|t| ran(&t.id)).map(|t| &t.id).collect();
-    for id in false_ids.iter().take(SHOWN) {
-        println!("    told not-run, but it ran: {id}");
+    let was_executed = |id: &str| ledger.callers.get(id).is_some_and(|runs| runs.started > 0);
+    let false_ids: Vec<_> = claims()
+        .filter(|t| was_executed(&t.id))
+        .map(|t| &t.id)
+        .collect();
+    for id in false_ids.iter().take(MAX_LISTED) {
+        println!("    reported as not-run, but executed: {id}");
     }
     let false_claims = false_ids.len();
     figures.guarantee(
-        "told not-run, it did not run",
-        format!("{} told, {false_claims} of them ran", claims().count()),
+        "a request reported as not-run was not executed",
+        format!(
+            "{} reported, {false_claims} of them executed",
+            claims().count()
+        ),
         false_claims == 0,
     );
     let missing = told().filter(|t| t.verdict == "good" && t.key.is_some());
@@ -60,8 +66,8 @@
     });
     let missing = missing.count();
     figures.guarantee(
-        "keyed work that was confirmed did run",
-        format!("{missing} did not"),
+        "a confirmed request with a key was executed",
+        format!("{missing} not executed"),
         missing == 0,
     );
 }
@@ -76,31 +82,32 @@
         .max()
         .unwrap_or(0);
     figures.guarantee(
-        "work without a key runs at most once",
+        "a request without a key is executed at most once",
         format!(
-            "{} requests, at most {most} execution of one",
+            "{} requests, maximum executions per request: {most}",
             report.told.len()
         ),
         most <= 1 && ledger.forgotten == 0,
     );
 }
 
-/// Checks that backend servers got no more than they said of themselves in their answers.
+/// Checks that requests respect the rate limits and shutdown notices that backend servers send in
+/// their responses.
 pub(crate) async fn check_notices(figures: &mut Figures, fleet: &Fleet) -> Result<(), Error> {
-    let (mut beyond, mut late) = (0, 0);
+    let (mut over_rate, mut late) = (0, 0);
     for i in 0..fleet.instances.len() {
         let stats = stats(fleet, i).await?;
-        beyond += stats.beyond_rate;
+        over_rate += stats.beyond_rate;
         late += stats.after_leaving;
     }
     figures.guarantee(
-        "backend servers get no more than the rate that they name",
-        format!("{beyond} requests beyond it"),
-        beyond == 0,
+        "a backend server gets no requests above the rate that it announces",
+        format!("{over_rate} requests above the rate"),
+        over_rate == 0,
     );
     figures.guarantee(
-        "backend servers that leave get nothing new",
-        format!("{late} requests afterwards"),
+        "a backend server that leaves gets no new requests",
+        format!("{late} late requests"),
         late == 0,
     );
     Ok(())
@@ -115,21 +122,24 @@
         .max()
         .unwrap_or(0);
     figures.guarantee(
-        "keyed work runs at most once",
+        "a request with a key is executed at most once",
         format!(
-            "{} keys, at most {most} execution of one",
+            "{} keys, maximum executions per key: {most}",
             ledger.keys.len()
         ),
         most <= 1 && ledger.forgotten == 0,
     );
 }
 
-/// Checks that every call of an undisturbed load had a good answer.
-pub(crate) fn check_all_good(figures: &mut Figures, what: &str, report: &Report) {
+/// Checks that every call of a load got a valid response.
+pub(crate) fn check_all_good(figures: &mut Figures, guarantee: &str, report: &Report) {
     let lost = report.offered - report.good;
     figures.guarantee(
-        what,
-        format!("{lost} of {} without", report.offered),
+        guarantee,
+        format!(
+            "{lost} of {} calls without a valid response",
+            report.offered
+        ),
         lost == 0,
     );
 }
--- a/xtask/src/demo/calls.rs
+++ b/xtask/src/demo/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a mesh's callers.
+//! Backend servers of a mesh and the load that its callers generate.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 use crate::fleet::{Fleet, Role};
 use crate::{Kind, Mesh, Service};
 
-/// Bytes of an upload: more than any buffer on its way.
-const UPLOAD: u64 = 2 << 20;
+/// Size of an upload in bytes; larger than any buffer on the path.
+const UPLOAD_BYTES: u64 = 2 << 20;
 
-/// Bytes of an answer to a read.
-const ANSWER: u64 = 20_000;
+/// Size of the response to a read, in bytes.
+const READ_RESPONSE_BYTES: u64 = 20_000;
 
-/// Mean time of a keyed request at the backend server, in milliseconds.
+/// Mean service time of a request with an idempotency key, in milliseconds.
 pub(crate) const KEYED_MS: f64 = 20.0;
 
-/// How long a caller waits, in milliseconds.
+/// Timeout and deadline of a call, in milliseconds.
 const TIMEOUT_MS: u64 = 10_000;
 
-/// Returns what each instance of a mesh is, spread over the failure domains.
+/// Returns the role of each instance of a mesh, spread over the failure domains.
 pub(crate) fn roles(mesh: &Mesh) -> Vec<Role> {
     let domain = |i: usize| mesh.domains[i % mesh.domains.len()].to_owned();
     let placed = mesh.placement().enumerate();
@@ -28,21 +28,23 @@
         .map(|(i, service)| Role {
             domain: domain(i),
             backend: Some(match service.kind {
-                Kind::Keyed => named(backend(mesh, service), i, &domain(i)),
-                Kind::Read | Kind::Next | Kind::Upload => backend(mesh, service),
+                Kind::Keyed => with_identity(backend_settings(mesh, service), i, &domain(i)),
+                Kind::Read | Kind::Next | Kind::Upload => backend_settings(mesh, service),
             }),
         })
         .collect()
 }
 
-/// Has a backend server announce itself under an id and with its start.
-fn named(mut settings: Value, i: usize, domain: &str) -> Value {
+/// Adds an id and a failure domain to `settings`.
+///
+/// With an id, the backend server announces itself and its start.
+fn with_identity(mut settings: Value, i: usize, domain: &str) -> Value {
     settings["id"] = json!(format!("server-{i}"));
     settings["domain"] = json!(domain);
     settings
 }
 
-fn backend(mesh: &Mesh, service: &Service) -> Value {
+fn backend_settings(mesh: &Mesh, service: &Service) -> Value {
     let mean = match service.kind {
         Kind::Read | Kind::Next => 5.0,
         Kind::Keyed => KEYED_MS,
@@ -56,17 +58,17 @@
     })
 }
 
-/// Returns one kind of call of the mesh's callers.
+/// Returns the shape of the calls of one kind.
 pub(crate) fn shape(mesh: &Mesh, kind: Kind) -> Shape {
     let path = mesh.service(kind).prefix;
     match kind {
-        Kind::Read | Kind::Next => Shape::read(path).with_bytes(ANSWER),
+        Kind::Read | Kind::Next => Shape::read(path).with_bytes(READ_RESPONSE_BYTES),
         Kind::Keyed => Shape::keyed(path),
-        Kind::Upload => Shape::upload(path, UPLOAD),
+        Kind::Upload => Shape::upload(path, UPLOAD_BYTES),
     }
 }
 
-/// Returns a load without repeats, so that each answer speaks for one try.
+/// Returns a load without retries, so that each response belongs to a single attempt.
 pub(crate) fn load(targets: Vec<SocketAddr>, rate: f64, ms: u64, seed: u64) -> Load {
     Load::new(targets)
         .with_rate(rate)
@@ -79,7 +81,7 @@
         .with_keep(100_000)
 }
 
-/// Returns a load of every kind of call: many reads, some bookings, a few uploads.
+/// Returns a load of all kinds of calls, most of which are reads.
 pub(crate) fn mixed(mesh: &Mesh, targets: Vec<SocketAddr>, rate: f64, ms: u64, seed: u64) -> Load {
     load(targets, rate, ms, seed)
         .with_shape(shape(mesh, Kind::Read), 80)
@@ -87,7 +89,7 @@
         .with_shape(shape(mesh, Kind::Upload), 4)
 }
 
-/// Returns where callers reach the nodes with these numbers.
+/// Returns the addresses for callers of the nodes with these indices.
 pub(crate) fn targets(fleet: &Fleet, numbers: &[usize]) -> Vec<SocketAddr> {
     let addr = |&i: &usize| fleet.instances[i].addrs.calls;
     numbers.iter().map(addr).collect()
--- a/xtask/src/demo/failures.rs
+++ b/xtask/src/demo/failures.rs
@@ -1,4 +1,4 @@
-//! Failures under load: kills, a drain, and keys that are sent again through other nodes.
+//! Failures and overload, and idempotency keys that are repeated through several nodes.
 
 use std::time::{Duration, Instant};
 
@@ -13,28 +13,35 @@
 use crate::fleet::Fleet;
 use crate::{Error, Kind, Mesh};
 
-/// Longest time in which a backend server that drains may still get new work.
-const DRAIN: Duration = Duration::from_secs(5);
+/// Longest time in which a draining backend server may still get new requests.
+const DRAIN_LIMIT: Duration = Duration::from_secs(5);
 
-/// Calls a second and the length of the load under failures.
+/// Calls per second and duration of the load under failures.
 const RATE: f64 = 250.0;
-const SPAN_MS: u64 = 14_000;
+const DURATION_MS: u64 = 14_000;
 
-/// The overload as a multiple of what the slots can do, its length, and the time that
-/// callers give.
-const OVERLOAD: f64 = 1.5;
+/// Overload as a multiple of the capacity of the slots, its duration, and the deadline of its
+/// calls.
+const OVERLOAD_FACTOR: f64 = 1.5;
 const OVERLOAD_MS: u64 = 3000;
 const DEADLINE_MS: u64 = 500;
 
-/// Pause between two failures.
-const PAUSE: Duration = Duration::from_secs(3);
+/// Interval between two failures, and the longest time to detect a restart.
+const FAILURE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Sends every key through three nodes at the same time.
-pub(super) async fn keys(mesh: &Mesh, fleet: &Fleet, figures: &mut Figures) -> Result<(), Error> {
-    let reports = repeated(mesh, fleet, &fleet.running(), 40.0, 5000, 0x03).await?;
+/// Sends every key concurrently through three nodes.
+pub(super) async fn repeated_keys(
+    mesh: &Mesh,
+    fleet: &Fleet,
+    figures: &mut Figures,
+) -> Result<(), Error> {
+    let reports = send_repeated_keys(mesh, fleet, &fleet.running(), 40.0, 5000, 0x03).await?;
     for (i, report) in reports.iter().enumerate() {
         figures.calls(
-            &format!("the same keys, through other nodes ({})", i + 1),
+            &format!(
+                "calls with the same keys, in rotation {} of the nodes",
+                i + 1
+            ),
             report,
         );
     }
@@ -52,15 +59,15 @@
     });
     let settled = settled.count();
     figures.guarantee(
-        "every key that is sent again gets a good answer through some node",
+        "every repeated key gets a valid response through at least one node",
         format!("{settled} of {}", first.len()),
         settled == first.len(),
     );
     Ok(())
 }
 
-/// Asks for more work than the backend servers can do, without keys, and checks that the
-/// refusals are true.
+/// Sends requests without keys above the capacity of the backend servers, and checks that refused
+/// requests were not executed.
 pub(super) async fn overload(
     mesh: &Mesh,
     fleet: &Fleet,
@@ -70,7 +77,7 @@
     let capacity = f64::from(mesh.slots) * work.backends as f64 * 1000.0 / KEYED_MS;
     let load = load(
         targets(fleet, &fleet.running()),
-        OVERLOAD * capacity,
+        OVERLOAD_FACTOR * capacity,
         OVERLOAD_MS,
         0x09,
     )
@@ -79,62 +86,68 @@
     let report = load.run().await?;
     let ledger = audit::ledger(fleet).await?;
     figures.calls(
-        &format!("work without keys at {OVERLOAD} times the capacity"),
+        &format!("calls without keys at {OVERLOAD_FACTOR} times the capacity"),
         &report,
     );
     figures.figure(
-        "good answers a second, and the capacity",
+        "valid responses per second, and the capacity",
         format!("{:.0} of {capacity:.0}", report.goodput),
     );
     audit::check(figures, &[&report], &ledger);
     audit::check_once(figures, &report, &ledger);
-    let told = report.outcomes.get("not-run").copied().unwrap_or(0);
+    let refused = report.outcomes.get("not-run").copied().unwrap_or(0);
     figures.guarantee(
-        "too much work is refused, not left to wait",
-        format!("{told} told not-run"),
-        told > 0,
+        "excess requests are refused instead of waiting",
+        format!("{refused} reported as not-run"),
+        refused > 0,
     );
     Ok(())
 }
 
-/// Kills, drains and kills again while callers call.
-pub(super) async fn failures(
+/// Crashes, kills and drains nodes and backend servers under load.
+pub(super) async fn inject(
     mesh: &Mesh,
     fleet: &mut Fleet,
     figures: &mut Figures,
 ) -> Result<(), Error> {
-    let whole = mesh.numbers(Kind::Read)[0];
+    let killed = mesh.numbers(Kind::Read)[0];
     let node = mesh.numbers(Kind::Keyed)[0];
     let drained = mesh.numbers(Kind::Read)[1];
-    let mut left = fleet.running();
-    left.retain(|i| ![whole, node].contains(i));
+    let mut remaining = fleet.running();
+    remaining.retain(|i| ![killed, node].contains(i));
 
-    let single = start(mixed(mesh, targets(fleet, &left), RATE, SPAN_MS, 0x04));
-    let keyed = load(targets(fleet, &left), 30.0, SPAN_MS, 0x05)
+    let single = start(mixed(
+        mesh,
+        targets(fleet, &remaining),
+        RATE,
+        DURATION_MS,
+        0x04,
+    ));
+    let keyed = load(targets(fleet, &remaining), 30.0, DURATION_MS, 0x05)
         .with_shape(shape(mesh, Kind::Keyed), 1)
         .with_retries(4);
     let keyed = start(keyed);
 
-    sleep(PAUSE).await;
-    let again = mesh.numbers(Kind::Keyed)[1];
-    start_again(fleet, again, figures).await?;
-    fleet.kill(whole);
+    sleep(FAILURE_INTERVAL).await;
+    let crashed = mesh.numbers(Kind::Keyed)[1];
+    crash_and_restart(fleet, crashed, figures).await?;
+    fleet.kill(killed);
     figures.figure(
         "killed with SIGKILL",
-        format!("node and backend server {}", fleet.instances[whole].name),
+        format!("node and backend server {}", fleet.instances[killed].name),
     );
-    sleep(PAUSE).await;
+    sleep(FAILURE_INTERVAL).await;
     if let Some(mut child) = fleet.instances[node].node.take() {
         child.kill();
     }
     figures.figure(
         "killed with SIGKILL",
         format!(
-            "node {}, its backend server lives",
+            "node {}, while its backend server keeps running",
             fleet.instances[node].name
         ),
     );
-    sleep(PAUSE).await;
+    sleep(FAILURE_INTERVAL).await;
     let backend = fleet.instances[drained].addrs.backend;
     let faults = json!({ "readiness": "draining" });
     fleet
@@ -143,31 +156,30 @@
         .await?;
     let (single, keyed) = (join(single).await?, join(keyed).await?);
 
-    figures.calls("calls under failures, never sent again", &single);
-    figures.calls("keyed calls under failures, sent again", &keyed);
+    figures.calls("calls under failures, without retries", &single);
+    figures.calls("calls with a key under failures, with retries", &keyed);
     let stats = audit::stats(fleet, drained).await?;
     let last = Duration::from_millis(stats.drain_last_ms);
     figures.guarantee(
-        format!("a backend server that drains gets no new work after {DRAIN:?}"),
+        format!("a draining backend server gets no new requests after {DRAIN_LIMIT:?}"),
         format!(
-            "last new work {} ms after the drain, {} in all",
+            "last new request {} ms after the start of the drain, {} in total",
             stats.drain_last_ms, stats.drain_starts
         ),
-        last <= DRAIN,
+        last <= DRAIN_LIMIT,
     );
     let ledger = audit::ledger(fleet).await?;
     audit::check(figures, &[&single, &keyed], &ledger);
     audit::check_keys(figures, &ledger);
-    figures.figure(
-        "not counted",
-        "executions at the backend server that was killed",
-    );
+    figures.figure("not counted", "executions on the killed backend server");
     let none = json!({});
     fleet.client.put(backend, "/standin/faults", &none).await
 }
 
-/// Has a backend server crash with what it is running and start again under its id.
-async fn start_again(fleet: &Fleet, i: usize, figures: &mut Figures) -> Result<(), Error> {
+/// Crashes a backend server during execution and restarts it under the same id.
+///
+/// Checks that its node detects the restart.
+async fn crash_and_restart(fleet: &Fleet, i: usize, figures: &mut Figures) -> Result<(), Error> {
     let backend = fleet.instances[i].addrs.backend;
     let faults = BackendFaults::new().with_restart(Restart::Later);
     let put = |faults: BackendFaults| {
@@ -176,22 +188,22 @@
     };
     put(faults).await?;
     let start = Instant::now();
-    let heard = [("outcome", "restarted")];
+    let labels = [("outcome", "restarted")];
     let name = "swiftcart_announcements_total";
-    while fleet.scrape(i).await?.sum(name, &heard) < 1.0 && start.elapsed() < PAUSE {
+    while fleet.scrape(i).await?.sum(name, &labels) < 1.0 && start.elapsed() < FAILURE_INTERVAL {
         sleep(Duration::from_millis(5)).await;
     }
     let took = start.elapsed();
     figures.guarantee(
-        "a backend server that starts again under its id is known for a new one at once",
-        format!("{} ms after its start", took.as_millis()),
-        took < PAUSE,
+        "a restart of a backend server under the same id is detected immediately",
+        format!("{} ms after the restart was requested", took.as_millis()),
+        took < FAILURE_INTERVAL,
     );
     put(BackendFaults::new()).await
 }
 
-/// Brings back what was killed.
-pub(super) async fn recover(
+/// Restarts the killed nodes and backend servers.
+pub(super) async fn restart_killed(
     mesh: &Mesh,
     fleet: &mut Fleet,
     figures: &mut Figures,
@@ -213,8 +225,8 @@
     Ok(())
 }
 
-/// Sends the same keys through three rotations of the nodes.
-async fn repeated(
+/// Sends the same keys concurrently through three rotations of the nodes.
+async fn send_repeated_keys(
     mesh: &Mesh,
     fleet: &Fleet,
     numbers: &[usize],
@@ -225,7 +237,7 @@
     let rotated = |by: usize| {
         let mut numbers = numbers.to_vec();
         numbers.rotate_left(by);
-        // The same seed gives the same keys at the same times.
+        // The same seed produces the same keys at the same times.
         let load = load(targets(fleet, &numbers), rate, ms, seed);
         start(load.with_shape(shape(mesh, Kind::Keyed), 1).with_retries(6))
     };
@@ -236,13 +248,16 @@
     Ok(reports)
 }
 
+/// Task of a load that runs in the background.
 pub(crate) type Run = JoinHandle<Result<Report, swiftcart_standin::Error>>;
 
+/// Starts `load` in a background task.
 pub(crate) fn start(load: Load) -> Run {
     tokio::spawn(load.run())
 }
 
+/// Waits for the end of a load and returns its report.
 pub(crate) async fn join(run: Run) -> Result<Report, Error> {
-    let ended = run.await;
-    Ok(ended.map_err(|e| Error::Program("load".to_owned(), e.into()))??)
+    let result = run.await;
+    Ok(result.map_err(|e| Error::Program("load".to_owned(), e.into()))??)
 }
--- a/xtask/src/demo/figures.rs
+++ b/xtask/src/demo/figures.rs
@@ -1,4 +1,4 @@
-//! What the demo measured and which promises held.
+//! Measurements of the demo and the results of its guarantee checks.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::Verdict;
 
-/// Failed calls of one load that the report shows one by one.
-const SHOWN: usize = 4;
+/// Maximum number of failed calls to list for one load.
+const MAX_LISTED: usize = 4;
 
-/// Collects the demo's figures and checked promises, in the order of the run.
+/// Measurements and checked guarantees, in the order of the run.
 #[derive(Debug, Default)]
 pub(crate) struct Figures {
     lines: Vec<Line>,
@@ -20,7 +20,7 @@
 enum Line {
     Section(&'static str),
     Figure(String, String),
-    Promise {
+    Guarantee {
         text: String,
         measured: String,
         holds: bool,
@@ -28,18 +28,18 @@
 }
 
 impl Figures {
-    /// Begins a part of the report.
+    /// Begins a section of the report.
     pub(crate) fn section(&mut self, title: &'static str) {
         println!("==> {title}");
         self.lines.push(Line::Section(title));
     }
 
-    /// Adds a figure that decides nothing.
+    /// Adds a measurement that does not affect the verdict.
     pub(crate) fn figure(&mut self, name: impl Into<String>, value: impl Into<String>) {
         self.lines.push(Line::Figure(name.into(), value.into()));
     }
 
-    /// Adds a promise with what was measured of it.
+    /// Adds a checked guarantee with the measurement behind its result.
     pub(crate) fn guarantee(
         &mut self,
         text: impl Into<String>,
@@ -50,14 +50,14 @@
         if !holds {
             println!("    BROKEN: {text}: {measured}");
         }
-        self.lines.push(Line::Promise {
+        self.lines.push(Line::Guarantee {
             text,
             measured,
             holds,
         });
     }
 
-    /// Adds what became of the calls of a load.
+    /// Adds the results of the calls of a load.
     pub(crate) fn calls(&mut self, name: &str, report: &Report) {
         let list = |counts: &std::collections::BTreeMap<String, u64>| {
             let pairs = counts.iter().map(|(name, count)| format!("{name} {count}"));
@@ -74,27 +74,27 @@
             .told
             .iter()
             .filter(|t| t.verdict != "good")
-            .take(SHOWN)
+            .take(MAX_LISTED)
         {
-            self.figure(format!("{name}, one that failed"), failed(told));
+            self.figure(format!("{name}, failed call"), format_failed(told));
         }
         if !report.outcomes.is_empty() {
-            self.figure(format!("{name}, outcomes told"), list(&report.outcomes));
+            self.figure(format!("{name}, reported outcomes"), list(&report.outcomes));
         }
         if !report.reasons.is_empty() {
-            self.figure(format!("{name}, reasons told"), list(&report.reasons));
+            self.figure(format!("{name}, reported reasons"), list(&report.reasons));
         }
     }
 
-    /// Returns whether every promise held.
+    /// Returns [`Verdict::Passed`] if every guarantee held.
     pub(crate) fn verdict(&self) -> Verdict {
         self.broken().next().is_none().into()
     }
 
-    /// Returns the promises that broke.
+    /// Returns the violated guarantees.
     pub(crate) fn broken(&self) -> impl Iterator<Item = &str> {
         self.lines.iter().filter_map(|line| match line {
-            Line::Promise {
+            Line::Guarantee {
                 text, holds: false, ..
             } => Some(text.as_str()),
             _ => None,
@@ -108,14 +108,14 @@
             match line {
                 Line::Section(title) => writeln!(f, "\n{title}")?,
                 Line::Figure(name, value) => writeln!(f, "        {name}: {value}")?,
-                Line::Promise {
+                Line::Guarantee {
                     text,
                     measured,
                     holds: true,
                 } => {
                     writeln!(f, "  held  {text}: {measured}")?;
                 }
-                Line::Promise {
+                Line::Guarantee {
                     text,
                     measured,
                     holds: false,
@@ -128,11 +128,11 @@
     }
 }
 
-/// Returns what became of a failed call, in words.
-fn failed(told: &Told) -> String {
+/// Formats a failed call.
+fn format_failed(told: &Told) -> String {
     let text = |value: &Option<String>| value.clone().unwrap_or_else(|| "-".to_owned());
     format!(
-        "{} (shape {}, key {}): {}, status {}, outcome {}, reason {}, sent again {} times",
+        "{} (shape {}, key {}): {}, status {}, outcome {}, reason {}, {} retries",
         told.id,
         told.shape,
         text(&told.key),
@@ -144,17 +144,17 @@
     )
 }
 
-/// Returns p50 and p99 in words.
+/// Formats p50 and p99.
 pub(crate) fn quantiles(q: &Quantiles) -> String {
     format!("p50 {} ms, p99 {} ms", millis(q.p50), millis(q.p99))
 }
 
-/// Returns microseconds as milliseconds.
+/// Formats microseconds as milliseconds, without a unit.
 pub(crate) fn millis(us: u64) -> String {
     format!("{:.2}", us as f64 / 1000.0)
 }
 
-/// Returns a duration in seconds.
+/// Formats a duration in seconds.
 pub(crate) fn seconds(time: Duration) -> String {
     format!("{:.2} s", time.as_secs_f64())
 }
--- a/xtask/src/demo/restart.rs
+++ b/xtask/src/demo/restart.rs
@@ -1,4 +1,4 @@
-//! A planned stop under load, with uploads in flight.
+//! Graceful restart of a node under load, with uploads in flight.
 
 use std::time::{Duration, Instant};
 
@@ -11,19 +11,20 @@
 use crate::fleet::Fleet;
 use crate::{Error, Kind, Mesh};
 
-/// Uploads in flight through the node that stops.
-const UPLOADS: u64 = 12;
+/// Number of uploads in flight through the node that stops.
+const UPLOAD_COUNT: u64 = 12;
 
-/// The time within which they are sent, in milliseconds.
+/// Time within which all uploads are sent, in milliseconds.
 const BURST_MS: u64 = 96;
 
-/// How long each of them is worked on, in milliseconds.
-const SLOW_MS: u64 = 1500;
+/// Delay that each backend server adds to an upload, in milliseconds.
+const DELAY_MS: u64 = 1500;
 
-const LIMIT: Duration = Duration::from_secs(15);
+/// Longest time for each step of the restart.
+const STEP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Stops a node gracefully and starts it again, while callers call.
-pub(super) async fn restart(
+/// Stops a node gracefully under load and starts it again.
+pub(super) async fn graceful_restart(
     mesh: &Mesh,
     fleet: &mut Fleet,
     figures: &mut Figures,
@@ -31,58 +32,62 @@
     let uploads = mesh.numbers(Kind::Upload);
     let stopped = uploads[0];
     let before = fleet.state(stopped).await?.version;
-    slow(fleet, &uploads, SLOW_MS).await?;
+    set_delay(fleet, &uploads, DELAY_MS).await?;
     let mut others = fleet.running();
     others.retain(|&i| i != stopped);
-    let rate = 1000.0 * UPLOADS as f64 / BURST_MS as f64;
+    let rate = 1000.0 * UPLOAD_COUNT as f64 / BURST_MS as f64;
     let burst = load(targets(fleet, &[stopped]), rate, BURST_MS, 0x07)
         .with_poisson(false)
         .with_shape(shape(mesh, Kind::Upload), 1);
     let burst = tokio::spawn(burst.run());
-    // Nothing else calls yet, so that what is in work came through this node.
-    let held = in_flight(fleet, &uploads).await?;
-    let around = tokio::spawn(mixed(mesh, targets(fleet, &others), 150.0, 9000, 0x06).run());
+    // No other load runs yet, so all uploads in flight came through this node.
+    let active = in_flight(fleet, &uploads).await?;
+    let other_calls = tokio::spawn(mixed(mesh, targets(fleet, &others), 150.0, 9000, 0x06).run());
 
     let start = Instant::now();
-    stop(fleet, stopped).await?;
+    stop_node(fleet, stopped).await?;
     let took = start.elapsed();
-    slow(fleet, &uploads, 0).await?;
+    set_delay(fleet, &uploads, 0).await?;
     fleet.start_node(stopped)?;
-    let ready = fleet.wait_ready(LIMIT).await?;
+    let ready = fleet.wait_ready(STEP_TIMEOUT).await?;
     let after = fleet.state(stopped).await?.version;
     let failed = |e: tokio::task::JoinError| Error::Program("load".to_owned(), e.into());
-    let (burst, around) = (
+    let (burst, other_calls) = (
         burst.await.map_err(failed)??,
-        around.await.map_err(failed)??,
+        other_calls.await.map_err(failed)??,
     );
 
     figures.figure(
         "uploads in flight when the node was asked to stop",
-        held.to_string(),
+        active.to_string(),
     );
     figures.figure("time to stop", seconds(took));
     figures.figure("time to be ready again", seconds(ready));
     figures.calls("uploads through the node that stops", &burst);
-    figures.calls("calls through the other nodes meanwhile", &around);
+    figures.calls(
+        "calls through the other nodes during the restart",
+        &other_calls,
+    );
     audit::check_all_good(
         figures,
-        "a planned stop cuts off no upload in flight",
+        "a graceful stop interrupts no upload in flight",
         &burst,
     );
     audit::check_all_good(
         figures,
-        "a planned stop loses no call through other nodes",
-        &around,
+        "a graceful stop causes no failed calls through other nodes",
+        &other_calls,
     );
     figures.guarantee(
-        "a node that starts again is not below its version",
-        format!("version {after} after version {before}"),
+        "a restarted node is not behind its previous version",
+        format!("version {after} after the restart, version {before} before"),
         after >= before,
     );
     Ok(())
 }
 
-async fn slow(fleet: &Fleet, numbers: &[usize], ms: u64) -> Result<(), Error> {
+/// Sets the delay that the backend servers add to each request.
+async fn set_delay(fleet: &Fleet, numbers: &[usize], ms: u64) -> Result<(), Error> {
     for &i in numbers {
         let backend = fleet.instances[i].addrs.backend;
         let faults = json!({ "slow_ms": ms });
@@ -94,7 +99,7 @@
     Ok(())
 }
 
-/// Waits until the uploads are being worked on, and returns how many are.
+/// Waits until all uploads are in flight and returns their number.
 async fn in_flight(fleet: &Fleet, numbers: &[usize]) -> Result<u64, Error> {
     let start = Instant::now();
     loop {
@@ -102,10 +107,10 @@
         for &i in numbers {
             active += audit::stats(fleet, i).await?.active;
         }
-        if active >= UPLOADS {
+        if active >= UPLOAD_COUNT {
             return Ok(active);
         }
-        if start.elapsed() > LIMIT {
+        if start.elapsed() > STEP_TIMEOUT {
             return Err(Error::Late(
                 "uploads in flight".to_owned(),
                 format!("{active}"),
@@ -115,17 +120,17 @@
     }
 }
 
-/// Asks a node to stop and waits until its process has ended by itself.
-async fn stop(fleet: &mut Fleet, i: usize) -> Result<(), Error> {
+/// Sends SIGTERM to a node and waits until its process has exited.
+async fn stop_node(fleet: &mut Fleet, i: usize) -> Result<(), Error> {
     let Some(mut node) = fleet.instances[i].node.take() else {
         return Ok(());
     };
     node.terminate()?;
     let start = Instant::now();
     while node.ended()?.is_none() {
-        if start.elapsed() > LIMIT {
+        if start.elapsed() > STEP_TIMEOUT {
             return Err(Error::Late(
-                "a planned stop".to_owned(),
+                "a graceful stop".to_owned(),
                 fleet.instances[i].name.clone(),
             ));
         }
--- a/xtask/src/demo/tool.rs
+++ b/xtask/src/demo/tool.rs
@@ -1,4 +1,4 @@
-//! Runs the operators' tool as an operator would.
+//! Runs the operators' command-line tool.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,33 +9,33 @@
 use crate::Error;
 use crate::fleet::{Fleet, release_binary};
 
-/// The tool's exit code for a publish that lost to another.
-const REJECTED: i32 = 3;
+/// Exit code of the tool for a publish that was rejected because of a conflicting one.
+const REJECTED_EXIT_CODE: i32 = 3;
 
-/// How a publish ended.
+/// Result of a publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Publish {
-    /// The table has this version.
+    /// Version that was assigned to the published table.
     Accepted(Version),
-    /// Nothing changed; what the tool said.
+    /// Output of the tool for a publish without effect.
     Rejected(String),
 }
 
-/// Knows the platform and a node to ask.
+/// Operators' tool with the addresses of the platform and of up to eight nodes.
 #[derive(Debug, Clone)]
 pub(crate) struct Tool {
     options: Vec<String>,
 }
 
-/// What the tool left: its exit code and both outputs.
-struct Ended {
+/// Exit code, stdout and stderr of the tool.
+struct ToolOutput {
     code: Option<i32>,
     out: String,
     err: String,
 }
 
 impl Tool {
-    /// Creates the tool for a mesh, with every node that runs as one to ask.
+    /// Creates the tool for the platform and the first eight running nodes of a fleet.
     pub(crate) fn new(fleet: &Fleet) -> Self {
         let nodes = fleet.running().into_iter().take(8).flat_map(|i| {
             let admin = fleet.instances[i].addrs.admin;
@@ -47,20 +47,20 @@
         }
     }
 
-    /// Checks a sheet without the platform.
+    /// Checks a sheet offline.
     pub(crate) async fn check(&self, sheet: &Path) -> Result<(), Error> {
         self.run(&["table", "check"], &[], sheet).await.map(drop)
     }
 
     /// Writes the table in force to `sheet`.
     pub(crate) async fn pull(&self, sheet: &Path) -> Result<(), Error> {
-        let words = ["table", "pull", "--force", "--output"];
-        self.run(&words, &self.options, sheet).await.map(drop)
+        let args = ["table", "pull", "--force", "--output"];
+        self.run(&args, &self.options, sheet).await.map(drop)
     }
 
     /// Publishes a sheet and waits until its version is in force on every node.
     pub(crate) async fn publish(&self, sheet: &Path, author: &str) -> Result<Publish, Error> {
-        let words = [
+        let args = [
             "table",
             "publish",
             "--json",
@@ -68,37 +68,37 @@
             "--author",
             author,
         ];
-        let ended = self.start(&words, &self.options, sheet).await?;
-        match ended.code {
-            Some(0) => version(&ended.out)
+        let output = self.start(&args, &self.options, sheet).await?;
+        match output.code {
+            Some(0) => version(&output.out)
                 .map(Publish::Accepted)
-                .ok_or_else(|| failed(&words, &ended)),
-            Some(REJECTED) => Ok(Publish::Rejected(ended.out + &ended.err)),
-            _ => Err(failed(&words, &ended)),
+                .ok_or_else(|| failed(&args, &output)),
+            Some(REJECTED_EXIT_CODE) => Ok(Publish::Rejected(output.out + &output.err)),
+            _ => Err(failed(&args, &output)),
         }
     }
 
-    async fn run(&self, words: &[&str], options: &[String], sheet: &Path) -> Result<String, Error> {
-        let ended = self.start(words, options, sheet).await?;
-        match ended.code {
-            Some(0) => Ok(ended.out),
-            _ => Err(failed(words, &ended)),
+    async fn run(&self, args: &[&str], options: &[String], sheet: &Path) -> Result<String, Error> {
+        let output = self.start(args, options, sheet).await?;
+        match output.code {
+            Some(0) => Ok(output.out),
+            _ => Err(failed(args, &output)),
         }
     }
 
-    /// Runs the tool on a thread of its own, so that the load goes on.
+    /// Runs the tool on a blocking thread, so that it does not stall the load.
     async fn start(
         &self,
-        words: &[&str],
+        args: &[&str],
         options: &[String],
         sheet: &Path,
-    ) -> Result<Ended, Error> {
+    ) -> Result<ToolOutput, Error> {
         let mut command = Command::new(release_binary("swiftcart"));
-        command.args(words).arg(sheet).args(options);
+        command.args(args).arg(sheet).args(options);
         let failed = |e| Error::Program("swiftcart".to_owned(), e);
         let output = tokio::task::spawn_blocking(move || command.output()).await;
         let output = output.map_err(|e| failed(e.into()))?.map_err(failed)?;
-        Ok(Ended {
+        Ok(ToolOutput {
             code: output.status.code(),
             out: String::from_utf8_lossy(&output.stdout).into_owned(),
             err: String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -106,28 +106,28 @@
     }
 }
 
-/// Returns the committed table of a mesh.
-pub(crate) fn example(mesh: &str) -> PathBuf {
+/// Returns the path of the example table of a mesh.
+pub(crate) fn example_table(mesh: &str) -> PathBuf {
     let name = format!("examples/tables/{mesh}.csv");
     crate::command::root().join(name)
 }
 
-/// Returns the last version that the tool printed.
+/// Returns the last version in the JSON output of the tool.
 fn version(out: &str) -> Option<Version> {
-    let whole = serde_json::from_str::<Value>(out).ok();
+    let document = serde_json::from_str::<Value>(out).ok();
     let lines = out.lines().rev();
     let each = lines.filter_map(|line| serde_json::from_str::<Value>(line).ok());
-    let found = whole.into_iter().chain(each);
-    found
+    let values = document.into_iter().chain(each);
+    values
         .filter_map(|value| value["version"].as_u64())
         .map(Version)
         .next()
 }
 
-fn failed(words: &[&str], ended: &Ended) -> Error {
-    let command = format!("swiftcart {}", words.join(" "));
+fn failed(args: &[&str], output: &ToolOutput) -> Error {
+    let command = format!("swiftcart {}", args.join(" "));
     Error::Tool(
         command,
-        format!("{:?} {}{}", ended.code, ended.out, ended.err),
+        format!("{:?} {}{}", output.code, output.out, output.err),
     )
 }
