--- a/xtask/src/bench/convergence/followers.rs
+++ b/xtask/src/bench/convergence/followers.rs
@@ -92,7 +92,7 @@
 
     pub(super) async fn wait(&mut self, version: Version) -> Result<(), Error> {
         match self {
-            Self::Nodes(fleet) => fleet.applied(version, SPREAD).await.map(drop),
+            Self::Nodes(fleet) => fleet.wait_applied(version, SPREAD).await.map(drop),
             Self::Pollers { pollers, .. } => {
                 let start = Instant::now();
                 for poller in pollers {
--- a/xtask/src/demo/calls.rs
+++ b/xtask/src/demo/calls.rs
@@ -90,7 +90,7 @@
 }
 
 /// Returns the addresses for callers of the nodes with these indices.
-pub(crate) fn targets(fleet: &Fleet, numbers: &[usize]) -> Vec<SocketAddr> {
+pub(crate) fn targets(fleet: &Fleet, indices: &[usize]) -> Vec<SocketAddr> {
     let addr = |&i: &usize| fleet.instances[i].addrs.calls;
-    numbers.iter().map(addr).collect()
+    indices.iter().map(addr).collect()
 }
--- a/xtask/src/demo/failures.rs
+++ b/xtask/src/demo/failures.rs
@@ -110,41 +110,44 @@
     fleet: &mut Fleet,
     figures: &mut Figures,
 ) -> Result<(), Error> {
-    let killed = mesh.numbers(Kind::Read)[0];
-    let node = mesh.numbers(Kind::Keyed)[0];
-    let drained = mesh.numbers(Kind::Read)[1];
+    let killed_instance = mesh.indices(Kind::Read)[0];
+    let killed_node = mesh.indices(Kind::Keyed)[0];
+    let drained = mesh.indices(Kind::Read)[1];
     let mut remaining = fleet.running();
-    remaining.retain(|i| ![killed, node].contains(i));
+    remaining.retain(|i| ![killed_instance, killed_node].contains(i));
 
-    let single = start(mixed(
+    let mixed_calls = start(mixed(
         mesh,
         targets(fleet, &remaining),
         RATE,
         DURATION_MS,
         0x04,
     ));
-    let keyed = load(targets(fleet, &remaining), 30.0, DURATION_MS, 0x05)
+    let keyed_calls = load(targets(fleet, &remaining), 30.0, DURATION_MS, 0x05)
         .with_shape(shape(mesh, Kind::Keyed), 1)
         .with_retries(4);
-    let keyed = start(keyed);
+    let keyed_calls = start(keyed_calls);
 
     sleep(FAILURE_INTERVAL).await;
-    let crashed = mesh.numbers(Kind::Keyed)[1];
+    let crashed = mesh.indices(Kind::Keyed)[1];
     crash_and_restart(fleet, crashed, figures).await?;
-    fleet.kill(killed);
+    fleet.kill(killed_instance);
     figures.figure(
         "killed with SIGKILL",
-        format!("node and backend server {}", fleet.instances[killed].name),
+        format!(
+            "node and backend server {}",
+            fleet.instances[killed_instance].name
+        ),
     );
     sleep(FAILURE_INTERVAL).await;
-    if let Some(mut child) = fleet.instances[node].node.take() {
+    if let Some(mut child) = fleet.instances[killed_node].node.take() {
         child.kill();
     }
     figures.figure(
         "killed with SIGKILL",
         format!(
             "node {}, while its backend server keeps running",
-            fleet.instances[node].name
+            fleet.instances[killed_node].name
         ),
     );
     sleep(FAILURE_INTERVAL).await;
@@ -154,10 +157,13 @@
         .client
         .put(backend, "/standin/faults", &faults)
         .await?;
-    let (single, keyed) = (join(single).await?, join(keyed).await?);
+    let (mixed_calls, keyed_calls) = (join(mixed_calls).await?, join(keyed_calls).await?);
 
-    figures.calls("calls under failures, without retries", &single);
-    figures.calls("calls with a key under failures, with retries", &keyed);
+    figures.calls("calls under failures, without retries", &mixed_calls);
+    figures.calls(
+        "calls with a key under failures, with retries",
+        &keyed_calls,
+    );
     let stats = audit::stats(fleet, drained).await?;
     let last = Duration::from_millis(stats.drain_last_ms);
     figures.guarantee(
@@ -169,7 +175,7 @@
         last <= DRAIN_LIMIT,
     );
     let ledger = audit::ledger(fleet).await?;
-    audit::check(figures, &[&single, &keyed], &ledger);
+    audit::check(figures, &[&mixed_calls, &keyed_calls], &ledger);
     audit::check_keys(figures, &ledger);
     figures.figure("not counted", "executions on the killed backend server");
     let none = json!({});
@@ -208,8 +214,8 @@
     fleet: &mut Fleet,
     figures: &mut Figures,
 ) -> Result<(), Error> {
-    let numbers = [mesh.numbers(Kind::Read)[0], mesh.numbers(Kind::Keyed)[0]];
-    for i in numbers {
+    let indices = [mesh.indices(Kind::Read)[0], mesh.indices(Kind::Keyed)[0]];
+    for i in indices {
         if fleet.instances[i].node.is_none() {
             fleet.start_node(i)?;
         }
@@ -229,16 +235,16 @@
 async fn send_repeated_keys(
     mesh: &Mesh,
     fleet: &Fleet,
-    numbers: &[usize],
+    indices: &[usize],
     rate: f64,
     ms: u64,
     seed: u64,
 ) -> Result<Vec<Report>, Error> {
     let rotated = |by: usize| {
-        let mut numbers = numbers.to_vec();
-        numbers.rotate_left(by);
+        let mut indices = indices.to_vec();
+        indices.rotate_left(by);
         // The same seed produces the same keys at the same times.
-        let load = load(targets(fleet, &numbers), rate, ms, seed);
+        let load = load(targets(fleet, &indices), rate, ms, seed);
         start(load.with_shape(shape(mesh, Kind::Keyed), 1).with_retries(6))
     };
     let mut reports = Vec::new();
--- a/xtask/src/demo/publishing.rs
+++ b/xtask/src/demo/publishing.rs
@@ -127,7 +127,7 @@
     let failed = |cause: String| Error::Http(fleet.platform, "config".to_owned(), cause);
     let page = page.map_err(|e| failed(e.to_string()))?;
     let at = page.entries.first().map_or(0, |entry| entry.at_ms);
-    let last = fleet.applied(version, CONVERGENCE_LIMIT).await?;
+    let last = fleet.wait_applied(version, CONVERGENCE_LIMIT).await?;
     let last = last.saturating_sub(at);
     let time = Duration::from_millis(last);
     figures.guarantee(
@@ -148,7 +148,7 @@
 async fn count_reads(mesh: &Mesh, fleet: &Fleet) -> Result<(u64, u64), Error> {
     let mut sums = [0, 0];
     for (sum, kind) in sums.iter_mut().zip([Kind::Read, Kind::Next]) {
-        for i in mesh.numbers(kind) {
+        for i in mesh.indices(kind) {
             if fleet.instances[i].backend.is_some() {
                 *sum += audit::stats(fleet, i).await?.runs.started;
             }
--- a/xtask/src/demo/restart.rs
+++ b/xtask/src/demo/restart.rs
@@ -29,7 +29,7 @@
     fleet: &mut Fleet,
     figures: &mut Figures,
 ) -> Result<(), Error> {
-    let uploads = mesh.numbers(Kind::Upload);
+    let uploads = mesh.indices(Kind::Upload);
     let stopped = uploads[0];
     let before = fleet.state(stopped).await?.version;
     set_delay(fleet, &uploads, DELAY_MS).await?;
@@ -87,8 +87,8 @@
 }
 
 /// Sets the delay that the backend servers add to each request.
-async fn set_delay(fleet: &Fleet, numbers: &[usize], ms: u64) -> Result<(), Error> {
-    for &i in numbers {
+async fn set_delay(fleet: &Fleet, indices: &[usize], ms: u64) -> Result<(), Error> {
+    for &i in indices {
         let backend = fleet.instances[i].addrs.backend;
         let faults = json!({ "slow_ms": ms });
         fleet
@@ -100,11 +100,11 @@
 }
 
 /// Waits until all uploads are in flight and returns their number.
-async fn in_flight(fleet: &Fleet, numbers: &[usize]) -> Result<u64, Error> {
+async fn in_flight(fleet: &Fleet, indices: &[usize]) -> Result<u64, Error> {
     let start = Instant::now();
     loop {
         let mut active = 0;
-        for &i in numbers {
+        for &i in indices {
             active += audit::stats(fleet, i).await?.active;
         }
         if active >= UPLOAD_COUNT {
--- a/xtask/src/fleet.rs
+++ b/xtask/src/fleet.rs
@@ -39,7 +39,7 @@
     pub platform: SocketAddr,
     /// All instances, in the order of their numbers.
     pub instances: Vec<Instance>,
-    log: Child,
+    platform_process: Child,
     dir: PathBuf,
     settings: Value,
 }
@@ -66,12 +66,12 @@
         let mut command = Command::new(release_binary("swiftcart-standin-platform"));
         command.args(["--addr", &addr.to_string()]);
         command.args(["--settings", &platform.to_string()]);
-        let log = Child::spawn("platform", &dir, command)?;
+        let platform_process = Child::spawn("platform", &dir, command)?;
         let mut fleet = Self {
             client: Client::new(),
             platform: addr,
             instances: Vec::new(),
-            log,
+            platform_process,
             dir,
             settings,
         };
@@ -97,8 +97,8 @@
 
     /// Returns the process of the platform.
     #[must_use]
-    pub const fn log(&self) -> &Child {
-        &self.log
+    pub const fn platform_process(&self) -> &Child {
+        &self.platform_process
     }
 
     /// Starts the node of an instance.
@@ -179,8 +179,8 @@
     /// Returns the indices of the instances whose node was started and not stopped.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
-        let numbers = 0..self.instances.len();
-        numbers
+        let indices = 0..self.instances.len();
+        indices
             .filter(|&i| self.instances[i].node.is_some())
             .collect()
     }
@@ -200,8 +200,8 @@
             let earlier = self.instances[..i].iter();
             earlier.filter(|other| other.role.domain == *domain).count()
         };
-        let numbers = 0..self.instances.len();
-        let seeds = numbers.filter(|&i| preceding_in_domain(i) < 2);
+        let indices = 0..self.instances.len();
+        let seeds = indices.filter(|&i| preceding_in_domain(i) < 2);
         seeds.map(|i| self.instances[i].addrs.gossip).collect()
     }
 }
@@ -215,7 +215,10 @@
             .flat_map(children)
             .flatten()
             .collect();
-        let mut all: Vec<_> = owned.iter_mut().chain([&mut self.log]).collect();
+        let mut all: Vec<_> = owned
+            .iter_mut()
+            .chain([&mut self.platform_process])
+            .collect();
         terminate_all(&mut all);
     }
 }
--- a/xtask/src/fleet/wait.rs
+++ b/xtask/src/fleet/wait.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Late`] when the condition is not met within `limit`.
-    pub async fn applied(&self, version: Version, limit: Duration) -> Result<u64, Error> {
+    pub async fn wait_applied(&self, version: Version, limit: Duration) -> Result<u64, Error> {
         let start = Instant::now();
         let mut last = 0;
         for i in self.running() {
@@ -131,7 +131,7 @@
             .await
             .is_err()
         {
-            self.log.check()?;
+            self.platform_process.check()?;
             if start.elapsed() > LISTEN_TIMEOUT {
                 return Err(Error::Late(
                     "the platform to listen".to_owned(),
--- a/xtask/src/mesh.rs
+++ b/xtask/src/mesh.rs
@@ -91,7 +91,7 @@
 
     /// Returns the indices of the instances that run the service of this kind.
     #[must_use]
-    pub fn numbers(&self, kind: Kind) -> Vec<usize> {
+    pub fn indices(&self, kind: Kind) -> Vec<usize> {
         let placed = self.placement().enumerate();
         placed
             .filter(|(_, service)| service.kind == kind)
