--- a/xtask/src/bench/convergence/followers.rs
+++ b/xtask/src/bench/convergence/followers.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use super::SERVICES;
-use crate::fleet::{Fleet, Role, program};
+use crate::fleet::{Fleet, Role, release_binary};
 use crate::{Child, Error, Usage, applied_at};
 
 const DOMAINS: [&str; 3] = ["norte", "sur", "callao"];
@@ -97,7 +97,7 @@
 
     pub(super) async fn wait_applied(&mut self, version: Version) -> Result<(), Error> {
         match self {
-            Self::Nodes(fleet) => fleet.applied(version, APPLY_TIMEOUT).await.map(drop),
+            Self::Nodes(fleet) => fleet.wait_applied(version, APPLY_TIMEOUT).await.map(drop),
             Self::Pollers { pollers, .. } => {
                 let start = Instant::now();
                 for poller in pollers {
@@ -200,5 +200,5 @@
 }
 
 fn current_program() -> PathBuf {
-    std::env::current_exe().unwrap_or_else(|_| program("xtask"))
+    std::env::current_exe().unwrap_or_else(|_| release_binary("xtask"))
 }
--- a/xtask/src/soak/run.rs
+++ b/xtask/src/soak/run.rs
@@ -228,8 +228,8 @@
             let highest = self.highest_versions.entry(i).or_insert(state.version);
             if state.version < *highest {
                 let detail = format!("{} after {highest} on instance {i}", state.version);
-                let promise = "no node moves back to an older version";
-                self.figures.promise(promise, detail, false);
+                let guarantee = "no node moves back to an older version";
+                self.figures.guarantee(guarantee, detail, false);
             }
             *highest = state.version.max(*highest);
         }
@@ -254,8 +254,8 @@
         for answer in report.told.iter().filter(|answer| answer.verdict != "good") {
             println!("    not served after the faults: {answer:?}");
         }
-        let promise = "everything is served once the faults are over";
-        audit::check_all_good(&mut self.figures, promise, &report);
+        let guarantee = "everything is served once the faults are over";
+        audit::check_all_good(&mut self.figures, guarantee, &report);
         Ok(())
     }
 
