--- a/crates/swiftcart-core/src/admission.rs
+++ b/crates/swiftcart-core/src/admission.rs
@@ -53,8 +53,9 @@
 /// At most `min(announced slots, the table's concurrency, the adaptive limit)` requests run
 /// concurrently. The rate that the backend server has named bounds the requests that start in a
 /// second. A short queue holds requests that are expected to start in time. All other requests are
-/// refused at once. The retry delay of a refusal follows from the expected time to drain the queue
-/// and to serve the callers refused before, so that callers do not retry in step.
+/// refused at once. The retry delay of a refusal for lack of slots or rate follows from the
+/// expected time to drain the queue and to serve the callers refused before, so that callers do not
+/// retry in step.
 ///
 /// Every ticket ends in exactly one way: by [`Admission::done`], by [`Admission::cancel`], by
 /// [`Admission::withdraw`], or by being returned as [`Refused`].
@@ -195,8 +196,8 @@
                     true | false => Admit::Refuse(self.link_busy_refusal()),
                 }
             }
-            // Queued requests do not have to go first: they were started while capacity was free.
-            // Those still queued have expired or wait for the link.
+            // No queued request has to go first: each one that could start was started when
+            // capacity became free. The others have expired or wait for the link.
             AdmissionState::Open if self.can_start(now) => {
                 Admit::Run(self.start_now(now, &request))
             }
@@ -215,7 +216,8 @@
 
     /// Starts the queued requests that can start now, and returns their tickets.
     ///
-    /// The link may have capacity again, or the rate limiter a token.
+    /// Call this method when the link may have capacity again or the rate limiter a token, since
+    /// neither starts a request by itself.
     pub fn resume(&mut self, now: Instant) -> Vec<Ticket> {
         self.start_queued(now)
     }
@@ -349,9 +351,11 @@
         })
     }
 
-    /// Returns the backend server's pace, once calls with a latency target have ended.
+    /// Returns the backend server's pace, or `None` before the first call with a latency target has
+    /// ended.
     ///
-    /// The ages of running calls reveal a slow backend server before any of these calls ends.
+    /// The ages of the running calls count, too. They reveal that the backend server has become
+    /// slow before any of these calls ends.
     #[must_use]
     pub fn pace(&self, now: Instant) -> Option<Pace> {
         let ages = self.running.values();
@@ -432,8 +436,8 @@
         Refusal::new(Reason::LinkBusy).with_retry(self.link_wait())
     }
 
-    /// Returns `true` if the queue has a place for a request of this urgency, which may be the
-    /// place of a less urgent request.
+    /// Returns `true` if the queue has a place for a request of this urgency. The place of a less
+    /// urgent request counts as free.
     fn has_room(&self, urgency: Urgency) -> bool {
         self.queue.ahead_of(urgency) < self.queue_capacity()
     }
@@ -558,9 +562,8 @@
     /// Creates the refusal of a request that neither a slot nor the queue can take.
     ///
     /// A request with a short queue wait goes on to another guard. It gets no retry delay, so that
-    /// it does not lengthen the retry delays of other requests. The exception is a throttled
-    /// request: its ingress sends this guard no requests until the named rate admits the next
-    /// one.
+    /// it does not lengthen the retry delays of other requests. A throttled request always gets
+    /// one: its ingress sends this guard no requests until the named rate admits the next one.
     fn refuse_busy<R: Rng + ?Sized>(
         &mut self,
         reason: Reason,
--- a/crates/swiftcart-core/src/admission/admission_state.rs
+++ b/crates/swiftcart-core/src/admission/admission_state.rs
@@ -1,6 +1,6 @@
 //! Admission state of a guard.
 
-/// Admission state of a guard, which decides about new and queued requests.
+/// State of a guard that determines the treatment of new and queued requests.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum AdmissionState {
     /// New requests are admitted.
--- a/crates/swiftcart-core/src/admission/egress_limiter.rs
+++ b/crates/swiftcart-core/src/admission/egress_limiter.rs
@@ -7,10 +7,10 @@
 /// Number of long responses allowed in flight beyond those that the link carries while the backend
 /// server produces one.
 ///
-/// Each extra response uses the link slightly better, but delays the other long responses by its
-/// send time (48 ms for 90 kB over 15 Mbit/s) and short responses by a part of the send time. With
-/// five extra responses, 705 of 6,985 short calls are late instead of 229, and no more long
-/// responses are served. With one extra response, 159 short calls are late.
+/// Each extra response makes slightly better use of the link, but delays the other long responses
+/// by its send time (48 ms for 90 kB over 15 Mbit/s) and short responses by a part of the send
+/// time. With five extra responses, 705 of 6,985 short calls are late instead of 229, and no more
+/// long responses are served. With one extra response, 159 short calls are late.
 const EXTRA_RESPONSES: f64 = 1.0;
 
 /// Weight of one response in the moving averages.
@@ -76,8 +76,8 @@
         self.in_flight = self.in_flight.saturating_add(1);
     }
 
-    /// Records that the head of a long response arrived `after` this time since the request was
-    /// forwarded.
+    /// Records that the head of a long response has arrived. `after` is the time since the request
+    /// was forwarded.
     ///
     /// `bytes` is the length of the response body, or 0 if the head does not state it.
     pub fn head(&mut self, after: Duration, bytes: u64) {
--- a/crates/swiftcart-core/src/admission/limit.rs
+++ b/crates/swiftcart-core/src/admission/limit.rs
@@ -5,14 +5,15 @@
 /// Weight of the latest unloaded window in the moving average of the unloaded latency.
 const BASE_WEIGHT: f64 = 0.5;
 
-/// Ratio to the known unloaded latency below which a new window counts as a lower latency, so that
-/// probes become more frequent.
+/// Ratio of the latest to the known unloaded latency below which the unloaded latency counts as
+/// lower. The gap between two probes is then halved.
 const BASE_DROP_RATIO: f64 = 0.8;
 
 /// Number of doublings from the shortest to the longest gap between two probes.
 const PROBE_DOUBLINGS: u32 = 4;
 
-/// Number of standard errors by which the mean of a slow window has to exceed the bound.
+/// Number of standard errors by which the mean latency of a window has to exceed the tolerated
+/// latency. Only then does the window lower the limit.
 const MIN_STD_ERRORS: f64 = 1.0;
 
 /// Factor by which a slow window lowers the limit.
@@ -41,7 +42,8 @@
     /// Maximum number of consecutive loaded samples before a probe, which lowers the load for a
     /// short time.
     pub probe_after: u32,
-    /// Number of unloaded samples in a window. A probe ends after the same number of samples.
+    /// Number of unloaded samples in a window. A probe ends after the same number of unloaded
+    /// samples.
     pub probe_samples: u32,
 }
 
@@ -61,16 +63,16 @@
 /// flight.
 ///
 /// The latency of a backend server that announces too many slots grows with the load. A sample is
-/// classified by the number of running requests at its start: up to half of the limit it is
-/// unloaded, above half of the limit it is loaded. The number at its end would bias the comparison.
-/// A short call is more likely to end before other calls arrive, so short calls would prevail among
-/// the unloaded samples.
+/// classified by the number of running requests at its start. With at most half of the limit the
+/// sample is unloaded, with more it is loaded. The number of running requests at the end of the
+/// call would bias the comparison: a short call is more likely to end before other calls arrive, so
+/// short calls would prevail among the unloaded samples.
 ///
 /// The two mean latencies are comparable for any mix of short and long requests, since the mix does
 /// not depend on the load. The minimum latency would depend on the mix.
 ///
-/// If the load never falls, there are no unloaded samples. The limit is then halved for a probe, until
-/// enough unloaded samples have been recorded. The gap between probes doubles as long as the
+/// If the load never falls, there are no unloaded samples. The limit is then halved for a probe,
+/// until enough unloaded samples have been recorded. The gap between probes doubles as long as the
 /// unloaded latency does not fall, since each probe costs about half of the slots for the time of a
 /// call.
 #[derive(Debug, Clone, PartialEq)]
@@ -170,7 +172,8 @@
         if self.since_unloaded >= self.probe_gap {
             self.since_unloaded = 0;
             self.probe_remaining = self.settings.probe_samples;
-            // Samples of the window may have started in the last probe and ended under load.
+            // Earlier samples are discarded: their calls may have started in the last probe and
+            // ended under load.
             self.unloaded = Window::default();
         }
         if self.loaded.count >= self.settings.window {
--- a/crates/swiftcart-core/src/admission/pace_estimator.rs
+++ b/crates/swiftcart-core/src/admission/pace_estimator.rs
@@ -11,7 +11,7 @@
 
 /// Share of the running calls' mean age that counts as a pace.
 ///
-/// In steady state the mean age is about the mean service time. At half of the mean age, random
+/// In steady state the mean age is about the mean service time. With half of the mean age, random
 /// variation hardly ever raises the pace.
 const OVERDUE_SHARE: f64 = 0.5;
 
@@ -20,7 +20,7 @@
 pub(super) struct PaceEstimator {
     /// Moving average of the service time of finished calls, as a multiple of their targets.
     mean: Option<f64>,
-    /// Number of finished calls. The first calls are averaged with equal weights.
+    /// Number of finished calls with a target. The first calls are averaged with equal weights.
     calls: u32,
 }
 
@@ -37,7 +37,7 @@
         *mean += weight * (ratio - *mean);
     }
 
-    /// Returns the pace, or `None` before the first call has ended.
+    /// Returns the pace, or `None` before the first call with a target has ended.
     ///
     /// `ages` are the ages of the running calls, as multiples of their targets.
     pub(super) fn pace(&self, ages: impl Iterator<Item = f64>) -> Option<Pace> {
--- a/crates/swiftcart-core/src/admission/request.rs
+++ b/crates/swiftcart-core/src/admission/request.rs
@@ -44,7 +44,7 @@
     Full,
 }
 
-/// Expected length of a response, as it matters for the instance's egress link.
+/// Expected length of a response, which determines its effect on the instance's egress link.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ResponseLength {
     /// A few kilobytes.
@@ -54,7 +54,7 @@
     Long,
 }
 
-/// Attributes of a request on which admission control decides.
+/// Attributes of a request that admission control takes into account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AdmissionRequest {
     /// Deadline of the response.
@@ -79,7 +79,7 @@
 }
 
 /// Sort key of queued requests: by priority, then requests that can meet their target before late
-/// ones, then by the end of the wait.
+/// ones, then by the end of the full queue wait.
 ///
 /// Under overload the queue is always full, so the order decides which requests are served at all.
 /// With half of the slots that the load needs, an order by target time served all nested calls with
--- a/crates/swiftcart-core/src/admission/running.rs
+++ b/crates/swiftcart-core/src/admission/running.rs
@@ -18,7 +18,7 @@
 }
 
 impl Running {
-    /// Returns the age of the request as a multiple of its target.
+    /// Returns the age of the request as a multiple of its target, or `None` if it has no target.
     pub(super) fn target_ratio(&self, now: Instant) -> Option<f64> {
         let ran = now.since(self.start);
         self.target.map(|target| target_ratio(ran, target))
--- a/crates/swiftcart-core/src/admission/service_times.rs
+++ b/crates/swiftcart-core/src/admission/service_times.rs
@@ -4,8 +4,8 @@
 
 use super::EWMA_WEIGHT;
 
-/// Share by which the minimum service time grows with each sample, so that it follows a rising
-/// minimum.
+/// Share by which the recorded minimum service time grows with each sample, so that it follows a
+/// backend server that becomes slower.
 const MIN_DRIFT: f64 = 0.001;
 
 /// Moving average and minimum of the service time of calls.
--- a/crates/swiftcart-core/src/balance.rs
+++ b/crates/swiftcart-core/src/balance.rs
@@ -39,7 +39,8 @@
     pub failure_threshold: u32,
     /// Duration of the first ejection. Each further ejection lasts twice as long.
     pub base_ejection: Duration,
-    /// Maximum duration of an ejection. The ejection count is reset after this time without one.
+    /// Maximum duration of an ejection. The ejection count is reset after this time without an
+    /// ejection.
     pub max_ejection: Duration,
     /// Maximum share of a service's candidates that may be ejected at once.
     pub max_ejected: f64,
@@ -68,7 +69,7 @@
     /// A backend server of the same failure domain.
     Near,
     /// A backend server of another failure domain, because the node's own domain has no candidates,
-    /// is ejected or full, or is much slower.
+    /// only ejected or full ones, or much slower ones.
     Spill,
     /// A backend server of another region, because the node's own region has no candidates or is
     /// much slower.
@@ -96,10 +97,10 @@
     ///
     /// Traffic between failure domains costs about 0.015 of the value of a short response per
     /// kilobyte, or 0.035 for a request with its response. For calls whose latencies have a spread
-    /// of 0.8 around a quarter to a half of the target, adding one target to the mean makes 0.2 to
-    /// 0.35 more of them late. A late response has lost 0.7 to 0.9 of its value, so the other
-    /// domain has to save a sixth to a quarter of the target. An upload of 60 kB costs half of its
-    /// value, which no gain in latency outweighs.
+    /// of 0.8 around a quarter to a half of the target, adding one target to the mean increases the
+    /// share of late responses by 0.2 to 0.35. A late response has lost 0.7 to 0.9 of its value, so
+    /// the other domain has to save a sixth to a quarter of the target. An upload of 60 kB costs
+    /// half of its value, which no gain in latency outweighs.
     const fn penalty(self) -> f64 {
         match self {
             Self::Light => 0.2,
@@ -140,16 +141,17 @@
 /// candidates of the same failure domain are compared by `(running + 1) * latency * (1 + usage) *
 /// (1 + failure rate)`. A reported load can only raise this score, so a backend server that claims
 /// to be idle gains nothing over one that reports no load. Other failure domains are used when the
-/// node's own domain has no candidates, is ejected or is full. A failure domain is skipped for one
-/// second after connections to two of its nodes have failed. Once guards report the pace of their
-/// backend servers, the expected latency replaces the score. Another failure domain is then also
-/// used when its expected latency is lower by more than the cost of the detour.
+/// node's own domain has no candidates, or only ejected or full ones. A failure domain is skipped
+/// for one second after connections to two of its nodes have failed. Once guards report the pace of
+/// their backend servers, the expected latency replaces the score. Another failure domain is then
+/// also used when its expected latency is lower by more than the cost of the detour.
 ///
 /// The state is one entry for each candidate of the view last passed to [`Balancer::adopt`], and
-/// for each departed candidate with calls in flight. The run time of every method except `adopt`
-/// does not depend on the number of candidates, unless most of them are ejected. No method blocks:
-/// a node keeps the balancer behind a mutex that is locked for each method call and never held
-/// across an await.
+/// for each departed candidate with calls in flight. Apart from `adopt`, the run time of a method
+/// depends on the number of candidates only in three cases: an ejection, a selection while most
+/// candidates are not usable, and a selection for a service with canary backend servers. No method
+/// blocks: a node keeps the balancer behind a mutex that is locked for each method call and never
+/// held across an await.
 ///
 /// # Examples
 ///
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Replaces the candidates by those of a new view and removes the ones that have left.
+    /// Replaces the candidates by those of a new view. Candidates that have left are removed once
+    /// no calls to them are in flight.
     ///
     /// New candidates go through slow start, unless no candidate of their service was known before.
     pub fn adopt(&mut self, now: Instant, view: &View) {
--- a/crates/swiftcart-core/src/balance/pace_announcer.rs
+++ b/crates/swiftcart-core/src/balance/pace_announcer.rs
@@ -11,8 +11,8 @@
 
 /// Minimum interval between two announcements of a node.
 ///
-/// An announcement costs every node about one hundred bytes and a new view. If all of 970 nodes
-/// announced at once, that would be 500 announcements per second.
+/// An announcement costs every node about one hundred bytes and a new view. If each of 970 nodes
+/// announced at this interval, that would be about 500 announcements per second.
 const MIN_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Rate limiter for announcements of the pace of a node's backend server.
--- a/crates/swiftcart-core/src/balance/peer.rs
+++ b/crates/swiftcart-core/src/balance/peer.rs
@@ -14,25 +14,26 @@
 /// Factor by which a failure rate of 1 raises the score.
 const FAILURE_RATE_WEIGHT: f64 = 10.0;
 
-/// Exponent of the usage in the expected latency. At half of its slots a backend server is expected
-/// to take a sixteenth longer, at nine tenths two thirds longer.
+/// Exponent of the usage in the expected latency. With half of its slots in use, a backend server
+/// is expected to take a sixteenth longer, with nine tenths in use two thirds longer.
 const USAGE_EXPONENT: i32 = 4;
 
 /// Usage assumed after a refusal, which means that the guard has neither a slot nor queue space
 /// left.
 const REFUSED_USAGE: f64 = 1.5;
 
-/// Time for which long responses avoid a link that had no room for one. It is the time of about
-/// four responses of 90 kB over 15 Mbit/s, after which the link is likely to have room again.
+/// Time for which requests with a long response avoid a guard whose link had no room for one. It is
+/// the time of about four responses of 90 kB over 15 Mbit/s, after which the link is likely to have
+/// room again.
 const LINK_BUSY_PERIOD: Duration = Duration::from_millis(200);
 
 /// Maximum time for which a rate-limited guard is avoided. With a longer time, an increased rate
 /// would be noticed late.
 const MAX_RATE_LIMIT_WAIT: Duration = Duration::from_secs(2);
 
-/// Failures that a failed connection counts for. By default two in a row eject a backend server,
-/// because a failed connection says more than a missing response, and a retry after the ejection
-/// costs no more than the connection attempt.
+/// Number of failures that one failed connection counts as. With the default threshold, two failed
+/// connections in a row eject a backend server, because a failed connection says more than a
+/// missing response, and a retry after the ejection costs no more than the connection attempt.
 const UNREACHABLE_FAILURES: u32 = 3;
 
 /// Maximum number of doublings of the ejection time.
@@ -59,7 +60,7 @@
     announced: Option<Pace>,
     /// Time of the last refusal of a long response for lack of link capacity.
     link_busy: Option<Instant>,
-    /// End of the time for which the guard accepts no requests of this node because of a rate
+    /// End of the time for which the guard accepts no requests from this node because of a rate
     /// limit.
     limited_until: Option<Instant>,
     failure_rate: f64,
@@ -161,7 +162,7 @@
         self.announced = announced;
     }
 
-    /// Ejects the backend server for twice as long as the last time.
+    /// Ejects the backend server for twice as long as the last time, up to the maximum duration.
     pub(super) fn eject(&mut self, now: Instant, s: &BalanceSettings) {
         let factor = 1 << self.ejections.min(MAX_DOUBLINGS);
         let time = s.base_ejection.saturating_mul(factor).min(s.max_ejection);
@@ -187,7 +188,7 @@
 
     /// Returns `true` if the backend server may be selected.
     ///
-    /// After an ejection it gets one call at a time until a call succeeds.
+    /// After an ejection the backend server gets one call at a time until a call succeeds.
     pub(super) fn usable(&self, now: Instant, failure_threshold: u32) -> bool {
         let trial = self.ejected_until.is_some() && self.failure_streak >= failure_threshold;
         !self.ejected(now) && (!trial || self.running == 0)
@@ -216,7 +217,7 @@
             .is_some_and(|then| now.since(then) < LINK_BUSY_PERIOD)
     }
 
-    /// Returns `true` while the guard's rate limit allows no requests of this node.
+    /// Returns `true` while the guard's rate limit allows no requests from this node.
     pub(super) fn is_rate_limited(&self, now: Instant) -> bool {
         self.limited_until.is_some_and(|until| now < until)
     }
--- a/crates/swiftcart-core/src/balance/sample.rs
+++ b/crates/swiftcart-core/src/balance/sample.rs
@@ -16,7 +16,7 @@
 }
 
 impl Load {
-    /// Returns the requests per slot. A new request has to wait at 1 and above.
+    /// Returns the requests per slot. At 1 and above, a new request has to wait.
     ///
     /// # Examples
     ///
@@ -67,7 +67,7 @@
     Success,
     /// The response was incomplete or did not arrive in time.
     Failure,
-    /// The connection failed. Other nodes are likely to be unable to connect either.
+    /// The connection failed. Connections from other nodes are likely to fail, too.
     Unreachable,
     /// The guard refused the call. The backend server is not at fault.
     Refused,
@@ -98,7 +98,7 @@
 }
 
 impl Sample {
-    /// Creates a sample without a load.
+    /// Creates a sample with only a latency and a result.
     #[must_use]
     pub const fn new(latency: Duration, result: CallResult) -> Self {
         Self {
--- a/crates/swiftcart-core/src/balance/selection.rs
+++ b/crates/swiftcart-core/src/balance/selection.rs
@@ -6,7 +6,8 @@
 use super::{Balancer, Payload, Pick, PickRequirements, PickRule};
 use crate::{Candidate, Instant, NodeId, ServiceEntry};
 
-/// Random draws for one selection before the candidates are scanned in order.
+/// Maximum number of random draws for a usable candidate before the candidates are scanned in
+/// order, and maximum number of further draws for a candidate that passes slow start.
 const MAX_DRAWS: usize = 8;
 
 /// Number of random candidates that are compared.
@@ -29,8 +30,8 @@
 /// Load of a canary backend server relative to the others. Some releases fail only at full load.
 const CANARY_LOAD: f64 = 1.3;
 
-/// Maximum fraction of a service's requests that is offered to canary backend servers. It applies
-/// where the service has hardly any others.
+/// Maximum fraction of a service's requests that is offered to canary backend servers. It takes
+/// effect if the service has hardly any other backend servers.
 const MAX_CANARY_SHARE: f64 = 0.5;
 
 /// Fixed inputs of one selection.
@@ -103,8 +104,8 @@
 
     /// Returns a canary backend server for a random fraction of the requests.
     ///
-    /// The fraction gives each canary slightly more load than the other backend servers get. Guards
-    /// refuse requests in excess of the credit of their canary.
+    /// The fraction gives each canary slightly more load than the other backend servers get. A
+    /// guard refuses requests beyond the request limit of its canary.
     fn canary<R: Rng + ?Sized>(
         &self,
         entry: &'a ServiceEntry,
@@ -183,7 +184,7 @@
     /// Returns the best of a few random candidates.
     ///
     /// Slow start is applied to each draw, so that a newly discovered candidate gets no more than
-    /// its share in a small group either.
+    /// its share even in a small group.
     fn best<R: Rng + ?Sized>(
         &self,
         all: &'a [Candidate],
@@ -229,7 +230,7 @@
         tail.iter().chain(head).find_map(usable)
     }
 
-    /// Returns a random candidate, whether or not it is ejected.
+    /// Returns a random candidate that is allowed and not excluded, even if it is ejected.
     fn any_candidate<R: Rng + ?Sized>(&self, all: &'a [Candidate], rng: &mut R) -> Option<Pick> {
         if all.is_empty() {
             return None;
--- a/crates/swiftcart-core/src/balance/unreachable_domains.rs
+++ b/crates/swiftcart-core/src/balance/unreachable_domains.rs
@@ -5,10 +5,10 @@
 
 use crate::{DomainTag, Instant, NodeId};
 
-/// Failed nodes of one failure domain after which the whole domain is considered unreachable.
+/// Minimum number of failed nodes at which a whole failure domain is considered unreachable.
 ///
-/// A single failed node is not conclusive. Two at once usually mean that the domain is cut off, and
-/// skipping the domain costs little if it is not.
+/// A single failed node is not conclusive. Two at once usually mean that the domain is cut off. If
+/// it is not cut off, skipping it costs little.
 const MIN_FAILED_NODES: usize = 2;
 
 /// Time for which a failed connection counts, and for which its failure domain is then skipped.
--- a/crates/swiftcart-core/src/deadline.rs
+++ b/crates/swiftcart-core/src/deadline.rs
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// [`DeadlineError::Malformed`] if `text` is not a whole number.
+    /// Returns [`DeadlineError::Malformed`] if `text` is not a whole number.
     pub fn parse(now: Instant, text: &str, longest: Duration) -> Result<Self, DeadlineError> {
         let ms = text.trim().parse().map_err(DeadlineError::Malformed)?;
         Ok(Self::new(now, Duration::from_millis(ms).min(longest)))
--- a/crates/swiftcart-core/src/outcome.rs
+++ b/crates/swiftcart-core/src/outcome.rs
@@ -11,7 +11,8 @@
 pub enum Outcome {
     /// The backend server gave a complete answer.
     Done,
-    /// The request never reached a backend server.
+    /// The request did not reach a backend server, or the backend server stated that it did not run
+    /// the request.
     NotRun,
     /// The request was handed over, and no complete answer came back.
     Unknown,
--- a/crates/swiftcart-core/src/profile.rs
+++ b/crates/swiftcart-core/src/profile.rs
@@ -44,7 +44,8 @@
 }
 
 impl RouteProfile {
-    /// Records the time limit of a request and returns how long its caller has been trying.
+    /// Records the time limit of a request and returns the estimated time since the caller's first
+    /// attempt.
     pub fn age(&mut self, time_limit: Duration) -> Duration {
         self.age_estimator.age(time_limit)
     }
--- a/crates/swiftcart-core/src/profile/request_age.rs
+++ b/crates/swiftcart-core/src/profile/request_age.rs
@@ -14,10 +14,10 @@
 /// same millisecond value among a few hundred are common, eight are not.
 const MIN_COUNT: u32 = 8;
 
-/// Divisor of the highest count: a time limit with at least this fraction of it also belongs to
-/// first attempts.
+/// Divisor of the highest count. A time limit with at least the resulting count is also attributed
+/// to first attempts.
 ///
-/// The fraction allows for callers of one route with different time limits. It excludes retries
+/// The divisor allows for callers of one route with different time limits. It excludes retries
 /// after refusals with a fixed retry delay, whose time limits cluster within a few milliseconds.
 const FIRST_ATTEMPT_DIVISOR: u32 = 3;
 
--- a/crates/swiftcart-core/src/profile/store.rs
+++ b/crates/swiftcart-core/src/profile/store.rs
@@ -5,8 +5,9 @@
 use super::RouteProfile;
 use crate::RouteKey;
 
-/// Maximum number of stored route profiles of about 250 bytes each. Traffic concentrates on a few
-/// routes, and the profile of a removed route is rebuilt after a few requests.
+/// Maximum number of stored route profiles of about 250 bytes each. One more route removes all
+/// stored profiles. Traffic concentrates on a few routes, and a removed profile is rebuilt after a
+/// few requests.
 const MAX_ROUTES: usize = 512;
 
 /// Profiles of the routes of a node.
--- a/crates/swiftcart-core/src/rate.rs
+++ b/crates/swiftcart-core/src/rate.rs
@@ -58,7 +58,8 @@
     retry_scheduler: RetryScheduler,
 }
 
-/// Staggered retry delays of refused callers, so that each caller gets a later time.
+/// Scheduler that staggers the retry delays of refused callers, so that each caller gets a later
+/// time.
 ///
 /// The scheduler counts the callers expected to retry. The count decreases at the rate at which
 /// retries can be served.
@@ -200,7 +201,8 @@
         self.pending = (self.pending - elapsed * rate).max(0.0) + 1.0;
         let jitter = 1.0 + JITTER * rng.random::<f64>();
         let secs = (wait.as_secs_f64() + self.pending / rate) * jitter;
-        // Delays beyond the maximum cannot keep the callers in order, so they are only spread.
+        // Delays beyond the maximum cannot keep the callers in order. They are replaced by random
+        // ones between half of the maximum and the maximum.
         let capped = max_delay * (0.5 + 0.5 * rng.random::<f64>());
         self.pending = self.pending.min(max_delay * rate);
         Duration::from_secs_f64(if secs < max_delay { secs } else { capped })
--- a/crates/swiftcart-core/src/refusal_history.rs
+++ b/crates/swiftcart-core/src/refusal_history.rs
@@ -13,9 +13,9 @@
 
 /// History of refused requests, used to find the first attempt of a retried request.
 ///
-/// A retry has the same head as the first attempt, and may differ from one only in its remaining
-/// time. Each refusal matches at most one later request. If many callers send the same head, no
-/// more of them count as retrying than were refused.
+/// A retry has the same head as the first attempt, except that the remaining time may differ. Each
+/// refusal matches at most one later request. If many callers send the same head, no more of them
+/// count as retrying than were refused.
 ///
 /// # Examples
 ///
@@ -31,7 +31,7 @@
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct RefusalHistory {
-    /// Times of the first attempts of refused requests, earliest first.
+    /// Times of the first attempts of refused requests, in the order of the refusals.
     first_attempts: HashMap<HeadHash, VecDeque<Instant>>,
     /// Remembered refusals in the order of their time.
     order: VecDeque<(Instant, HeadHash)>,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Removes the oldest refusal. If it has already been matched, a later refusal of the same head
-    /// was removed from `first_attempts` in its place.
+    /// Removes the oldest refusal. If this refusal has already been matched, it is only removed
+    /// from `order`: its entry in `first_attempts` was removed by the match.
     fn drop_oldest(&mut self) {
         let Some((_, head)) = self.order.pop_front() else {
             return;
--- a/crates/swiftcart-core/src/retry.rs
+++ b/crates/swiftcart-core/src/retry.rs
@@ -10,7 +10,7 @@
 /// Maximum number of attempts of one call over all levels of the call chain.
 pub const MAX_ATTEMPTS: u8 = 3;
 
-/// Number of attempts of a call that preceded this one, over all levels of the call chain.
+/// Number of preceding attempts of the same call, over all levels of the call chain.
 ///
 /// The number is forwarded with the call. A level that receives a call with an attempt above
 /// [`Attempt::FIRST`] does not retry it.
@@ -195,7 +195,7 @@
     reached: Vec<NodeId>,
     /// Number of times that a backend server received, or may have received, the request.
     sent: u8,
-    /// Attempts refused by a guard.
+    /// Number of attempts that reached no backend server, for example because a guard refused them.
     refused: u8,
     /// `true` if the budget has already been charged for the next attempt that reaches a backend
     /// server.
--- a/crates/swiftcart-core/src/time.rs
+++ b/crates/swiftcart-core/src/time.rs
@@ -59,8 +59,8 @@
 
 /// Point in time on the platform's clock, in Unix milliseconds.
 ///
-/// The platform stamps each record with this time. It never decreases along a stream, and is never
-/// compared with a node's clock.
+/// The platform stamps each record with its time. The time never decreases along a stream, and is
+/// never compared with a node's clock.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/warmup.rs
+++ b/crates/swiftcart-core/src/warmup.rs
@@ -173,8 +173,8 @@
         self.limit = limit;
     }
 
-    /// Sets the time until which the backend server announced itself as cold. An assumption by
-    /// [`assume_cold`](Self::assume_cold) ends.
+    /// Sets the time until which the backend server announced itself as cold, and ends an
+    /// assumption made by [`assume_cold`](Self::assume_cold).
     pub fn set_cold_until(&mut self, until: Instant) {
         self.cold_until = until;
         self.assumed_until = Instant::default();
