--- a/crates/swiftcart-core/src/account.rs
+++ b/crates/swiftcart-core/src/account.rs
@@ -1,8 +1,8 @@
 //! Client accounts: identification by API key, and request quotas over the whole mesh.
 //!
 //! The ingress finds the account by the caller's API key and counts the request. One node runs the
-//! account's [`QuotaLedger`]: it adds up the counts of all nodes and sends them the ratio of the
-//! account's requests to admit. No request waits for a reply from the ledger.
+//! account's [`QuotaLedger`]. The ledger adds up the counts of all nodes and sends the nodes the
+//! ratio of the account's requests to admit. No request waits for a reply from the ledger.
 
 mod directory;
 mod entry;
--- a/crates/swiftcart-core/src/account/meter.rs
+++ b/crates/swiftcart-core/src/account/meter.rs
@@ -9,7 +9,7 @@
 use crate::rate::RetryScheduler;
 use crate::{Instant, RateShare, Reason, Refusal};
 
-/// Maximum delay of a report to the ledger.
+/// Maximum delay of a report to the ledger about an account that is not limited.
 const MAX_REPORT_DELAY: Duration = Duration::from_millis(300);
 
 /// Number of requests since the last report that triggers a report at once. For an account with a
@@ -306,8 +306,8 @@
     }
 
     /// Starts a new epoch without the counts that were reported and not answered. The equal shares
-    /// of all nodes already stay within the quota. The ledger would deduct them a second time if
-    /// they were reported later.
+    /// of all nodes already stay within the quota. If these counts were reported later, the ledger
+    /// would deduct them a second time.
     fn start_epoch(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
         self.started = self.reported.sent;
--- a/crates/swiftcart-core/src/crash/detector.rs
+++ b/crates/swiftcart-core/src/crash/detector.rs
@@ -35,7 +35,8 @@
     pub runs: Vec<T>,
 }
 
-/// Detector that tells a crash of a backend server from connections that break while it runs.
+/// Detector that tells a crash of a backend server from connections that break while the backend
+/// server runs.
 ///
 /// A lost answer alone is no proof of a crash, because connections are also reset for other
 /// reasons. The backend server counts as crashed if, after a lost answer, its address refuses
@@ -144,12 +145,12 @@
         }
     }
 
-    /// Records that the backend server's address refuses connections. Returns the crash that this
-    /// proves, with the id `id`.
+    /// Records that the backend server's address refuses connections. If this proves a crash,
+    /// returns the crash with the id `id`.
     ///
     /// A refused connection alone may be a short overload. It proves a crash only after a lost
-    /// answer. All requests in flight have ended then as well, even if their connections have not
-    /// reported it yet.
+    /// answer. All requests in flight have then failed as well, even if their connections have not
+    /// reported an error yet.
     pub fn connect_refused(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
         if self.state != State::Running || self.lost.is_empty() {
             return None;
@@ -160,8 +161,8 @@
         (!runs.is_empty()).then_some(Crash { id, runs })
     }
 
-    /// Records that a later process has replaced the backend server. Returns the crash that this
-    /// proves, with the id `id`.
+    /// Records that a later process has replaced the backend server. If this proves a crash,
+    /// returns the crash with the id `id`.
     ///
     /// Requests in flight are not part of the crash, because they may still be answered.
     pub fn replaced(&mut self, now: Instant, id: CrashId) -> Option<Crash<T>> {
--- a/crates/swiftcart-core/src/crash/finding.rs
+++ b/crates/swiftcart-core/src/crash/finding.rs
@@ -6,10 +6,11 @@
 
 use super::{CrashId, Fingerprint};
 
-/// Maximum size of the findings in one datagram, in bytes. The rest is for the seal and the digest.
+/// Maximum size of the findings in one datagram, in bytes. The rest of the datagram is reserved for
+/// the format number, the authentication tag and the digest.
 const MAX_FINDINGS_BYTES: usize = 1000;
 
-/// Maximum number of fingerprints in one finding. With a body hash a fingerprint takes about 20
+/// Maximum number of fingerprints in one finding. A fingerprint with a body hash takes about 20
 /// bytes, so that the finding fits into one datagram.
 const MAX_FINGERPRINTS: usize = 40;
 
--- a/crates/swiftcart-core/src/crash/history.rs
+++ b/crates/swiftcart-core/src/crash/history.rs
@@ -52,7 +52,7 @@
     pub rounds: u32,
 }
 
-/// Crashes at which one request was running, each with the calling services.
+/// Crashes at which one request was running, each with the services that had sent the request.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct Suspect(BTreeMap<CrashId, BTreeSet<CallerHash>>);
 
@@ -73,7 +73,8 @@
     }
 }
 
-/// Crashes by id and suspects by request: two indexes of the same relation.
+/// Known crashes by id, and the crashes of each suspect by request. Both maps hold the same pairs
+/// of crash and fingerprint.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) struct CrashHistory {
     crashes: BTreeMap<CrashId, CrashEntry>,
@@ -89,7 +90,7 @@
         self.crashes.iter()
     }
 
-    /// Returns the crashes that are still forwarded.
+    /// Returns the crashes that are to be forwarded in at least one more gossip round.
     pub fn due(&mut self) -> impl Iterator<Item = (&CrashId, &mut CrashEntry)> {
         self.crashes
             .iter_mut()
--- a/crates/swiftcart-core/src/crash/quarantine.rs
+++ b/crates/swiftcart-core/src/crash/quarantine.rs
@@ -74,9 +74,10 @@
 /// running. A request is held if it is the only one common to three crashes, or if it was running
 /// at four crashes regardless of the others. No node hands a held request to a backend server.
 ///
-/// Three rules protect requests that merely ran at the same time:
+/// Three rules protect requests that merely ran at the same time as the cause:
 ///
-/// - A crash counts only against the running requests that were at the most crashes.
+/// - A crash counts only against those of the running requests that were running at the most
+///   crashes.
 /// - A crash at which a held request was running counts against no other request.
 /// - A request that completes on any backend server is cleared on all nodes.
 ///
@@ -179,8 +180,8 @@
     /// Returns `true` if a request that has just crashed a backend server is expected to crash the
     /// next one too.
     ///
-    /// A request that shared each of its crashes with the same other request is expected to do so
-    /// only after `MIN_SHARED_CRASHES`.
+    /// A request that shared each of its crashes with the same other request is expected to crash
+    /// the next one only after `MIN_SHARED_CRASHES`.
     #[must_use]
     pub fn would_crash_again(&self, request: RequestDigest) -> bool {
         let suspect = self.crashes.suspect(request);
@@ -341,7 +342,8 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Returns the time for which a request is held after the last of its crashes.
+    /// Returns the time for which a request is held after the last of its crashes, or `None` if its
+    /// crashes do not suffice to hold it.
     fn hold_time(&self, suspect: &Suspect) -> Option<Duration> {
         if suspect.len() < MIN_CRASHES {
             return None;
--- a/crates/swiftcart-core/src/crash/record.rs
+++ b/crates/swiftcart-core/src/crash/record.rs
@@ -8,8 +8,8 @@
 
 /// Persistent record of a held request and its crashes, with wall-clock times.
 ///
-/// Monotonic clocks of processes that start later are not comparable. A wall clock that is off by a
-/// few seconds lengthens or shortens the hold by the same time.
+/// The monotonic clock of this process is not comparable with that of a process that starts later.
+/// A wall clock that is off by a few seconds lengthens or shortens the hold by the same time.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/member/dissemination.rs
+++ b/crates/swiftcart-core/src/member/dissemination.rs
@@ -143,10 +143,10 @@
         self.updates.fill(first, budget, transmit_limit, wanted)
     }
 
-    /// Returns a beat for `to`.
+    /// Returns a heartbeat for `to`.
     ///
-    /// The beat begins with the status of `to` unless `to` is alive, so that `to` can refute it, or
-    /// with the own entry if `to` is unknown.
+    /// The heartbeat begins with the status of `to` unless `to` is alive, so that `to` can refute
+    /// it, or with the own entry if `to` is unknown.
     pub(super) fn beat(&mut self, to: NodeId, mut first: Vec<MemberUpdate>) -> Heartbeat {
         match self.list.get(to) {
             Some(m) if m.liveness != Liveness::Alive => first.insert(0, status_of(m)),
@@ -170,7 +170,7 @@
             return;
         }
         let max_gap = self.settings.pull_after * 2;
-        // Other nodes pull from other failure domains only if the delegates fail.
+        // Nodes that are not delegates pull from other failure domains only if the delegates fail.
         let cross_domain = !self.is_same_domain(peer) && !self.is_delegate();
         let mismatch = match cross_domain {
             true => &mut self.cross_mismatch,
--- a/crates/swiftcart-core/src/member/list.rs
+++ b/crates/swiftcart-core/src/member/list.rs
@@ -167,8 +167,8 @@
 
     /// Applies a status update.
     ///
-    /// A status with a greater incarnation follows an entry that this list lacks. The status is
-    /// applied only if the node has died or left.
+    /// A status with a greater incarnation follows an entry that this list lacks. Such a status is
+    /// applied only if it states that the node has died or left.
     fn apply_status(&mut self, now: Instant, status: Status) -> ApplyOutcome {
         let update = (status.incarnation, status.liveness);
         let Some(known) = self.get(status.id) else {
--- a/crates/swiftcart-core/src/member/membership.rs
+++ b/crates/swiftcart-core/src/member/membership.rs
@@ -212,8 +212,9 @@
 
     /// Merges the entries of a pull.
     ///
-    /// Changed entries are not gossiped, since every node compares lists itself. A delegate gossips
-    /// them, since the other nodes of its failure domain have no other source for the changes.
+    /// Only a delegate gossips the changed entries, since the other nodes of its failure domain
+    /// have no other source for the changes. Other nodes do not, since every node compares lists
+    /// itself.
     pub fn merge(&mut self, now: Instant, entries: Vec<Member>) -> Vec<Action> {
         self.init_timers(now);
         let gossips = self.merged && self.is_delegate();
@@ -300,8 +301,9 @@
 
     /// Returns the nodes to which a broadcast to the whole mesh is sent in this round.
     ///
-    /// These are some nodes of the own failure domain and, at random, one node of another failure
-    /// domain. The originator (`own`) sends to one node of every other failure domain instead.
+    /// These are some nodes of the own failure domain and, in rounds chosen at random, one node of
+    /// another failure domain. The originator (`own`) sends to one node of every other failure
+    /// domain instead.
     pub fn broadcast_targets(&mut self, own: bool) -> Vec<NodeId> {
         let mut targets = self.domain_peers(self.settings.fanout);
         match own {
@@ -348,7 +350,8 @@
     ///
     /// The answer contains the own entry if the sender is unknown or sent its own entry.
     fn answer_probe(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Heartbeat {
-        // A node that probes this node while it is alone has the member list that this node lacks.
+        // A node that probes this node while this node is alone has the member list that this node
+        // lacks.
         self.synced = self.merged || (self.synced && !self.is_alone());
         let own_entry = |u: &MemberUpdate| u.id() == from && matches!(u, MemberUpdate::Entry(_));
         let introduced = self.list.get(from).is_none() || beat.news.iter().any(own_entry);
@@ -359,7 +362,7 @@
         self.beat(from, replies)
     }
 
-    /// Processes a beat and returns the updates that its sender lacks.
+    /// Processes a heartbeat and returns the updates that its sender lacks.
     fn process_beat(&mut self, now: Instant, from: NodeId, beat: Heartbeat) -> Vec<MemberUpdate> {
         let replies = self.apply_all(now, beat.news);
         self.compare_hash(now, from, beat.hash);
--- a/crates/swiftcart-core/src/member/prober.rs
+++ b/crates/swiftcart-core/src/member/prober.rs
@@ -20,8 +20,8 @@
 /// Minimum interval between probes for returning nodes.
 const MIN_REJOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Minimum interval per live node, so that all nodes together send at most 50 of these probes per
-/// second.
+/// Minimum interval between probes for returning nodes, per live node, so that all nodes together
+/// send at most 50 of these probes per second.
 const MIN_INTERVAL_PER_NODE: Duration = Duration::from_millis(20);
 
 impl Membership {
--- a/crates/swiftcart-core/src/member/settings.rs
+++ b/crates/swiftcart-core/src/member/settings.rs
@@ -25,7 +25,7 @@
     pub suspicion_timeout: Duration,
     /// Number of nodes asked to probe a target indirectly.
     pub indirect: usize,
-    /// Number of probes of which one goes to another failure domain.
+    /// One in this number of probes goes to another failure domain.
     pub cross_interval: u32,
     /// Maximum bytes of updates in one datagram.
     pub update_bytes: usize,
--- a/crates/swiftcart-core/src/member/succession.rs
+++ b/crates/swiftcart-core/src/member/succession.rs
@@ -62,7 +62,7 @@
     Late,
     /// The process has left, or another backend server has replaced it.
     Retired,
-    /// The announcement lacks the start time that earlier announcements had.
+    /// The announcement lacks the start time that recent announcements had.
     MissingStart,
 }
 
@@ -109,7 +109,8 @@
 /// A greater start time replaces a smaller one of the same id, regardless of the sequence numbers.
 /// A smaller start time is late. Sequence numbers order the announcements with the same start time
 /// and those without a start time. A departure ends the process with the given start time and all
-/// earlier ones. Once a start time was announced, announcements without a start time are rejected.
+/// earlier ones. For 20 s after an announcement with a start time, announcements without a start
+/// time are rejected.
 ///
 /// A clock that was set back between two starts makes the later process appear older. That process
 /// is accepted after 20 s without an announcement of the newest start time.
@@ -182,8 +183,9 @@
     /// Records the departure of the backend server `id`; returns `true` if it was the current one.
     ///
     /// The departure ends the process with the start time `start` and all earlier ones. Without
-    /// `start`, it ends the current process of the id and all earlier ones. If the id is not the
-    /// current one, it ends all processes of the id that started by `wall_clock`.
+    /// `start`, the departure ends the current process of the id and all earlier ones. If the id is
+    /// not the current one, the departure ends all processes of the id that started by
+    /// `wall_clock`.
     pub fn leave(
         &mut self,
         now: Instant,
--- a/crates/swiftcart-core/src/member/suspicion.rs
+++ b/crates/swiftcart-core/src/member/suspicion.rs
@@ -10,7 +10,7 @@
 
 /// Number of additional probes of a suspected node before it is declared dead.
 ///
-/// The acknowledgement carries a refutation that was lost on its way to this node.
+/// The acknowledgement of such a probe repeats a refutation that was lost on its way to this node.
 const CONFIRMATION_PROBES: u32 = 2;
 
 /// Maximum number of suspected nodes that receive an additional probe in one tick.
--- a/crates/swiftcart-core/src/member/view.rs
+++ b/crates/swiftcart-core/src/member/view.rs
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Tells whether a failure domain is unreachable from this node.
+    /// Returns `true` if a failure domain is unreachable from this node.
     #[must_use]
     pub fn is_cut(&self, domain: &FailureDomain) -> bool {
         self.reachability.is_unreachable(domain)
--- a/crates/swiftcart-core/src/rollout/analysis.rs
+++ b/crates/swiftcart-core/src/rollout/analysis.rs
@@ -3,16 +3,16 @@
 //! Old and new backend servers are compared over the same period, so that a fault of the whole
 //! service is not attributed to the release. A fault of single backend servers may also hit new
 //! ones by chance. A release therefore counts as a regression only if most of its backend servers
-//! are worse than the old ones, and if a random choice of the affected backend servers is unlikely
-//! to have picked just these.
+//! are worse than the old ones, and if a fault that hits backend servers at random is unlikely to
+//! hit all those that are worse.
 
 use super::{RouteStats, RouteTag};
 
-/// Log-likelihood ratio beyond which a finding is certain, with a chance of error of one in
-/// a thousand.
+/// Log-likelihood ratio beyond which a finding counts as certain. The chance of error is one in a
+/// thousand.
 const STRONG_LOG_RATIO: f64 = 6.9;
 
-/// Log-likelihood ratio beyond which a finding is likely, with a chance of error of one in
+/// Log-likelihood ratio beyond which a finding counts as likely. The chance of error is one in
 /// twenty.
 const WEAK_LOG_RATIO: f64 = 3.0;
 
@@ -20,8 +20,8 @@
 /// Healthy backend servers fail one request in 250.
 const ALLOWED_FAILURE_SHARE: f64 = 0.02;
 
-/// Excess share of failures expected of a bad release. A release that fails three to five requests
-/// in ten is detected within 20 requests.
+/// Share of failures expected of a bad release, in addition to the allowed share. A release that
+/// fails three to five requests in ten is detected within 20 requests.
 const EXCESS_FAILURE_SHARE: f64 = 0.15;
 
 /// Latency threshold of one metric, with the shares of requests allowed and expected beyond it.
@@ -42,7 +42,8 @@
     expected: f64,
 }
 
-/// Upper bounds of both shares, so that they still differ if most requests of the old release fail.
+/// Upper bounds of the allowed and the expected share, so that the two shares still differ if most
+/// requests of the old release fail.
 const MAX_ALLOWED_SHARE: f64 = 0.6;
 const MAX_EXPECTED_SHARE: f64 = 0.75;
 
@@ -74,17 +75,18 @@
 const MIN_SERVER_REQUESTS: u32 = 6;
 
 /// Minimum share of bad requests of an affected backend server, relative to the share of the whole
-/// new release. Slow backend servers of the old release have two thirds of the slow requests of a
-/// release that takes four times as long.
+/// new release. The ratio excludes slow backend servers of the old release: their share of slow
+/// requests is two thirds of the share of a release that takes four times as long.
 const AFFECTED_RATIO: f64 = 0.7;
 
-/// Maximum probability that only new backend servers were hit by a fault that may hit any backend
-/// server. A finding above it is attributed to chance.
+/// Maximum probability that a fault that may hit any backend server hits all affected new ones. A
+/// finding with a greater probability is attributed to chance if any old backend server is
+/// affected.
 const MAX_P_VALUE: f64 = 0.03;
 
-/// Number of bad requests after which a release is rejected without certainty. The number leaves a
-/// margin to the bound of 50 bad requests, which holds for any way of classifying requests as
-/// bad.
+/// Number of bad requests after which a release is rejected even if the finding is not certain. The
+/// number leaves a margin to the bound of 50 bad requests, which holds for any way of classifying
+/// requests as bad.
 const MAX_BAD_REQUESTS: u32 = 35;
 
 /// Minimum number of requests for accepting a new release. If half of the requests failed, only one
@@ -139,11 +141,11 @@
     /// Natural logarithm of the likelihood ratio between a bad and a good release. Positive values
     /// indicate a bad release.
     pub log_ratio: f64,
-    /// Backend servers of the new release, and those with about the same share of bad requests as
-    /// the whole release.
+    /// Backend servers of the new release. Those with about the share of bad requests of the whole
+    /// release, or a greater one, count as bad.
     pub affected: ServerCounts,
-    /// Backend servers of the old release, and those with about the same share of bad requests as
-    /// the new release.
+    /// Backend servers of the old release. Those with about the share of bad requests of the new
+    /// release, or a greater one, count as bad.
     pub old_affected: ServerCounts,
 }
 
@@ -283,8 +285,8 @@
 }
 
 impl Finding {
-    /// Returns `true` if the new release is certain to be bad, and its affected backend servers are
-    /// unlikely to be a random choice.
+    /// Returns `true` if the new release is certain to be bad, most of its backend servers are
+    /// affected, and either no old backend server is affected or chance is an unlikely cause.
     #[must_use]
     pub fn is_regression(&self) -> bool {
         let not_by_chance = self.old_affected.bad == 0 || self.p_value() <= MAX_P_VALUE;
@@ -309,8 +311,9 @@
         self.new.all >= MIN_NEW_REQUESTS && self.log_ratio <= 0.0
     }
 
-    /// Returns `true` if the new release has reached its limit of bad requests, and its share of
-    /// bad requests is more than twice that of the old release.
+    /// Returns `true` if the new release has reached its limit of bad requests and is more likely
+    /// bad than good, its share of bad requests is more than twice that of the old release, and
+    /// most of its backend servers are affected.
     #[must_use]
     pub fn exceeds_bad_limit(&self) -> bool {
         let worse = self.new.share() > 2.0 * self.old.share();
@@ -320,8 +323,9 @@
             && self.affected.is_mostly_bad()
     }
 
-    /// Returns the probability that only these backend servers are affected if the release makes no
-    /// difference.
+    /// Returns the probability that all affected new backend servers are affected by chance, if the
+    /// release makes no difference and the number of affected backend servers on both sides
+    /// together is given.
     fn p_value(&self) -> f64 {
         let bad = self.old_affected.bad + self.affected.bad;
         let all = self.old_affected.all + self.affected.all;
@@ -331,8 +335,7 @@
 }
 
 impl BadShares {
-    /// Returns the log-likelihood ratio of these requests between the expected and the allowed
-    /// share.
+    /// Returns the log-likelihood ratio of `runs` between the expected and the allowed share.
     fn log_ratio(self, runs: RequestCounts) -> f64 {
         let allowed = self.allowed.min(MAX_ALLOWED_SHARE);
         let expected = self.expected.min(MAX_EXPECTED_SHARE);
--- a/crates/swiftcart-core/src/rollout/evidence.rs
+++ b/crates/swiftcart-core/src/rollout/evidence.rs
@@ -8,8 +8,8 @@
 use super::{OrderId, Side};
 use crate::{RouteKey, ServiceName};
 
-/// Number of latency buckets. Each is a factor of 1.41 wide; together they cover 1 ms to 3 s and
-/// more.
+/// Number of latency buckets. The bounds of a bucket differ by a factor of 1.41. All buckets
+/// together cover 1 ms to 3 s and more.
 const LATENCY_BUCKETS: usize = 24;
 
 /// Maximum number of routes with separate statistics. Further routes are counted together.
@@ -19,7 +19,8 @@
 /// Seven routes with 24 latency buckets each fit one datagram.
 const MAX_REPORTED_ROUTES: usize = 7;
 
-/// Short identifier of a route in evidence, equal at all nodes that run the same release.
+/// Short identifier of a route in evidence, equal at all nodes that run the same release of
+/// Swiftcart.
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/swiftcart-core/src/rollout/rollouts.rs
+++ b/crates/swiftcart-core/src/rollout/rollouts.rs
@@ -10,12 +10,12 @@
 /// mesh.
 const MAX_SERVICES: usize = 256;
 
-/// Maximum number of barred releases of a service. Backend servers of a release that was rolled
-/// back are stopped within seconds.
+/// Maximum number of barred releases of a service. A few are enough, because the backend servers of
+/// a release that was rolled back are stopped within seconds.
 const MAX_BARRED_RELEASES: usize = 4;
 
 /// Number of rounds in which a node gossips a changed status. With three peers in each round, one
-/// node in 8,000 receives no copy; it catches up by comparing digests.
+/// node in 8,000 receives no copy. That node catches up by comparing digests.
 const GOSSIP_ROUNDS: u32 = 3;
 
 /// State of one service's roll-out.
@@ -92,7 +92,8 @@
         self.entries.is_empty()
     }
 
-    /// Adds an order. Returns `true` if the order is new.
+    /// Adds an order that is newer than the known order of its service. Returns `true` if the order
+    /// was added.
     pub fn order(&mut self, now: Instant, order: &RolloutOrder) -> bool {
         let previous = self.entries.get(&order.service);
         let full = previous.is_none() && self.entries.len() >= MAX_SERVICES;
@@ -102,7 +103,7 @@
         let entry = RolloutEntry {
             order: order.id,
             target: order.target.clone(),
-            // A release that is in use needs no trial. It may also be the only one with backend
+            // A release that is in use needs no trial, and may be the only release with backend
             // servers.
             stage: match previous {
                 Some(entry) if entry.is_in_use(&order.target) => RolloutStage::Completed,
@@ -243,7 +244,8 @@
         }
     }
 
-    /// Returns a request for all statuses if the digest in `statuses` differs from the local one.
+    /// Returns a request for all statuses if `statuses` only compares digests and its digest
+    /// differs from the local one.
     #[must_use]
     pub fn sync_request(&self, statuses: &RolloutStatuses) -> Option<RolloutStatuses> {
         let compares = statuses.list.is_empty() && !statuses.asks;
@@ -292,7 +294,8 @@
         self.stage == RolloutStage::Completed && self.target == *release
     }
 
-    /// Returns the releases that stay barred under a later order for `target`.
+    /// Returns the releases to bar under a later order for `target`: those barred so far, and the
+    /// release of this order unless it is in use.
     fn barred_for(&self, target: &Release) -> Vec<Release> {
         let unfinished = Some(&self.target).filter(|_| self.stage != RolloutStage::Completed);
         let barred = unfinished.into_iter().chain(&self.barred);
@@ -302,7 +305,7 @@
         barred
     }
 
-    /// Returns the release that is in use.
+    /// Returns the release that is in use, if this node knows it.
     fn release_in_use(&self) -> Option<Release> {
         match self.stage {
             RolloutStage::Completed => Some(self.target.clone()),
@@ -312,8 +315,8 @@
 
     /// Merges the releases that another node bars. Returns `true` if any of them was added.
     ///
-    /// A node that missed the completion of a release still bars it. A release known to be in use
-    /// is therefore skipped.
+    /// A node that did not learn that a release came into use still bars that release. A release
+    /// that this node knows to be in use is therefore skipped.
     fn merge_barred(&mut self, releases: &[Release]) -> bool {
         let mut changed = false;
         for release in releases {
--- a/crates/swiftcart-core/src/rollout/schedule.rs
+++ b/crates/swiftcart-core/src/rollout/schedule.rs
@@ -15,8 +15,8 @@
 /// Share of the moving time that one step takes.
 const STEP_SHARE: f64 = 0.08;
 
-/// Maximum time of one step. A membership update reaches half of some hundred nodes in that time. A
-/// bad release that fails only under full load is stopped within two steps.
+/// Maximum time of one step. In a mesh of some hundred nodes, a membership update reaches half of
+/// them in that time. A bad release that fails only under full load is stopped within two steps.
 const MAX_STEP_TIME: Duration = Duration::from_millis(450);
 
 /// Time before the deadline at which the move is completed, even if old backend servers still have
--- a/crates/swiftcart-core/src/rollout/stage.rs
+++ b/crates/swiftcart-core/src/rollout/stage.rs
@@ -4,7 +4,7 @@
 
 use crate::Readiness;
 
-/// Stage of a roll-out. If two nodes differ, the later stage is valid.
+/// Stage of a roll-out. If the stages known to two nodes differ, the later one is valid.
 ///
 /// Both final stages come after all others. A stopped trial may still be completed: two nodes may
 /// decide differently, and the platform accepts only one of the decisions.
@@ -29,7 +29,7 @@
     Completed,
 }
 
-/// Number of completed steps of a move.
+/// Number of the current step of a move, starting at 1.
 ///
 /// Each odd step opens the next batch of new backend servers, and each even step closes as many old
 /// ones. Each new backend server thus gets its full load while few requests are at risk.
@@ -98,7 +98,8 @@
 /// Side of a backend server in a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// The backend server runs a release that was in use before.
+    /// The backend server runs a release that is neither new nor barred, or does not report its
+    /// release.
     Old,
     /// The backend server runs the release that the order names.
     New,
--- a/crates/swiftcart-core/src/rollout/trial.rs
+++ b/crates/swiftcart-core/src/rollout/trial.rs
@@ -27,8 +27,8 @@
 /// from a bad release.
 const MIN_TRIAL_SERVERS: usize = 2;
 
-/// Minimum share of the old release's requests on routes that are compared separately, for moving
-/// the service. All other routes are compared together.
+/// Minimum share of the old release's requests that must be on separately compared routes before
+/// the service is moved. All other routes are compared together.
 const MIN_COMPARED_SHARE: f64 = 0.5;
 
 /// Time after which a release is considered to be in use if the service has no backend server of
@@ -105,9 +105,9 @@
     /// Returns the actions to take now. `known_servers` is the number of nodes known to have a
     /// backend server of the service, including unreachable ones.
     ///
-    /// A node without recent evidence from at least half of them may be on the smaller side of a
-    /// network partition. Such a node may only report a bad release; all other decisions are left
-    /// to the nodes on the larger side.
+    /// A node without recent evidence from at least half of these nodes may be on the smaller side
+    /// of a network partition. Such a node may only report a bad release; all other decisions are
+    /// left to the nodes on the larger side.
     pub fn evaluate(
         &mut self,
         now: Instant,
--- a/crates/swiftcart-core/src/rollout/trial/credit.rs
+++ b/crates/swiftcart-core/src/rollout/trial/credit.rs
@@ -4,16 +4,16 @@
 
 use crate::{Exposure, Instant, TRIAL_INTERVAL, TrialSettings};
 
-/// Share of the bound on a bad release's requests that the trial may use. The rest covers requests
-/// that arrive while a release that turns bad late is being stopped, and the credit of a second
-/// node that evaluates the same trial.
+/// Share that the trial may use of the bound on the requests given to a bad release. The rest
+/// covers requests that arrive while a release that turns bad late is being stopped, and the credit
+/// of a second node that evaluates the same trial.
 const SPEND_SHARE: f64 = 0.55;
 
 /// Load on each backend server in the trial, relative to the load on an old one. Some releases fail
 /// only under full load.
 const LOAD_FACTOR: f64 = 1.3;
 
-/// Duration of a burst at this load. Credit is saved up between two bursts.
+/// Duration of a burst at the load that `LOAD_FACTOR` sets. Credit is saved up between two bursts.
 const BURST_TIME: Duration = Duration::from_millis(750);
 
 /// Maximum share of the credit to save up for a burst. It takes effect in a service with few,
--- a/crates/swiftcart-core/src/rollout/trial/observations.rs
+++ b/crates/swiftcart-core/src/rollout/trial/observations.rs
@@ -12,7 +12,7 @@
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
 
 /// Length of the recent window, over which the releases are compared in addition to the whole
-/// trial. Without it, ten good seconds would hide a release that turns bad later.
+/// trial. Without this window, ten good seconds would hide a release that turns bad later.
 const RECENT_WINDOW: Duration = Duration::from_millis(2_500);
 
 /// Share of failures of the old release above which the trial is paused. The cause of the failures
@@ -26,8 +26,9 @@
     pub(super) evidence: Evidence,
     /// Requests given to the backend server in earlier epochs.
     earlier_arrivals: u64,
-    /// Counts at the start of the trial, and at two recent points in time that are rotated.
+    /// Counts at the start of the trial.
     baseline: Counts,
+    /// Counts at two recent points in time, the earlier first.
     recent: [Counts; 2],
 }
 
@@ -189,7 +190,8 @@
         f64::from(failed) > MAX_OLD_FAILURE_SHARE * f64::from(runs.max(1))
     }
 
-    /// Returns the nodes whose new backend server counts as a regression by itself.
+    /// Returns the nodes whose new backend server counts as a regression by itself. A single new
+    /// backend server is never an outlier.
     pub(super) fn outliers(&self) -> BTreeSet<NodeId> {
         let mut bad = BTreeSet::new();
         let new: Vec<NodeId> = self.servers(Side::New).map(|(id, _)| id).collect();
--- a/crates/swiftcart-core/src/view.rs
+++ b/crates/swiftcart-core/src/view.rs
@@ -25,7 +25,8 @@
 pub struct RouteMatch<'a> {
     /// Chosen service.
     pub entry: &'a ServiceEntry,
-    /// Call policy of the route. Without a policy, the request's method decides.
+    /// Call policy of the route. Without a policy, the request's method decides whether the request
+    /// is idempotent.
     pub policy: Option<Policy>,
     /// Key of the matching route.
     pub route: RouteKey,
--- a/crates/swiftcart-core/src/view/entry.rs
+++ b/crates/swiftcart-core/src/view/entry.rs
@@ -47,7 +47,8 @@
     pub region: RegionTag,
     /// Distance from the view's node.
     pub distance: Distance,
-    /// Pace of its calls, as its node reports it to the other nodes.
+    /// Pace of the backend server's calls, as the node beside the backend server reports it to the
+    /// other nodes.
     pub pace: Option<Pace>,
 }
 
--- a/crates/swiftcart-core/src/view/key.rs
+++ b/crates/swiftcart-core/src/view/key.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Hash of a route's prefix, valid within one process.
+/// Hash of a route's prefix, equal in all processes of one release of Swiftcart.
 ///
 /// Statistics of a route are stored under this key. They are kept across all configuration
 /// versions that contain the route.
--- a/crates/swiftcart-core/src/view/locality.rs
+++ b/crates/swiftcart-core/src/view/locality.rs
@@ -19,7 +19,8 @@
     }
 }
 
-/// Region of each failure domain. Failure domains without an entry count as in the node's region.
+/// Region of each failure domain. A failure domain without an entry counts as part of the node's
+/// region.
 pub type Regions = BTreeMap<FailureDomain, Region>;
 
 /// Distance between a node and a failure domain.
--- a/crates/swiftcart-core/src/wire/datagram.rs
+++ b/crates/swiftcart-core/src/wire/datagram.rs
@@ -145,11 +145,11 @@
     /// Reports which requests were running when backend servers crashed, and which requests are
     /// harmless. The previous release does not know this variant and drops it.
     Findings(Findings),
-    /// Carries messages about rollouts. The previous release does not know this variant and drops
+    /// Carries messages about roll-outs. The previous release does not know this variant and drops
     /// it.
     Rollouts(RolloutMessage),
-    /// Carries the usage and the grants of client accounts. The previous release does not know this
-    /// variant and drops it.
+    /// Carries the request counts and the admission ratios of client accounts. The previous release
+    /// does not know this variant and drops it.
     Quotas(QuotaMessage),
     /// Reports which failure domains are drained. The previous release does not know this variant
     /// and drops it.
--- a/crates/swiftcart-core/src/wire/sync.rs
+++ b/crates/swiftcart-core/src/wire/sync.rs
@@ -15,7 +15,7 @@
 pub enum SyncRequest {
     /// Requests records, deltas or a snapshot of the configuration stream.
     Feed {
-        /// Offset of the next record that the requesting node folds, or its version if the platform
+        /// Offset of the next record that the requesting node reads, or its version if the platform
         /// validates versions itself.
         from: Offset,
     },
