--- a/crates/swiftcart-core/src/claim.rs
+++ b/crates/swiftcart-core/src/claim.rs
@@ -21,25 +21,26 @@
 //!
 //! # Time
 //!
-//! A claim blocks its key until a record is more than window + margin younger by the platform's
-//! clock. The winning attempt starts within window - margin of a moment before the platform
-//! accepted the claim. Two starts of one key are therefore at least two margins apart, less the
-//! clock drift over one window. After that period the key counts as new work, like an expired key
-//! in the paper. Callers must not retry for longer than the window.
+//! A claim blocks its key for all records that are at most window + margin younger by the
+//! platform's clock. The claimant notes the time before it sends a claim. The winning attempt
+//! starts less than window - margin after that time, which precedes the platform's acceptance of
+//! the claim. Two starts of one key are therefore at least two margins apart, less the clock drift
+//! over one window. After window + margin the key counts as new work, like an expired key in the
+//! paper. Callers must not retry for longer than the window.
 //!
 //! # Abandoned claims
 //!
-//! A caller can be answered `not-run` while the result of its claim's append is unknown. Its ticket
-//! is removed, so this process can no longer dispatch the request. The claim can still be in the
-//! log, or reach it later, and would block the key for a whole window. The claimant therefore
-//! appends an [`AbandonRecord`], which frees the key.
+//! A caller can be answered `not-run` while the result of its claim's append is unknown. The
+//! claim's ticket is removed, so this process can no longer dispatch the request. The claim can
+//! still be in the log, or reach the log later, and would block the key for window + margin. The
+//! claimant therefore appends an [`AbandonRecord`], which frees the key.
 //!
-//! * Only the claimant that never dispatched the ticket writes the record. No other process can
-//!   tell a paused claimant from a crashed one.
-//! * The record takes effect in either order of the two records, because it names the attempt: a
-//!   late repeat of the claim neither wins nor blocks.
+//! * Only the claimant that made the claim writes the record, because only this claimant knows that
+//!   the attempt did not run. No other process can tell a paused claimant from a crashed one.
+//! * The record takes effect whether it precedes or follows the claim in the log, because it names
+//!   the attempt: a late repeat of the claim neither wins nor blocks.
 //! * Until the record is in the log, later attempts get 409 with `Retry-After`. If the claimant
-//!   crashes before that, the key stays blocked, and is `unknown` after
+//!   crashes before that, the key stays blocked, and later attempts get `unknown` after
 //!   [`ClaimSettings::pending_timeout`].
 //! * A lease that expires would also free the keys of crashed claimants. But a paused claimant
 //!   could still believe that it holds the lease while a second attempt runs, and the backend
--- a/crates/swiftcart-core/src/claim/claimant.rs
+++ b/crates/swiftcart-core/src/claim/claimant.rs
@@ -1,4 +1,4 @@
-//! Claimant of one partition, which leads each offered claim to at most one execution.
+//! Claimant of one partition, which decides whether the attempt of an offered claim may run.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Refusal while the partition's records are still being read.
 const CATCHING_UP: Refusal = Refusal::new(Reason::CatchingUp).with_retry(MIN_RETRY_AFTER);
-/// Number of consecutive failed appends after which claims are refused until one succeeds.
+/// Number of consecutive failed appends after which a claim is refused unless the queue is empty.
 const PLATFORM_DOWN_FAILURES: u32 = 2;
 
 /// Accepted claim and its progress.
@@ -101,7 +101,7 @@
         self.append_queue.len()
     }
 
-    /// Returns the time at which [`poll`](Self::poll) must be called without further input.
+    /// Returns the time at which [`poll`](Self::poll) must be called if no input arrives earlier.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Instant> {
         let undispatched = self.tickets.values().filter(|c| c.phase != Phase::Started);
@@ -415,7 +415,7 @@
         }
     }
 
-    /// Ends a ticket that was not dispatched, so that it can no longer be dispatched.
+    /// Ends a ticket whose request did not run, so that the request can no longer be dispatched.
     ///
     /// The record that frees the key is appended only if the claim may be in the log.
     fn abandon(&mut self, now: Instant, ticket: ClaimTicket) {
@@ -449,7 +449,8 @@
     }
 }
 
-/// Returns `reply`, or [`Reply::TooLarge`] if its answer exceeds the stored size.
+/// Returns `reply`, or [`Reply::TooLarge`] if the body of its answer exceeds `limit` bytes or the
+/// whole answer exceeds [`MAX_CLAIM_RECORD_BYTES`].
 fn limit_reply(reply: Reply, limit: usize) -> Reply {
     match reply {
         Reply::Whole(Answer { ref body, .. }) if body.len() > limit => Reply::TooLarge,
--- a/crates/swiftcart-core/src/claim/key_history.rs
+++ b/crates/swiftcart-core/src/claim/key_history.rs
@@ -25,7 +25,7 @@
     Dropped,
 }
 
-/// Event from a record that concerns a key.
+/// Claim, answer or abandoned attempt of one key, as read from a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct KeyEvent {
     pub(super) at: PlatformTime,
@@ -73,7 +73,8 @@
     }
 }
 
-/// Number of events up to which a key's capacity grows by one event, to save memory.
+/// Number of events up to which the capacity of a history grows by one event at a time, to save
+/// memory.
 const EXACT_CAPACITY_EVENTS: usize = 4;
 
 impl KeyHistory {
--- a/crates/swiftcart-core/src/claim/ledger.rs
+++ b/crates/swiftcart-core/src/claim/ledger.rs
@@ -1,8 +1,8 @@
 //! Deterministic replay of a partition's records that decides which attempt may run.
 //!
 //! A claim wins if no other record blocks its key at its offset. Each claim that was not
-//! abandoned, and each answer, blocks its key until a record is more than window + margin younger
-//! by the platform's clock.
+//! abandoned, and each answer, blocks its key for all records that are at most window + margin
+//! younger by the platform's clock.
 //!
 //! Losing claims block their key as well, until their claimants abandon them. The verdict thus
 //! depends only on the records of the last window + margin, and a reader that starts later reaches
@@ -10,8 +10,8 @@
 //! take a loser for the winner, and two readers would disagree about when the key is free again.
 //!
 //! A ledger does not decide claims for which records may be missing. It stores the time up to which
-//! records may be missing, and a claim within window + margin after that time is
-//! [`ClaimVerdict::Undecided`].
+//! records may be missing. A claim within window + margin after that time is
+//! [`ClaimVerdict::Undecided`], unless a record that was read blocks its key.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -142,7 +142,7 @@
         self.counts
     }
 
-    /// Returns `true` if the ledger refuses new claims because it is nearly full.
+    /// Returns `true` if new claims must be refused because the ledger is nearly full.
     ///
     /// An eighth of the capacity is reserved for claims of nodes whose ledgers lag behind.
     #[must_use]
@@ -157,7 +157,7 @@
             .is_some_and(|until| at <= until + self.blocking_period)
     }
 
-    /// Returns the time after which the ledger accepts claims again.
+    /// Returns the delay after which a refused claim can be accepted.
     ///
     /// Claims are refused while the ledger is nearly full or its history is incomplete.
     #[must_use]
@@ -211,10 +211,11 @@
         }
     }
 
-    /// Starts the page whose oldest available record is `first` at the platform time `now`.
+    /// Prepares the ledger for a page that was read at the platform time `now`, when `first` was
+    /// the oldest offset in the stream.
     ///
-    /// Records between the last record read and `first` are missing from this ledger. The platform
-    /// deletes only records that are older than the retention.
+    /// Records between the last record read and `first` are missing from this ledger. These records
+    /// are older than the retention, because the platform deletes no younger records.
     pub fn begin_read(&mut self, first: Offset, now: PlatformTime) {
         if first <= self.next() {
             self.next.get_or_insert(first);
@@ -264,7 +265,8 @@
             self.counts.gaps += 1;
             self.mark_missing(self.clock);
         }
-        // If the platform's clock steps back, earlier records must not look younger than they are.
+        // The ledger's clock does not step back when the platform's clock does. Otherwise earlier
+        // records would look younger than they are.
         let at = self.clock;
         batch.abandoned.iter().for_each(|r| self.abandon(at, r));
         batch.claims.iter().for_each(|r| self.claim(at, r));
@@ -346,7 +348,7 @@
         self.missing_until = self.missing_until.max(Some(until));
     }
 
-    /// Advances the clock to `now` and removes events that no longer block their key.
+    /// Advances the clock to `now` and removes events that are older than the blocking period.
     fn expire(&mut self, now: PlatformTime) {
         self.clock = self.clock.max(now);
         let cutoff = self.clock.before(self.blocking_period);
--- a/crates/swiftcart-core/src/claim/record.rs
+++ b/crates/swiftcart-core/src/claim/record.rs
@@ -187,7 +187,7 @@
     pub reply: Reply,
 }
 
-/// Record that frees a key: the attempt was not dispatched and will not be.
+/// Record that frees a key, because the attempt did not run and will not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AbandonRecord {
--- a/crates/swiftcart-core/src/claim/settings.rs
+++ b/crates/swiftcart-core/src/claim/settings.rs
@@ -20,7 +20,9 @@
 pub struct ClaimSettings {
     /// Minimum time for which the platform keeps a record.
     pub retention: Duration,
-    /// Time for which a claim blocks its key; a fraction of the retention.
+    /// Time for which callers may retry with the same key; by default a fraction of the retention.
+    ///
+    /// A claim blocks its key for window + margin.
     pub window: Duration,
     /// Maximum drift between clocks over one window.
     pub margin: Duration,
@@ -34,7 +36,8 @@
     pub answer_bytes: usize,
     /// Maximum size in bytes of the body of an answer that is stored for replay.
     pub answer: usize,
-    /// Maximum number of items that wait for an append, including reserved slots.
+    /// Maximum number of items that wait for an append, including the slots that are reserved for
+    /// claims that have not ended.
     pub queue: usize,
     /// Maximum number of items in an append.
     pub batch: usize,
--- a/crates/swiftcart-core/src/config/envelope.rs
+++ b/crates/swiftcart-core/src/config/envelope.rs
@@ -52,7 +52,7 @@
 }
 
 impl Envelope {
-    /// Creates an envelope for `body` with the oldest rule that supports it.
+    /// Creates an envelope for `body` with the oldest rule that supports the body.
     #[must_use]
     pub fn new(body: Body) -> Self {
         let rule = match &body {
--- a/crates/swiftcart-core/src/config/recent.rs
+++ b/crates/swiftcart-core/src/config/recent.rs
@@ -1,6 +1,7 @@
 //! Recent decisions on publishes.
 //!
-//! They detect repeated ids and provide the author of a conflicting version.
+//! The fold uses these decisions to detect repeated ids and to find the author of a conflicting
+//! version.
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/swiftcart-core/src/config/removed.rs
+++ b/crates/swiftcart-core/src/config/removed.rs
@@ -31,7 +31,8 @@
         self.0.keys()
     }
 
-    /// Evicts complete versions, oldest first, until the size is within the limit.
+    /// Evicts rows until the size is within the limit, always all rows that the oldest version
+    /// removed.
     ///
     /// Returns the new horizon. A base version below the horizon is rejected, so that rows that
     /// were removed at or before the horizon need not be retained.
--- a/crates/swiftcart-core/src/feed/action.rs
+++ b/crates/swiftcart-core/src/feed/action.rs
@@ -41,7 +41,8 @@
     Pull {
         /// Node with the greater position.
         peer: NodeId,
-        /// Offset of the next record to fold.
+        /// Offset of the next record to fold. A [`SnapshotFeed`](crate::SnapshotFeed) gives its
+        /// newest version instead.
         from: Offset,
     },
     /// The feed has advanced to this version.
--- a/crates/swiftcart-core/src/feed/enforcement_gate.rs
+++ b/crates/swiftcart-core/src/feed/enforcement_gate.rs
@@ -166,7 +166,8 @@
 
 /// Returns the witnesses of `me`: two nodes of its own failure domain and one node of another.
 ///
-/// The choice depends only on the member list, so that it rarely changes.
+/// `near` are members of the node's own failure domain, and `far` are members of other failure
+/// domains. The choice depends only on `me` and these members, so that the choice rarely changes.
 #[must_use]
 pub fn witnesses(me: NodeId, near: &[NodeId], far: &[NodeId]) -> Vec<NodeId> {
     let salt = me.to_string();
--- a/crates/swiftcart-core/src/feed/follow.rs
+++ b/crates/swiftcart-core/src/feed/follow.rs
@@ -1,4 +1,5 @@
-//! State machine of the feed. Its input is records and states; its fold only moves forward.
+//! State machine of the feed, which folds records and adopts checkpoints. The fold never moves to
+//! an older position.
 
 mod adopt;
 mod serve;
--- a/crates/swiftcart-core/src/feed/follow/serve.rs
+++ b/crates/swiftcart-core/src/feed/follow/serve.rs
@@ -24,7 +24,8 @@
     /// Returns an action that appends a checkpoint if a checkpoint is due for a reader of this
     /// rank.
     ///
-    /// `now_ms` is the time of the platform's clock. The reader of rank 0 appends first.
+    /// `now_ms` is the time of the platform's clock. `rank` is this node's place in the order in
+    /// which the nodes of its failure domain read the log; the reader of rank 0 appends first.
     pub fn on_tick(&mut self, now_ms: u64, rank: usize) -> Option<FeedAction> {
         let retry = self.settings.checkpoint_retry;
         let since = |ms| Duration::from_millis(now_ms.saturating_sub(ms));
--- a/crates/swiftcart-core/src/feed/readiness_gate.rs
+++ b/crates/swiftcart-core/src/feed/readiness_gate.rs
@@ -13,8 +13,8 @@
 pub const MAX_QUERIED_PEERS: usize = 4096;
 
 /// Ratio of the retry delay to the uptime. When 295 nodes share the platform's read capacity,
-/// starts take from 0.2 s to 2 s. A caller that retries after one uptime finds half of the nodes
-/// ready, and after two uptimes most of them.
+/// starts take from 0.2 s to 2 s. A caller that waits for one uptime of the node finds half of the
+/// nodes ready. A caller that waits for two uptimes finds most of the nodes ready.
 const RETRY_UPTIME_FACTOR: u32 = 2;
 /// Minimum retry delay, which is the time that a start takes in a small mesh.
 const MIN_STARTUP_RETRY: Duration = Duration::from_millis(250);
@@ -145,7 +145,8 @@
         due
     }
 
-    /// Handles a peer's answer; see [`Witness::answer`](crate::Witness::answer).
+    /// Handles a peer's answer: the version `floor` that this node must have reached before it
+    /// serves. See [`Witness::answer`](crate::Witness::answer).
     ///
     /// Answers of peers that were not queried are ignored.
     pub fn on_peer_floor(&mut self, peer: NodeId, floor: Version) {
--- a/crates/swiftcart-core/src/feed/snapshot_feed.rs
+++ b/crates/swiftcart-core/src/feed/snapshot_feed.rs
@@ -12,8 +12,8 @@
 /// seconds.
 const PULL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Maximum number of recent deltas kept for peers that missed some versions. It covers about ten
-/// seconds of versions in quick succession.
+/// Maximum number of recent deltas kept for peers that missed some versions. This number covers
+/// about ten seconds of versions in quick succession.
 const MAX_RECENT_DELTAS: usize = 16;
 
 /// Maximum number of edits in the recent deltas. A peer that missed more edits pulls a snapshot.
@@ -21,9 +21,10 @@
 
 /// State of one node that follows a platform that validates versions itself.
 ///
-/// Only the newest version counts. A reader reads it from the platform and pushes the delta down
-/// the tree of its failure domain. A node that learns of a greater version from an offer or a probe
-/// pulls the missing deltas or a snapshot. The feed never moves to an older version.
+/// Only the newest version counts. A reader is a node that reads this version from the platform and
+/// pushes the delta down the tree of its failure domain. A node that learns of a greater version
+/// from an offer or a probe pulls the missing deltas or a snapshot. The feed never moves to an
+/// older version.
 ///
 /// # Examples
 ///
--- a/crates/swiftcart-core/src/feed/witness.rs
+++ b/crates/swiftcart-core/src/feed/witness.rs
@@ -1,4 +1,4 @@
-//! Witness that stores the versions that other nodes report before they enforce them.
+//! Witness that stores the versions that other nodes report before enforcing them.
 
 use std::collections::BTreeMap;
 
@@ -50,10 +50,10 @@
 
     /// Returns the version that the starting node `node` must have reached before it serves.
     ///
-    /// `enforced` is the version that this node enforces, or [`Version::NONE`] while this node is
-    /// not ready itself, because two starting nodes must not confirm each other's version.
-    /// Including `enforced` makes a starting node catch up with a ready peer even if its own
-    /// witnesses are lost.
+    /// `enforced` is the version that the answering node enforces, or [`Version::NONE`] while the
+    /// answering node is not ready itself, because two starting nodes must not confirm each other's
+    /// version. Including `enforced` makes a starting node catch up with a ready peer even if the
+    /// witnesses of the starting node are lost.
     #[must_use]
     pub fn answer(&self, node: NodeId, enforced: Version) -> Version {
         self.floor(node).unwrap_or_default().max(enforced)
--- a/crates/swiftcart-platform/src/client.rs
+++ b/crates/swiftcart-platform/src/client.rs
@@ -121,8 +121,8 @@
 
     /// Reads at most `limit` records of `stream` at or above `from`.
     ///
-    /// If there are none yet, waits up to `wait` for the first one. If `from` is below the oldest
-    /// retained offset, [`Page::first`], the page starts there.
+    /// If there are no such records yet, waits up to `wait` for the first one. If `from` is below
+    /// [`Page::first`], the oldest retained offset, the page starts at [`Page::first`].
     ///
     /// # Errors
     ///
--- a/crates/swiftcart-platform/src/limit.rs
+++ b/crates/swiftcart-platform/src/limit.rs
@@ -6,7 +6,7 @@
 ///
 /// The limit shrinks when a page is too large and grows again while reads succeed. Pages are
 /// bounded in bytes, not in records. A reader therefore has to request fewer records when the
-/// records are long. Otherwise its read position would never advance.
+/// records are long. Otherwise the reader's position would never advance.
 ///
 /// # Examples
 ///
