--- a/crates/swiftcart-node/src/admin/announce.rs
+++ b/crates/swiftcart-node/src/admin/announce.rs
@@ -120,8 +120,8 @@
 /// Checks that the mesh knows the service and the failure domain of an announcement.
 ///
 /// An unknown service is accepted, since a later configuration may add it. Until then the backend
-/// server gets no requests. It must not replace a backend server of another service that does, so
-/// the announcement is refused in this case.
+/// server gets no requests. The announcement is refused if the backend server would replace one of
+/// another service, which may get requests.
 ///
 /// # Errors
 ///
--- a/crates/swiftcart-node/src/calls/admissions.rs
+++ b/crates/swiftcart-node/src/calls/admissions.rs
@@ -28,14 +28,14 @@
 /// Slot of an admitted request, with the wait until it is free.
 type PendingSlot = (Slot, Option<Wait>);
 
-/// Wait of a queued request: the channel of its result and the end of the wait.
+/// Wait of a queued request: the receiver of its result, and the latest end of the wait.
 #[derive(Debug)]
 struct Wait {
     result: oneshot::Receiver<AdmissionResult>,
     until: Instant,
 }
 
-/// Use of the service's rate limit by a request.
+/// Charging of a request to the service's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Rate {
     Charged,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Sets the slots of the backend server, the limits of the service and the number of its
-    /// guards.
+    /// Sets the slots of the backend server, and the limits and the number of guards of its
+    /// service.
     pub fn resize(&self, slots: u32, limits: Limits, guards: usize) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -250,14 +250,14 @@
             let (tx, result) = oneshot::channel();
             state.waiting.insert(ticket, tx);
             let until = state.admission.wait_deadline(ticket);
-            // A request that has left the queue already has its result.
+            // The result of a request outside the queue is already decided.
             let until = until.unwrap_or(now);
             Wait { result, until }
         });
         Ok((slot, wait))
     }
 
-    /// Returns the next time at which a waiting request may start without another one ending.
+    /// Returns the next time at which a waiting request may start even if no running request ends.
     fn next_start_at(&self) -> Option<Instant> {
         let now = self.clock.now();
         let start = self.lock().admission.next_start_at(now)?;
--- a/crates/swiftcart-node/src/calls/answer.rs
+++ b/crates/swiftcart-node/src/calls/answer.rs
@@ -35,7 +35,7 @@
 const SHED_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 quick_error! {
-    /// Error that ends a response body early; the caller's connection is closed with it.
+    /// Error that ends a response body early; the caller's connection is then closed.
     #[derive(Debug)]
     pub enum AnswerError {
         /// The connection to the sender failed, or the framing is invalid.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns the result that the call counts as for the backend server.
+    /// Returns the result that is recorded for the backend server.
     #[must_use]
     pub const fn result(self) -> CallResult {
         match self {
@@ -385,7 +385,7 @@
     HeaderValue::try_from(text).ok()
 }
 
-/// Returns the time before a retry after a refusal that states none.
+/// Returns the retry delay of a refusal that states none.
 const fn default_retry_after(reason: Reason) -> Duration {
     match reason {
         Reason::Shed => SHED_RETRY_AFTER,
--- a/crates/swiftcart-node/src/calls/conn.rs
+++ b/crates/swiftcart-node/src/calls/conn.rs
@@ -2,7 +2,8 @@
 //!
 //! No task runs between a request and its connection: the sender polls the connection itself.
 //! Dropping the [`Conn`] closes the connection immediately, which cancels the work on the remote
-//! side. Tracking writes shows reliably whether any part of a request may have been sent.
+//! side. Writes are tracked, which shows reliably whether any part of a request may have been
+//! sent.
 
 use std::future::{Future, poll_fn};
 use std::io;
--- a/crates/swiftcart-node/src/calls/guard.rs
+++ b/crates/swiftcart-node/src/calls/guard.rs
@@ -151,8 +151,8 @@
 
     /// Returns the value of the notice header for a response to another node.
     ///
-    /// A default notice is sent only when the node `asks`, because that node may hold an outdated
-    /// notice.
+    /// A default notice is sent only if `asks` is set. The other node has then sent a notice in its
+    /// request, and that notice may be outdated.
     #[must_use]
     pub fn notice(&self, asks: bool) -> Option<HeaderValue> {
         let notice = self.told()?;
@@ -203,7 +203,8 @@
         counters.gauge("swiftcart_server_rate").set(rate);
     }
 
-    /// Sends a request to the backend server if it belongs to `service` and admits the request.
+    /// Sends a request to the backend server if the backend server belongs to `service` and the
+    /// request is admitted.
     ///
     /// # Errors
     ///
@@ -285,8 +286,8 @@
         self.shared.warmup.take(slot.start())
     }
 
-    /// Refuses a request whose fingerprint was quarantined, for crashing backend servers, after the
-    /// ingress forwarded it.
+    /// Refuses a request whose fingerprint was quarantined after the ingress had forwarded the
+    /// request. Requests that crash backend servers are quarantined.
     ///
     /// # Errors
     ///
@@ -306,8 +307,9 @@
 
     /// Sends a request to the backend server and waits for the head of the response.
     ///
-    /// A request that is not idempotent runs in its own task, so that it is not cancelled when the
-    /// caller disconnects: the backend server is processing it, and it cannot be repeated.
+    /// A request that is not idempotent under its route's policy runs in its own task, so that it
+    /// is not cancelled when the caller disconnects: the backend server is processing the request,
+    /// and the request cannot be repeated.
     async fn hand_over(
         self: &Arc<Self>,
         call: &Call,
@@ -419,7 +421,7 @@
     }
 }
 
-/// Returns the result that a failed request counts as for the backend server.
+/// Returns the result that is recorded for the backend server when a request fails.
 fn failure_result(reason: Reason) -> CallResult {
     match reason {
         Reason::CallerGone | Reason::DeadlinePassed => CallResult::Cancelled,
--- a/crates/swiftcart-node/src/calls/in_flight.rs
+++ b/crates/swiftcart-node/src/calls/in_flight.rs
@@ -47,7 +47,7 @@
         self.start
     }
 
-    /// Sets the load that the guard reported.
+    /// Sets the load and the pace that the guard reported.
     pub const fn set_load(&mut self, report: Option<Report>) {
         self.report = report;
     }
--- a/crates/swiftcart-node/src/calls/ingress.rs
+++ b/crates/swiftcart-node/src/calls/ingress.rs
@@ -227,7 +227,7 @@
         result
     }
 
-    /// Sets the header that names the calling service to the backend server.
+    /// Sets the header that tells the backend server which service sent the request.
     fn set_caller_header(&self, head: &mut Parts) {
         let settings = &self.shared.settings;
         let (Some(name), Some(service)) = (&settings.headers.caller, &settings.service) else {
@@ -329,8 +329,8 @@
         }
     }
 
-    /// Chooses a guard. A request with an idempotency key prefers the guards that follow the
-    /// key's claims.
+    /// Chooses a guard. For a request with an idempotency key, guards that follow the key's claims
+    /// are preferred.
     fn pick(&self, call: &Call, entry: &ServiceEntry, tried: &[NodeId]) -> Option<Pick> {
         let now = self.shared.clock.now();
         let balancer = self.balancer();
@@ -369,7 +369,7 @@
         let service = entry.name().as_str();
         let result = match pick.id == self.shared.id {
             true => {
-                // The guard drops its notice when an announcement lapses; this restores the notice.
+                // The guard drops its notice when an announcement expires; restore the notice.
                 let notice = lock(&self.notices).of(pick.id);
                 notice
                     .into_iter()
--- a/crates/swiftcart-node/src/calls/ingress/failed.rs
+++ b/crates/swiftcart-node/src/calls/ingress/failed.rs
@@ -31,7 +31,8 @@
     ///
     /// If the earlier attempt may have run, a later refusal does not turn the outcome into
     /// "not run". A response of the backend server takes precedence over a refusal made by a node.
-    /// The latest retry time that a guard gave is kept.
+    /// Otherwise the later failure is returned. If it states no retry delay, it gets that of the
+    /// earlier one.
     pub(super) fn merge(before: Option<Self>, mut now: Self) -> Self {
         match before {
             Some(before) if now.answer.is_none() && before.is_outcome_unknown() => before,
@@ -89,7 +90,7 @@
     failed && call.idempotent && call.terms.is_some()
 }
 
-/// Returns the balancer's result for the node of a failed attempt.
+/// Returns the result of a failed attempt that the balancer records for the node.
 pub(super) fn call_result(reason: Reason) -> CallResult {
     match (reason, reason.outcome()) {
         (Reason::CallerGone, _) => CallResult::Cancelled,
--- a/crates/swiftcart-node/src/calls/ingress/log.rs
+++ b/crates/swiftcart-node/src/calls/ingress/log.rs
@@ -106,7 +106,7 @@
             "print" => %call.print);
     }
 
-    /// Logs a refusal that this node answers itself.
+    /// Logs a refusal with which this node itself answers the caller.
     pub(super) fn log_refusal(
         &self,
         id: Option<&HeaderValue>,
--- a/crates/swiftcart-node/src/calls/ingress/quarantine.rs
+++ b/crates/swiftcart-node/src/calls/ingress/quarantine.rs
@@ -11,7 +11,7 @@
 impl Ingress {
     /// Refuses a quarantined request.
     ///
-    /// The body is read first only if the head matches a suspect.
+    /// The body is read first only if the head matches that of a suspected request.
     ///
     /// # Errors
     ///
--- a/crates/swiftcart-node/src/calls/origin.rs
+++ b/crates/swiftcart-node/src/calls/origin.rs
@@ -22,7 +22,7 @@
         extensions.get().copied()
     }
 
-    /// Returns `true` if the remote end is on the instance with this address.
+    /// Returns `true` if the remote end is on the instance with the address `instance`.
     ///
     /// Only the node and its backend server run on that instance, so such a request comes from the
     /// backend server. All other callers run elsewhere.
--- a/crates/swiftcart-node/src/calls/pacing.rs
+++ b/crates/swiftcart-node/src/calls/pacing.rs
@@ -1,4 +1,4 @@
-//! Egress pacing: delays large responses while the queue of the instance's link is not empty.
+//! Egress pacing: delays large responses while too much data is queued on the instance's link.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/swiftcart-node/src/calls/pool.rs
+++ b/crates/swiftcart-node/src/calls/pool.rs
@@ -121,10 +121,10 @@
         })
     }
 
-    /// Checks by a new connection, within `limit`, that a process listens at the address.
+    /// Opens a connection within `limit` to check that a process listens at the address.
     ///
-    /// The connection is kept for the next request. No check is made while all connections are in
-    /// use.
+    /// The connection is kept for the next request. While all connections are in use, no check is
+    /// made and the result is [`ProbeResult::NotRefused`].
     pub async fn probe(&self, limit: Duration) -> ProbeResult {
         let Ok(_permit) = self.permits.try_acquire() else {
             return ProbeResult::NotRefused;
--- a/crates/swiftcart-node/src/calls/runs.rs
+++ b/crates/swiftcart-node/src/calls/runs.rs
@@ -17,8 +17,8 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// Maximum time for which a broken request waits for the check of whether the backend server has
-/// ended. A local connection opens or is refused within a millisecond. On an instance with a tenth
+/// Maximum duration of the check whether the backend server has ended, for which a broken request
+/// waits. A local connection opens or is refused within a millisecond. On an instance with a tenth
 /// of a core the node itself may have to wait for CPU time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
@@ -180,8 +180,8 @@
 impl Run {
     /// Records the status of the response.
     ///
-    /// A server error does not clear the request: the backend server may have failed or passed the
-    /// deadline before it reached the code that crashes it.
+    /// A server error does not clear the request of suspicion: the backend server may have failed
+    /// or passed the deadline before it reached the code that crashes it.
     #[must_use]
     pub fn with_status(mut self, status: StatusCode) -> Self {
         self.is_success = !status.is_server_error();
--- a/crates/swiftcart-node/src/calls/serve.rs
+++ b/crates/swiftcart-node/src/calls/serve.rs
@@ -164,8 +164,8 @@
         let mut conn = pin!(self.builder.serve_connection(socket, service));
         let mut disconnected = pin!(disconnected.disconnected());
         let ended = async {
-            // `disconnected` is polled first, since it reads the bytes that have arrived. With the reverse
-            // order, hyper would not notice these bytes.
+            // `disconnected` is polled first, since it reads the bytes that have arrived. With the
+            // reverse order, hyper would not notice these bytes.
             tokio::select! {
                 biased;
                 () = disconnected.as_mut() => return None,
--- a/crates/swiftcart-node/src/calls/service.rs
+++ b/crates/swiftcart-node/src/calls/service.rs
@@ -69,7 +69,7 @@
     /// Sets the header that tells the caller how long its connection is kept open.
     ///
     /// After a refusal the connection is closed instead, so that a retry uses a new connection.
-    /// It stays open while pipelined requests are still unanswered.
+    /// The connection stays open while pipelined requests are still unanswered.
     fn set_keep_alive(&self, response: &mut Response<Answer>, has_more: bool) {
         let Some(time) = self.shared.settings.limits.keep_alive() else {
             return;
--- a/crates/swiftcart-node/src/calls/socket.rs
+++ b/crates/swiftcart-node/src/calls/socket.rs
@@ -42,7 +42,7 @@
     linger: Option<Pin<Box<Sleep>>>,
     /// Data that was read ahead and not yet taken by hyper.
     ahead: BytesMut,
-    /// Result of the end of reading.
+    /// Result with which reading ended, or `None` while it continues.
     end: Option<io::Result<()>>,
     pipeline: Option<Pipeline>,
 }
--- a/crates/swiftcart-node/src/calls/terms.rs
+++ b/crates/swiftcart-node/src/calls/terms.rs
@@ -9,7 +9,7 @@
 /// Policy terms of one request that an ingress sends to a guard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallTerms {
-    /// Request class, which determines if the request may run more than once.
+    /// Request class, which determines whether the request may run more than once.
     pub class: RequestClass,
     /// Maximum number of backend servers that the request may be sent to.
     pub attempts: u8,
--- a/crates/swiftcart-node/src/calls/upstream.rs
+++ b/crates/swiftcart-node/src/calls/upstream.rs
@@ -219,8 +219,9 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason when there is no response. Its outcome is `not-run` only when nothing of
-    /// the request was written. It is [`Reason::Crashed`] when the backend server has ended.
+    /// Returns the reason when there is no response. The outcome of the reason is `not-run` only
+    /// when nothing of the request was written. The reason is [`Reason::Crashed`] when the backend
+    /// server has ended.
     pub async fn send(
         &self,
         call: &Call,
--- a/crates/swiftcart-node/src/clearing.rs
+++ b/crates/swiftcart-node/src/clearing.rs
@@ -36,7 +36,7 @@
 pub struct RoleClearance {
     /// Role in the roll-out, or `None` while the service is not rolled out.
     pub rollout_role: Option<RolloutRole>,
-    /// Requests that it may get.
+    /// Requests that the backend server may get.
     pub clearance: Clearance,
 }
 
@@ -51,7 +51,7 @@
 
 /// Admission state of the backend server during a roll-out.
 ///
-/// The control loop writes the state, and calls read it. Rollouts are rare; while there is none, a
+/// The control loop writes the state, and calls read it. Roll-outs are rare; while there is none, a
 /// check costs one atomic load.
 #[derive(Debug)]
 pub struct RolloutGate {
@@ -119,7 +119,7 @@
     /// Returns the roll-out batch of the backend server.
     ///
     /// A backend server without a batch is assigned to `drawn`, or to the first batch if it has
-    /// credit from a trial.
+    /// received credit from a trial.
     pub fn rollout_batch(&self, drawn: RolloutBatch) -> RolloutBatch {
         let mut state = self.lock();
         let has_credit = state.credit.is_some();
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the reason why it may not.
+    /// Returns the reason why the backend server may not get the request.
     pub fn may_enter(&self, now: Instant) -> Result<(), Reason> {
         match self.is_used() {
             true => self.lock().may_enter(now),
--- a/crates/swiftcart-node/src/clock.rs
+++ b/crates/swiftcart-node/src/clock.rs
@@ -7,12 +7,14 @@
 
 use crate::logging::unix_ms;
 
-/// Clock that counts the time since its creation, including time in which the instance is suspended.
+/// Clock that counts the time since its creation, including time in which the instance is
+/// suspended.
 ///
 /// The timers of the runtime use the kernel's monotonic clock, which stops while the instance is
-/// suspended. Deadlines of callers, the age of claims and the time since other nodes were last heard
-/// continue to count, and a process that was suspended for seconds has to notice it. Deadlines are
-/// therefore kept on this clock, and timers get the time that remains until the deadline.
+/// suspended. Deadlines of callers, the age of claims and the time since other nodes were last
+/// heard continue to count, and a process that was suspended for seconds has to notice it.
+/// Deadlines are therefore kept on this clock, and timers get the time that remains until the
+/// deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Clock {
     start: Duration,
--- a/crates/swiftcart-node/src/control.rs
+++ b/crates/swiftcart-node/src/control.rs
@@ -44,7 +44,7 @@
 use crate::logging::Event;
 use crate::shared::Shared;
 
-/// An external event for the control loop.
+/// External event for the control loop.
 #[derive(Debug)]
 enum Input {
     PullOutcome(Box<PullOutcome>),
--- a/crates/swiftcart-node/src/control/board.rs
+++ b/crates/swiftcart-node/src/control/board.rs
@@ -36,7 +36,8 @@
 /// Background task that writes records one at a time and retries until each write succeeds.
 ///
 /// The platform accepts a record only if no other node has written since this node's last read. A
-/// roll-out therefore ends once: a node that writes later reads the recorded end and adopts it.
+/// roll-out therefore has only one end: a node that writes later reads the recorded end and adopts
+/// it.
 #[derive(Debug)]
 pub(super) struct BoardWriter {
     records: mpsc::Sender<RolloutRecord>,
--- a/crates/swiftcart-node/src/control/control_loop.rs
+++ b/crates/swiftcart-node/src/control/control_loop.rs
@@ -300,8 +300,8 @@
         (joined && self.membership.is_synced()) || now.elapsed() >= JOIN_TIMEOUT
     }
 
-    /// Publishes the view before the phase and progress, so that a reader that sees a version or a
-    /// phase finds it already in force.
+    /// Publishes the view before the phase and progress. When a version or a phase becomes visible,
+    /// the matching view is thus already in force.
     fn publish(&mut self) {
         let now = self.now();
         let phase = publish::phase(self, now);
--- a/crates/swiftcart-node/src/control/drains.rs
+++ b/crates/swiftcart-node/src/control/drains.rs
@@ -10,7 +10,7 @@
 use super::control_loop::Control;
 use crate::logging::Event;
 
-/// Interval between gossip rounds, of which each change gets [`GOSSIP_ROUNDS`].
+/// Interval between gossip rounds. Each change is forwarded in [`GOSSIP_ROUNDS`] of them.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Number of rounds in which a node forwards a change.
--- a/crates/swiftcart-node/src/control/error.rs
+++ b/crates/swiftcart-node/src/control/error.rs
@@ -7,7 +7,7 @@
 use swiftcart_core::WireError;
 
 quick_error! {
-    /// Error when the control sockets are bound, or when a state pull fails.
+    /// Error while binding the control sockets, or during a state pull.
     #[derive(Debug)]
     pub enum ControlError {
         /// The gossip socket cannot be bound.
--- a/crates/swiftcart-node/src/control/findings.rs
+++ b/crates/swiftcart-node/src/control/findings.rs
@@ -16,7 +16,7 @@
 /// Interval between digest comparisons with another node, while there are findings to compare.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Gossip schedule of findings, and the held requests that were last logged.
+/// Gossip schedule of findings, and the quarantined requests that were last logged.
 #[derive(Debug, Default)]
 pub(super) struct FindingsGossip {
     next_round: Instant,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Logs requests that have become held, and those that are no longer held.
+    /// Logs requests that have become quarantined, and those that no longer are.
     fn log_held(&mut self, now: Instant) {
         let held = self
             .shared
--- a/crates/swiftcart-node/src/control/following.rs
+++ b/crates/swiftcart-node/src/control/following.rs
@@ -30,9 +30,9 @@
 /// Time per known node over which joiners that follow a log spread their first reads.
 const JOIN_SPREAD_PER_NODE: Duration = Duration::from_millis(5);
 
-/// Time that a node waits for the readers' first configuration when the whole mesh starts for the
-/// first time. Callers arrive seconds later, and one read per node would put the greatest load on
-/// the platform.
+/// Time for which a node waits for the readers' first configuration when the whole mesh starts for
+/// the first time. Callers arrive seconds later, and one read per node would put the greatest load
+/// on the platform.
 const FIRST_START_WAIT: Duration = Duration::from_secs(4);
 
 impl Control {
--- a/crates/swiftcart-node/src/control/quarantine_store.rs
+++ b/crates/swiftcart-node/src/control/quarantine_store.rs
@@ -15,8 +15,8 @@
 use crate::logging::{Event, unix_ms};
 use crate::shared::Shared;
 
-/// Maximum number of queued writes. A node writes once per second for each held request while
-/// backend servers keep crashing on it.
+/// Maximum number of queued writes. A node writes once per second for each quarantined request
+/// while that request keeps crashing backend servers.
 const QUEUE_CAPACITY: usize = 16;
 
 /// Write to the directory.
@@ -68,7 +68,8 @@
 }
 
 impl Control {
-    /// Writes the held requests whose crashes this node has observed, and removes expired ones.
+    /// Writes the quarantined requests whose crashes this node has observed, and removes expired
+    /// ones.
     pub(super) fn persist_quarantine(&mut self, now: Instant) {
         let Some(quarantine_store) = &mut self.quarantine_store else {
             return;
--- a/crates/swiftcart-node/src/control/rollouts.rs
+++ b/crates/swiftcart-node/src/control/rollouts.rs
@@ -161,9 +161,9 @@
         }
     }
 
-    /// Returns the batch of the local backend server: its rank among the backend servers of its
-    /// service with the same advertised readiness. Before the first one has moved, these are all of
-    /// its side.
+    /// Returns the batch of the local backend server. The batch follows from the rank among the
+    /// backend servers of the service that advertise the same readiness. Until the first of them
+    /// has moved, these are all backend servers of its side.
     fn batch_of(&self, backend: &Backend) -> RolloutBatch {
         let advertised = self.advertised(self.now(), Some(backend.clone()));
         let has_same_readiness = |other: &Backend| {
--- a/crates/swiftcart-node/src/counters.rs
+++ b/crates/swiftcart-node/src/counters.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Counts a call whose caller got a response.
+    /// Counts a call under its outcome.
     pub fn call(&self, outcome: Outcome) {
         self.calls[outcome as usize].increment(1);
     }
--- a/crates/swiftcart-node/src/edge.rs
+++ b/crates/swiftcart-node/src/edge.rs
@@ -37,12 +37,13 @@
     ///
     /// # Errors
     ///
-    /// Returns any [`PlatformError`]. Nothing is known then.
+    /// Returns any [`PlatformError`]. The error does not show whether there is a newer version.
     fn newest(&self, known: Version, wait: Duration) -> PlatformFuture<'_, Option<Snapshot>>;
 
     /// Returns the position after `version` in the version history.
     ///
-    /// Returns `None` if this node has not read the version here. The position is an opaque number that is valid on all nodes of the mesh.
+    /// Returns `None` if this node has not read the version from this source. The position is an
+    /// opaque number that is valid on all nodes of the mesh.
     fn place(&self, _version: Version) -> Option<u64> {
         None
     }
@@ -51,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Returns any [`PlatformError`]. Nothing is known then.
+    /// Returns any [`PlatformError`]. The error does not show whether there is a later version.
     fn behind(&self, _place: u64) -> PlatformFuture<'_, NextVersion> {
         Box::pin(async { Ok(NextVersion::Unknown) })
     }
@@ -127,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// Returns any [`PlatformError`]. Nothing is known then.
+    /// Returns any [`PlatformError`]. The error does not show whether there are records.
     fn read(&self) -> PlatformFuture<'_, RolloutRecords>;
 
     /// Writes a record if `place` is still the next position.
@@ -145,7 +146,7 @@
 pub struct DirectoryListing {
     /// Nodes that are registered.
     pub nodes: Vec<NodeId>,
-    /// Stored memos of quarantined requests, some of them possibly old.
+    /// Stored records of quarantined requests, some of them possibly old.
     pub memos: Vec<QuarantineRecord>,
 }
 
@@ -158,7 +159,8 @@
     /// Returns any [`PlatformError`]. The entry may exist then or not.
     fn enter(&self, id: NodeId) -> PlatformFuture<'_, ()>;
 
-    /// Returns the registered nodes, including `id` if it is registered, and the stored memos.
+    /// Returns the registered nodes, including `id` if it is registered, and the stored records of
+    /// quarantined requests.
     ///
     /// `entered` is set if `id` is known to be registered. In a large mesh the result may be a part
     /// of the nodes, which is enough to join. In a small mesh, nodes register first and then call
@@ -169,18 +171,18 @@
     /// Returns any [`PlatformError`].
     fn find(&self, id: NodeId, entered: bool) -> PlatformFuture<'_, DirectoryListing>;
 
-    /// Stores `memo`, which replaces an earlier memo of the same request.
+    /// Stores `memo`, which replaces an earlier record of the same request.
     ///
     /// # Errors
     ///
-    /// Returns any [`PlatformError`]. The memo may be stored then or not.
+    /// Returns any [`PlatformError`]. The record may be stored then or not.
     fn remember(&self, memo: QuarantineRecord) -> PlatformFuture<'_, ()>;
 
-    /// Deletes the memos of `requests`.
+    /// Deletes the records of `requests`.
     ///
     /// # Errors
     ///
-    /// Returns any [`PlatformError`]. The memos may be deleted then or not.
+    /// Returns any [`PlatformError`]. The records may be deleted then or not.
     fn forget(&self, requests: Vec<RequestDigest>) -> PlatformFuture<'_, ()>;
 
     /// Removes the entries of `ids`, whose nodes have left permanently.
--- a/crates/swiftcart-node/src/egress.rs
+++ b/crates/swiftcart-node/src/egress.rs
@@ -9,8 +9,8 @@
 
 /// Queueing delay on the link up to which parts of long responses are sent: 37 kB at 15 Mbit/s.
 ///
-/// Together with the next part, 64 kB at most, a short response waits for 55 ms behind a long one.
-/// This is a fifth of the latency target of the shortest calls on such links.
+/// Together with the next part of at most 64 kB, a short response is delayed by 55 ms on such a
+/// link. This delay is a fifth of the latency target of the shortest calls there.
 const MAX_QUEUE_DELAY: Duration = Duration::from_millis(20);
 
 /// Estimate of the data that the node has queued on the link of its instance.
--- a/crates/swiftcart-node/src/logging.rs
+++ b/crates/swiftcart-node/src/logging.rs
@@ -176,7 +176,7 @@
 
 /// Writes the queued lines and closes the log.
 ///
-/// Gives up after a time limit, in case that standard output is blocked.
+/// Gives up after a time limit, in case standard output is blocked.
 pub fn close(guard: AsyncGuard) {
     let (done, written) = mpsc::channel();
     thread::spawn(move || {
--- a/crates/swiftcart-node/src/logging/call_log.rs
+++ b/crates/swiftcart-node/src/logging/call_log.rs
@@ -9,12 +9,13 @@
 
 /// Maximum lines per second for successful calls.
 ///
-/// A node of the intended size answers about 90 calls per second, and is the guard of as many.
+/// A node of the intended size answers about 90 calls per second, and guards as many.
 const DONE_LINES_PER_SEC: u32 = 150;
 
 /// Maximum lines per second for refusals, failures and retries.
 ///
-/// They matter most to operators, so that successful calls cannot use up this limit.
+/// The limit is separate, so that successful calls cannot use it up: operators need these lines
+/// most.
 const FAILED_LINES_PER_SEC: u32 = 300;
 
 /// Maximum lines per second for refused announcements and other irregular messages.
--- a/crates/swiftcart-node/src/node.rs
+++ b/crates/swiftcart-node/src/node.rs
@@ -23,7 +23,8 @@
 /// Interval between two maintenance runs of the metrics recorder.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time before the end of `stop.linger_ms` at which the node announces to the others that it leaves.
+/// Time before the end of `stop.linger_ms` at which the node announces to the others that it
+/// leaves.
 ///
 /// The other nodes have then stopped sending requests when the linger time ends. Gossip reaches all
 /// of some hundred nodes in about four rounds of 100 ms.
@@ -56,7 +57,8 @@
 }
 
 impl Node {
-    /// Opens the listeners and starts the background tasks of a node that follows the platform's log.
+    /// Opens the listeners and starts the background tasks of a node that follows the platform's
+    /// log.
     ///
     /// # Errors
     ///
@@ -122,7 +124,7 @@
         let shared = Arc::clone(&self.shared);
         let finish = async {
             let lingers = !stop.linger().is_zero();
-            // The backend server still works, so the node stays a member of the mesh until then.
+            // The backend server still works, so the node leaves the mesh only after this wait.
             let lead_time = LEAVE_LEAD_TIME.min(stop.linger());
             sleep(stop.linger() - lead_time).await;
             shared.stopping.cancel();
--- a/crates/swiftcart-node/src/settings.rs
+++ b/crates/swiftcart-node/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a node: one JSON file, which is validated completely before the node starts.
 //!
-//! Errors for unknown keys and values out of range name the file, the path of the key, the value and
-//! the fix. Each field documents its default.
+//! Errors for unknown keys and values out of range name the file, the path of the key, the value
+//! and the fix. Each field documents its default.
 
 mod announcements;
 mod check;
--- a/crates/swiftcart-node/src/settings/announcements.rs
+++ b/crates/swiftcart-node/src/settings/announcements.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Announcements {
-    /// Alternative name of the field `start_ms`, which some backend servers use for their start time;
-    /// default none. An announcement with both fields is refused.
+    /// Alternative name of the field `start_ms`, which some backend servers use for their start
+    /// time; default none. An announcement with both fields is refused.
     pub start: Option<String>,
 }
--- a/crates/swiftcart-node/src/settings/headers.rs
+++ b/crates/swiftcart-node/src/settings/headers.rs
@@ -13,14 +13,14 @@
     pub deadline_ms: Name,
     /// Header with the id of the request; default `swiftcart-request-id`.
     pub request_id: Name,
-    /// Set if callers choose request ids and backend servers repeat them in their responses; default
-    /// false: the first node generates the id.
+    /// Set if callers choose request ids and backend servers repeat them in their responses;
+    /// default false: the first node generates the id.
     pub own_ids: bool,
-    /// Set if backend servers get the remaining time in the header `deadline_ms`; default false: they
-    /// get `swiftcart-deadline` in Unix milliseconds.
+    /// Set if backend servers get the remaining time in the header `deadline_ms`; default false:
+    /// they get `swiftcart-deadline` in Unix milliseconds.
     pub time_left: bool,
-    /// Header with the id of the instance for which a request is meant, for backend servers; default
-    /// none.
+    /// Header with the id of the instance for which a request is meant, for backend servers;
+    /// default none.
     pub target: Option<Name>,
     /// Header with the service that sent a request, for backend servers; default none.
     pub caller: Option<Name>,
--- a/crates/swiftcart-node/src/settings/limits.rs
+++ b/crates/swiftcart-node/src/settings/limits.rs
@@ -4,9 +4,11 @@
 
 use serde::Deserialize;
 
-/// Maximum time without an announcement of a backend server, in halves of the announcement interval.
+/// Maximum time without an announcement of a backend server, in halves of the announcement
+/// interval.
 ///
-/// Three and a half intervals tolerate three lost or late announcements, as is usual for heartbeats.
+/// Three and a half intervals tolerate three lost or late announcements, as is usual for
+/// heartbeats.
 const SILENCE_HALF_INTERVALS: u32 = 7;
 
 /// Limits on buffers, queues, connections and times of the call path.
@@ -28,8 +30,8 @@
     /// Maximum time without data from a caller within a request body, in milliseconds; default
     /// 30000.
     pub body_timeout_ms: u32,
-    /// Time after which an idle connection to the backend server is closed, in milliseconds; default
-    /// 4000. Set it below the idle timeout of the backend server.
+    /// Time after which an idle connection to the backend server is closed, in milliseconds;
+    /// default 4000. Set it below the idle timeout of the backend server.
     pub idle_timeout_ms: u32,
     /// Timeout for opening a connection, in milliseconds; default 500.
     pub connect_timeout_ms: u32,
@@ -41,8 +43,8 @@
     pub longest_ms: u32,
     /// Maximum idle connections to one peer; default 32.
     pub idle_connections: u32,
-    /// Maximum bytes of a request body that are buffered for a retry at another peer; default 65536. A
-    /// request with more bytes sent is not retried.
+    /// Maximum bytes of a request body that are buffered for a retry at another peer; default
+    /// 65536. A request of which more bytes were sent is not retried.
     pub replay_bytes: u32,
     /// Maximum bytes of the body of a request with an `Idempotency-Key`; default 1048576.
     pub keyed_bytes: u32,
@@ -51,15 +53,15 @@
     /// Bytes of a response that are read before its head is forwarded, so that a request whose
     /// response breaks off can still be retried; default 0.
     pub held_bytes: u32,
-    /// Maximum upload bodies that are received from peers concurrently; default 1024. Use a low value
-    /// on slow links, since short requests wait behind uploads.
+    /// Maximum upload bodies that are received from peers concurrently; default 1024. Use a low
+    /// value on slow links, since short requests wait behind uploads.
     pub bodies: u32,
-    /// Enables an adaptive concurrency limit, which follows the latency of the backend server below its
-    /// announced slots; default true. Set it to false to rely on the announced slots.
+    /// Enables an adaptive concurrency limit, which follows the latency of the backend server below
+    /// its announced slots; default true. Set it to false to rely on the announced slots.
     pub adaptive: bool,
     /// Keep-alive time of an idle connection of a caller, which is sent to the caller, in whole
-    /// seconds; default 0: `header_timeout_ms` applies and no time is sent. With a keep-alive time, a
-    /// connection is closed after a response that the node generates itself.
+    /// seconds; default 0: `header_timeout_ms` applies and no time is sent. With a keep-alive time,
+    /// a connection is closed after a response that the node generates itself.
     pub keep_alive_s: u32,
     /// Allows responses without a length that end when the connection is closed; default false.
     pub unframed: bool,
@@ -67,9 +69,9 @@
     /// milliseconds; default 5000. Without an announcement for this time, the backend server is
     /// removed from routing.
     pub announce_ms: u32,
-    /// Announcement interval of a backend server that has an id of its own, in milliseconds; default 0:
-    /// not known. If three and a half intervals are longer than `announce_ms`, they replace that
-    /// limit.
+    /// Announcement interval of a backend server that has an id of its own, in milliseconds;
+    /// default 0: not known. If three and a half intervals are longer than `announce_ms`, they
+    /// replace that limit.
     pub heartbeat_ms: u32,
 }
 
--- a/crates/swiftcart-node/src/settings/link.rs
+++ b/crates/swiftcart-node/src/settings/link.rs
@@ -10,8 +10,9 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkSettings {
-    /// Rate of the link in megabits per second; default 0: not known. With a known rate, long responses
-    /// are paced to the rate of the link, so that short responses do not wait behind them.
+    /// Rate of the link in megabits per second; default 0: not known. With a known rate, long
+    /// responses are paced to the rate of the link, so that short responses do not wait behind
+    /// them.
     pub mbit_s: f64,
 }
 
--- a/crates/swiftcart-node/src/settings/load.rs
+++ b/crates/swiftcart-node/src/settings/load.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Parses and checks the settings in `text`. Errors name them `file`.
+    /// Parses and checks the settings in `text`. Errors refer to the settings as `file`.
     ///
     /// # Errors
     ///
--- a/crates/swiftcart-node/src/settings/stop.rs
+++ b/crates/swiftcart-node/src/settings/stop.rs
@@ -6,7 +6,7 @@
 
 /// Time between the end of the grace period and the signal that kills the process.
 ///
-/// With a kill time of 6 s, this margin kept the longest of two days of shutdowns in production to
+/// With this margin and a kill time of 6 s, the longest shutdown in two days of production took
 /// 5.31 s.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
@@ -17,17 +17,17 @@
     /// Time for which the node still accepts requests of callers after it reports that it is not
     /// ready, in milliseconds; default 0. It covers callers that notice the shutdown late.
     pub linger_ms: u32,
-    /// Time after the linger time in milliseconds; default 1000. Without a linger time, the node
-    /// refuses new requests with a response for this time, before it closes the listener. After a
-    /// linger time, new requests still go to other nodes, since the backend server makes calls for the
-    /// requests that it is finishing.
+    /// Notice time after the linger time, in milliseconds; default 1000. Without a linger time, the
+    /// node refuses new requests with a response for this time, before it closes the listener.
+    /// After a linger time, new requests still go to other nodes, since the backend server makes
+    /// calls for the requests that it is finishing.
     pub notice_ms: u32,
     /// Time from the signal after which the process aborts the requests in flight, in milliseconds;
     /// default 0: never.
     pub grace_ms: u32,
-    /// Time from the signal after which the supervisor kills the process, in seconds; default 0: not
-    /// known. The process aborts the requests in flight 0.7 s earlier, unless `grace_ms` ends sooner.
-    /// The linger time is at most half of the resulting grace period.
+    /// Time from the signal after which the supervisor kills the process, in seconds; default 0:
+    /// not known. The process aborts the requests in flight 0.7 s earlier, unless `grace_ms` ends
+    /// sooner. The linger time is at most half of the resulting grace period.
     pub kill_s: f64,
 }
 
